--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -14,7 +14,7 @@
 import org.coriandercrank.daemon.internal.LocalGate;
 import org.coriandercrank.daemon.internal.MemberParts;
 import org.coriandercrank.gate.Gate;
-import org.coriandercrank.gate.GateInputs;
+import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.ingress.Ingress;
 import org.coriandercrank.ingress.IngressDependencies;
 import org.coriandercrank.kernel.backend.BackendServer;
@@ -257,7 +257,7 @@
 
     private Gate createGate(ServiceName service) {
         return Gate.start(
-                new GateInputs(
+                new GateDependencies(
                         service,
                         control.routing(),
                         control.lease(),
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.coriandercrank.gate.GateInputs;
+import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.gate.GateOptions;
 import org.coriandercrank.gate.internal.GateCore;
 import org.coriandercrank.gate.internal.GateMetrics;
@@ -63,14 +63,14 @@
     private int nextId;
 
     GateFixture() {
-        this(GateOptions.DEFAULTS.withRampMs(0));
+        this(GateOptions.DEFAULTS.withSlowStartMs(0));
     }
 
     GateFixture(GateOptions options) {
-        GateInputs inputs =
-                new GateInputs(SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
+        GateDependencies inputs =
+                new GateDependencies(SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
         core = new GateCore(new GateRuntime(inputs, options, timers, new GateMetrics(meters), () -> false));
-        timers.every(options.tickMs(), timers, core::tick);
+        timers.every(options.busyTickMs(), timers, core::tick);
     }
 
     private long leaseUntil() {
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
@@ -124,7 +124,7 @@
 
     /** Each submitted request is answered by its deadline, whatever the server does. */
     void finish() {
-        gate.timers.advanceMs(DEADLINE_MS + 2.0 * options.tickMs());
+        gate.timers.advanceMs(DEADLINE_MS + 2.0 * options.busyTickMs());
         assertThat(results).allMatch(CompletableFuture::isDone);
         act(LAST_KIND, 0);
     }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
@@ -20,7 +20,7 @@
  */
 class GatePropertiesTest {
     private static final int TRIES = 3_000;
-    private static final GateOptions OPTIONS = GateOptions.DEFAULTS.withRampMs(0);
+    private static final GateOptions OPTIONS = GateOptions.DEFAULTS.withSlowStartMs(0);
 
     record Action(int kind, int pick) {}
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -43,7 +43,7 @@
     })
     void releaseWhenTheRevokeIsAnsweredOrNot(
             boolean answered, String capabilities, boolean withoutProof, boolean completes) {
-        GateFixture other = new GateFixture(GateOptions.DEFAULTS.withRampMs(0).withReleaseWithoutProof(withoutProof));
+        GateFixture other = new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withUnconfirmedRelease(withoutProof));
         other.attach(2, parse(capabilities));
         other.acquire(KeyRange.ALL, 1, InheritedRecords.NEVER_OWNED);
         other.backend.answersGrants = answered;
@@ -215,7 +215,7 @@
     /** Guards against a cold server that gets its full load at once. */
     @Test
     void concurrencyGrowsAfterAnAttach() {
-        GateFixture cold = new GateFixture(GateOptions.DEFAULTS.withRampMs(1_000)).serving(8);
+        GateFixture cold = new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(1_000)).serving(8);
         for (int i = 0; i < 8; i++) {
             cold.submit(GateFixture.request("i" + i, "k" + i, "GET", 5_000, null, OptionalLong.empty()));
         }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.gate.Gate;
-import org.coriandercrank.gate.GateInputs;
+import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.gate.GateOptions;
 import org.coriandercrank.gate.test.FakeBackend.Call;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -32,14 +32,14 @@
         SystemTimerService timers = new SystemTimerService();
         FakeBackend backend = new FakeBackend(MonotonicClock.SYSTEM);
         backend.onCall = Call::succeed;
-        GateInputs inputs = new GateInputs(
+        GateDependencies inputs = new GateDependencies(
                 GateFixture.SERVICE,
                 new GateFixture(),
                 () -> System.nanoTime() + TimeUnit.SECONDS.toNanos(2),
                 timers,
                 new DecisionLog(0, MonotonicClock.SYSTEM),
                 new SimpleMeterRegistry());
-        try (Gate gate = Gate.start(inputs, GateOptions.DEFAULTS.withRampMs(0))) {
+        try (Gate gate = Gate.start(inputs, GateOptions.DEFAULTS.withSlowStartMs(0))) {
             gate.attach(
                     new BackendInfo(
                             "desk-1",
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
@@ -23,7 +23,7 @@
     private static final int PARK_MS = 1_000;
 
     private final GateFixture gate =
-            new GateFixture(GateOptions.DEFAULTS.withRampMs(0).withParking(4, PARK_MS));
+            new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withParkingLimits(4, PARK_MS));
 
     @BeforeEach
     void serveAllKeys() {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -46,16 +46,16 @@
 
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    private Gate(GateInputs inputs, GateOptions options) {
+    private Gate(GateDependencies inputs, GateOptions options) {
         timers = inputs.timers();
-        duty = inputs.duties().create("gate", options.ringCapacity());
+        duty = inputs.duties().create("gate", options.taskQueueCapacity());
         core = new GateCore(new GateRuntime(inputs, options, duty, new GateMetrics(inputs.meters()), closed::get));
-        busyTickMs = options.tickMs();
+        busyTickMs = options.busyTickMs();
         ticks = timers.every(options.idleTickMs(), duty, this::idleTick);
     }
 
     /** Starts a gate without a backend server and without ranges. */
-    public static Gate start(GateInputs inputs, GateOptions options) {
+    public static Gate start(GateDependencies inputs, GateOptions options) {
         return new Gate(inputs, options);
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateInputs.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
@@ -17,7 +17,7 @@
  * @param lease in the time of the clock of {@code timers}
  * @param duties makes the duty that the gate runs on
  */
-public record GateInputs(
+public record GateDependencies(
         ServiceName service,
         RoutingView routing,
         LeaseView lease,
@@ -25,7 +25,7 @@
         DecisionLog decisions,
         MeterRegistry meters,
         Duty.Factory duties) {
-    public GateInputs {
+    public GateDependencies {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(routing, "routing");
         Objects.requireNonNull(lease, "lease");
@@ -36,7 +36,7 @@
     }
 
     /** Inputs of a gate with a thread of its own. */
-    public GateInputs(
+    public GateDependencies(
             ServiceName service,
             RoutingView routing,
             LeaseView lease,
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -56,7 +56,7 @@
         startedAtNanos = runtime.nowNanos();
         loadRolledAtNanos = startedAtNanos;
         records = new RecordTable(runtime.options(), this::onKeyedRecordDropped);
-        bars = new BarList(runtime.options().maxBars());
+        bars = new BarList(runtime.options().maxBarredIds());
         executed = new ExecutedFilter(startedAtNanos);
         requests = new RequestTable(records, bars, executed);
         grants = new GrantDriver(runtime, ranges, this::advance);
@@ -173,7 +173,7 @@
         requestService.expire(rangeService, nowNanos);
         records.expire(nowNanos);
         long windowMs = runtime.rules().maxDeadlineMs();
-        bars.expire(windowMs + runtime.options().barRetentionMs(), nowNanos);
+        bars.expire(windowMs + runtime.options().barredIdRetentionMs(), nowNanos);
         executed.roll(windowMs, nowNanos);
         rollLoads(nowNanos);
         closeReplaced();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateRuntime.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateRuntime.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.coriandercrank.gate.GateInputs;
+import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.gate.GateOptions;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
@@ -19,7 +19,7 @@
  * @param closed whether the gate was closed and results are of no use any more
  */
 public record GateRuntime(
-        GateInputs inputs, GateOptions options, Executor duty, GateMetrics metrics, BooleanSupplier closed) {
+        GateDependencies inputs, GateOptions options, Executor duty, GateMetrics metrics, BooleanSupplier closed) {
     private static final long REJECTED_RETRY_MS = 1;
 
     public long nowNanos() {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantDriver.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantDriver.java
@@ -113,7 +113,7 @@
         }
         boolean honoursValidity = backend != null && backend.has(Capability.VALIDITY);
         return entry.isHoldLapsed(nowNanos)
-                && (honoursValidity || runtime.options().releaseWithoutProof());
+                && (honoursValidity || runtime.options().allowUnconfirmedRelease());
     }
 
     private void sendIfDue(long nowNanos) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -33,12 +33,12 @@
 
     /** Parks a request if its range is to be served here soon and there is room. */
     boolean park(CallerRequest request, KeyHash hash, Waiter waiter, long nowNanos) {
-        boolean room = parked.size() < runtime.options().maxParked();
+        boolean room = parked.size() < runtime.options().maxParkedRequests();
         if (!room || isServed(hash) || !isAssigned(hash)) {
             return false;
         }
         long longestNanos =
-                nowNanos + TimeUnit.MILLISECONDS.toNanos(runtime.options().parkMs());
+                nowNanos + TimeUnit.MILLISECONDS.toNanos(runtime.options().parkTimeoutMs());
         long untilNanos = longestNanos - waiter.deadlineNanos() < 0 ? longestNanos : waiter.deadlineNanos();
         parked.put(waiter.id(), new Parked(request, hash, waiter, untilNanos));
         return true;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -53,9 +53,9 @@
         this.records = records;
         this.grants = grants;
         rules = new ReleaseRules(
-                runtime.options().lostCallGraceMs(),
+                runtime.options().deadlineGraceMs(),
                 runtime.options().lostCallLifetimeMs(),
-                runtime.options().releaseWithoutProof());
+                runtime.options().allowUnconfirmedRelease());
     }
 
     void attach(Backend newBackend) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLoss.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLoss.java
@@ -43,7 +43,7 @@
             return !horizon.unlimited();
         }
         long boundedAgeMs = Math.min(ageMs.getAsLong(), Integer.MAX_VALUE)
-                + runtime.options().ageMarginMs();
+                + runtime.options().keyAgeMarginMs();
         long firstAttemptNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(boundedAgeMs);
         return !(ageMs.getAsLong() == 0 ? dropHorizon : horizon).covers(firstAttemptNanos);
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -81,7 +81,7 @@
         sending = true;
         concurrency = new ConcurrencyLimit(
                 newBackend.info().slots(),
-                runtime.options().rampMs(),
+                runtime.options().slowStartMs(),
                 runtime.options().overloadRecoveryMs(),
                 runtime.nowNanos());
     }
