--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -17,7 +17,7 @@
 import org.coriandercrank.kernel.backend.BackendHealth;
 import org.coriandercrank.kernel.backend.BackendServer;
 import org.coriandercrank.kernel.backend.Grant;
-import org.coriandercrank.kernel.backend.Presence;
+import org.coriandercrank.kernel.backend.ProbeResult;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
@@ -148,12 +148,12 @@
     }
 
     @Override
-    public CompletableFuture<Presence> presence() {
+    public CompletableFuture<ProbeResult> probe() {
         return control.call(HttpCall.of("GET", "/health"), CONTROL_TIMEOUT_MS).handle((reply, failure) -> {
             if (failure == null) {
-                return Presence.ANSWERED;
+                return ProbeResult.ANSWERED;
             }
-            return HttpCallException.isRefused(failure) ? Presence.REFUSED : Presence.SILENT;
+            return HttpCallException.isRefused(failure) ? ProbeResult.REFUSED : ProbeResult.SILENT;
         });
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -10,7 +10,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.RoutingView;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.table.BackendInfo;
 
 /**
@@ -50,7 +50,7 @@
 
     private static ControlPlane create(
             ControlOptions options, HostIdentity identity, ControlServices services, boolean joins) {
-        Duty duty = services.duties().create("control", RING_CAPACITY);
+        SerialExecutor duty = services.duties().create("control", RING_CAPACITY);
         Random random = new Random(new SecureRandom().nextLong());
         ControlContext context = new ControlContext(options, identity, services, duty, random);
         return new ControlPlane(context, joins, duty::close);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlServices.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlServices.java
@@ -4,8 +4,8 @@
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
-import org.coriandercrank.kernel.ring.Duty;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
@@ -25,7 +25,7 @@
         DecisionLog log,
         MeterRegistry metrics,
         MonotonicClock holderClock,
-        Duty.Factory duties) {
+        SerialExecutor.Factory duties) {
     /** Services whose own lease is measured by the clock of the timers. */
     public ControlServices(
             ObjectStore store,
@@ -34,6 +34,6 @@
             TimerService timers,
             DecisionLog log,
             MeterRegistry metrics) {
-        this(store, peers, handlers, timers, log, metrics, timers.clock(), DutyThread::new);
+        this(store, peers, handlers, timers, log, metrics, timers.clock(), SingleThreadExecutor::new);
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
@@ -22,7 +22,7 @@
 import org.coriandercrank.kernel.message.Digest;
 import org.coriandercrank.kernel.message.FetchObject;
 import org.coriandercrank.kernel.message.ObjectData;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -46,7 +46,7 @@
     private final ControlContext context;
     private final Map<FetchObject.Kind, ObjectCache> caches = new EnumMap<>(FetchObject.Kind.class);
     private final Map<ServiceName, AssignmentTable> tables = new HashMap<>();
-    private final Map<MemberId, KnownMember> members = new HashMap<>();
+    private final Map<MemberId, VersionedMember> members = new HashMap<>();
     private final Map<MemberId, Long> learnedNanos = new HashMap<>();
     private final List<Consumer<RoutingSnapshot>> listeners = new CopyOnWriteArrayList<>();
     private final List<Waiter> waiters = new ArrayList<>();
@@ -134,7 +134,7 @@
     }
 
     /** Takes over a member record that was just written or read. */
-    public void applyMember(KnownMember known) {
+    public void applyMember(VersionedMember known) {
         Member member = known.member();
         StoredObject object =
                 StoredObject.of(ObjectNames.member(member.id()), known.revision(), JsonCodec.encode(member));
@@ -196,7 +196,7 @@
         if (!member.id().equals(id)) {
             throw new IllegalArgumentException("record of " + member.id() + " under the name " + change.name());
         }
-        members.put(id, new KnownMember(member, change.revision()));
+        members.put(id, new VersionedMember(member, change.revision()));
         learnedNanos.put(id, context.nowNanos());
     }
 
@@ -238,7 +238,7 @@
     }
 
     /** The record of a member, if known. */
-    public Optional<KnownMember> member(MemberId id) {
+    public Optional<VersionedMember> member(MemberId id) {
         return Optional.ofNullable(members.get(id));
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.message.Digest;
 import org.coriandercrank.kernel.message.FetchObject;
 import org.coriandercrank.kernel.message.ObjectData;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.WatchBatch;
 import org.coriandercrank.kernel.table.Member;
@@ -162,9 +162,9 @@
 
     /** Rank for the duty of relay in the region; that of a stranger is beyond all. */
     private int rank(Member self, Set<MemberId> suspects) {
-        Collection<KnownMember> known = view.current().members().values();
+        Collection<VersionedMember> known = view.current().members().values();
         List<MemberId> alive = known.stream()
-                .map(KnownMember::member)
+                .map(VersionedMember::member)
                 .filter(member -> member.region().equals(self.region()))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .map(Member::id)
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -18,7 +18,7 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.message.Heartbeat;
 import org.coriandercrank.kernel.message.HeartbeatAck;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -128,7 +128,7 @@
         return holder.flatMap(LeaseHolder::confirmed).isPresent();
     }
 
-    public Optional<KnownMember> confirmed() {
+    public Optional<VersionedMember> confirmed() {
         return holder.flatMap(LeaseHolder::confirmed);
     }
 
@@ -210,7 +210,7 @@
 
     /** Looks for a seal of the own record in the view. */
     public void viewChanged() {
-        Optional<KnownMember> own = view.member(id);
+        Optional<VersionedMember> own = view.member(id);
         if (own.isPresent() && own.get().member().state() == MemberState.SEALED) {
             holder.ifPresent(lease -> perform(lease.sealSeen()));
         }
@@ -287,7 +287,7 @@
 
     private List<MemberId> chooseWitnesses(boolean rebalance) {
         List<Member> others = view.current().members().values().stream()
-                .map(KnownMember::member)
+                .map(VersionedMember::member)
                 .filter(member -> !member.id().equals(id))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .toList();
@@ -354,7 +354,7 @@
                     long now = context.holderNowNanos();
                     if (failure == null) {
                         perform(lease.writeSucceeded(write.operation(), revision, now));
-                        view.applyMember(new KnownMember(write.record(), revision));
+                        view.applyMember(new VersionedMember(write.record(), revision));
                         recordConfirmed();
                     } else {
                         writeFailed(lease, write, failure, now);
@@ -395,12 +395,12 @@
                 });
     }
 
-    static KnownMember decode(StoredObject object) {
-        return new KnownMember(JsonCodec.decode(object.value(), Member.class), object.revision());
+    static VersionedMember decode(StoredObject object) {
+        return new VersionedMember(JsonCodec.decode(object.value(), Member.class), object.revision());
     }
 
     private void recordConfirmed() {
-        confirmed().map(KnownMember::member).ifPresent(record -> {
+        confirmed().map(VersionedMember::member).ifPresent(record -> {
             context.log(() -> "event=record-confirmed member=" + id + " revision="
                     + confirmed().orElseThrow().revision() + " state=" + record.state() + " witnesses="
                     + record.witnesses());
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorDuty.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import org.coriandercrank.kernel.id.MemberId;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.table.MemberState;
@@ -20,7 +20,7 @@
     private final ClusterView view;
     private final Set<MemberId> inFlight = new HashSet<>();
     private long checkedVersion = -1;
-    private List<KnownMember> left = List.of();
+    private List<VersionedMember> left = List.of();
 
     PredecessorDuty(ControlContext context, ClusterView view) {
         this.context = context;
@@ -38,16 +38,16 @@
                             .equals(context.identity().peerAddress()))
                     .toList();
         }
-        for (KnownMember known : left) {
+        for (VersionedMember known : left) {
             if (inFlight.add(known.member().id())) {
                 seal(known);
             }
         }
     }
 
-    private void seal(KnownMember known) {
+    private void seal(VersionedMember known) {
         MemberId member = known.member().id();
-        KnownMember sealed = new KnownMember(known.member().withState(MemberState.SEALED), known.revision());
+        VersionedMember sealed = new VersionedMember(known.member().withState(MemberState.SEALED), known.revision());
         context.call(
                 () -> context.services()
                         .store()
@@ -57,7 +57,7 @@
                     context.log(() -> "event=predecessor-seal member=" + member + " revision=" + known.revision()
                             + " result=" + (failure == null ? "sealed" : failure.code()));
                     if (failure == null) {
-                        view.applyMember(new KnownMember(sealed.member(), revision));
+                        view.applyMember(new VersionedMember(sealed.member(), revision));
                     } else {
                         retryLater(member);
                     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverDuty.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.message.RefusalAnswer;
 import org.coriandercrank.kernel.message.RefusalRequest;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -37,7 +37,7 @@
     private final Map<MemberId, Takeover> running = new HashMap<>();
     private final Map<MemberId, Long> stuckAtNanos = new HashMap<>();
     private final WitnessDuty witnessDuty;
-    private List<KnownMember> charges = List.of();
+    private List<VersionedMember> charges = List.of();
     private long chargesVersion = -1;
     private MemberId self;
     private long aliveSinceNanos;
@@ -71,7 +71,7 @@
     /** Starts takeovers of members not heard of and advances the running ones. */
     public void tick(long nowNanos) {
         findCharges();
-        for (KnownMember known : charges) {
+        for (VersionedMember known : charges) {
             if (isSuspect(known, nowNanos)
                     && !running.containsKey(known.member().id())) {
                 start(known, nowNanos);
@@ -108,7 +108,7 @@
         long now = context.nowNanos();
         for (Takeover takeover : List.copyOf(running.values())) {
             MemberId member = takeover.target().member().id();
-            KnownMember record = snapshot.members().get(member);
+            VersionedMember record = snapshot.members().get(member);
             if (record == null || !mayTake(record.member())) {
                 running.remove(member);
             } else {
@@ -136,7 +136,7 @@
         }
     }
 
-    private boolean isSuspect(KnownMember known, long nowNanos) {
+    private boolean isSuspect(VersionedMember known, long nowNanos) {
         return nowNanos - lastHeardNanos(known.member().id())
                 > context.options().leaseTiming().expiryNanos();
     }
@@ -156,7 +156,7 @@
         return heard;
     }
 
-    private void start(KnownMember known, long nowNanos) {
+    private void start(VersionedMember known, long nowNanos) {
         Member member = known.member();
         int rank = rank(member);
         long delayNanos = TimeUnit.MILLISECONDS.toNanos(rank * context.options().takeoverRankDelayMs());
@@ -235,7 +235,7 @@
                         metrics.sealed();
                         context.log(() -> "event=sealed member=" + member + " revision=" + revision + " taker=" + self);
                         takeover.sealSucceeded(seal.operation(), revision, context.nowNanos());
-                        view.applyMember(new KnownMember(seal.sealed(), revision));
+                        view.applyMember(new VersionedMember(seal.sealed(), revision));
                     } else {
                         sealFailed(takeover, seal, failure);
                     }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -29,7 +29,7 @@
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
 import org.coriandercrank.kernel.settings.CommandLine;
-import org.coriandercrank.kernel.settings.Nearest;
+import org.coriandercrank.kernel.settings.SpellingSuggestion;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectStore;
 
@@ -100,7 +100,7 @@
 
     private static int unknown(String command, PrintStream err) {
         err.println("\"" + command + "\" is not a command"
-                + Nearest.to(command, COMMANDS.keySet())
+                + SpellingSuggestion.find(command, COMMANDS.keySet())
                         .map(nearest -> "; did you mean \"" + nearest + "\"?")
                         .orElse(""));
         err.println("commands: " + String.join(", ", COMMANDS.keySet()));
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.id.Key;
 import org.coriandercrank.kernel.id.NoteId;
 import org.coriandercrank.kernel.id.ServiceName;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.ExplicitBooleanOptionHandler;
@@ -49,7 +49,7 @@
     private HostAddress storeAddress;
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         storeAddress = faults.parse("--store", store, HostAddress::parse);
         faults.requireRange("--wait-ms", waitMs, 0, MAX_WAIT_MS);
         faults.requireRange("--timeout-ms", timeoutMs, 1, MAX_WAIT_MS);
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/PresenceWatchTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/PresenceWatchTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import org.coriandercrank.kernel.backend.Presence;
+import org.coriandercrank.kernel.backend.ProbeResult;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -14,22 +14,22 @@
 /** Guards against a lost server that keeps its ranges, and against a living one that loses them. */
 class PresenceWatchTest {
     /** A sign of life, or its absence, at a time. An empty presence is an announcement. */
-    record Sign(long atMs, Optional<Presence> presence) {}
+    record Sign(long atMs, Optional<ProbeResult> presence) {}
 
     private static Sign announced(long atMs) {
         return new Sign(atMs, Optional.empty());
     }
 
     private static Sign answered(long atMs) {
-        return new Sign(atMs, Optional.of(Presence.ANSWERED));
+        return new Sign(atMs, Optional.of(ProbeResult.ANSWERED));
     }
 
     private static Sign refused(long atMs) {
-        return new Sign(atMs, Optional.of(Presence.REFUSED));
+        return new Sign(atMs, Optional.of(ProbeResult.REFUSED));
     }
 
     private static Sign silent(long atMs) {
-        return new Sign(atMs, Optional.of(Presence.SILENT));
+        return new Sign(atMs, Optional.of(ProbeResult.SILENT));
     }
 
     static Stream<Arguments> histories() {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -24,7 +24,7 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
 import org.coriandercrank.kernel.peer.PeerHandlers;
@@ -233,14 +233,14 @@
     }
 
     private boolean hasNoRanges(RoutingSnapshot snapshot) {
-        return snapshot.tables().values().stream().noneMatch(table -> table.mentions(control.self()));
+        return snapshot.tables().values().stream().noneMatch(table -> table.references(control.self()));
     }
 
     /** Without another server of the service the ranges stay assigned until one joins; waiting is pointless. */
     private boolean hasNoSuccessor(RoutingSnapshot snapshot) {
         Optional<ServiceName> service = backend().map(BackendInfo::service);
         return snapshot.members().values().stream()
-                .map(KnownMember::member)
+                .map(VersionedMember::member)
                 .filter(other ->
                         other.state() == MemberState.ACTIVE && !other.id().equals(control.self()))
                 .noneMatch(other -> other.backend().map(BackendInfo::service).equals(service));
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopDuty.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopDuty.java
@@ -4,14 +4,14 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 
 /**
  * A duty on the event loop of the network, for hosts on which each wake-up of a thread costs more than the work of a task.
  *
  * <p>Thread safe. A task never runs within the call that offers it, so tasks of several duties do not interleave.
  */
-public final class EventLoopDuty implements Duty {
+public final class EventLoopDuty implements SerialExecutor {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final String name;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
@@ -4,7 +4,7 @@
 import io.netty.channel.EventLoopGroup;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
@@ -24,4 +24,4 @@
         DecisionLog routingLog,
         DecisionLog placementLog,
         MonotonicClock holderClock,
-        Duty.Factory duties) {}
+        SerialExecutor.Factory duties) {}
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -20,12 +20,12 @@
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.backend.BackendServer;
-import org.coriandercrank.kernel.backend.Presence;
+import org.coriandercrank.kernel.backend.ProbeResult;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.table.BackendInfo;
@@ -48,7 +48,7 @@
     private static final int PLACEMENT_LOG_LINES_PER_SECOND = 1_000;
 
     private final DaemonSettings settings;
-    private final DutyThread lifecycle = new DutyThread("lifecycle", RING_CAPACITY);
+    private final SingleThreadExecutor lifecycle = new SingleThreadExecutor("lifecycle", RING_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final EventLoopGroup group;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -93,7 +93,7 @@
                 new DecisionLog(settings.routingLogLinesPerSecond(), timers.clock()),
                 new DecisionLog(PLACEMENT_LOG_LINES_PER_SECOND, timers.clock()),
                 timers.clock(),
-                DutyThread::new);
+                SingleThreadExecutor::new);
     }
 
     private static HostOptions hostOptions(DaemonSettings settings) {
@@ -181,14 +181,14 @@
         Watched asked = watched.orElseThrow();
         asking = true;
         asked.server()
-                .presence()
+                .probe()
                 .whenComplete((presence, failure) -> lifecycle.execute(() -> {
                     asking = false;
-                    onPresence(asked, failure == null ? presence : Presence.SILENT);
+                    onPresence(asked, failure == null ? presence : ProbeResult.SILENT);
                 }));
     }
 
-    private void onPresence(Watched asked, Presence presence) {
+    private void onPresence(Watched asked, ProbeResult presence) {
         if (leaving || !watched.equals(Optional.of(asked))) {
             return;
         }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/DaemonSettings.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/DaemonSettings.java
@@ -5,7 +5,7 @@
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Region;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.kohsuke.args4j.Option;
 
@@ -84,7 +84,7 @@
     private Level parsedLogLevel;
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         faults.parse("--host-name", hostName, MemberId::new);
         if (hostName != null && hostName.length() > MAX_HOST_NAME_LENGTH) {
             faults.add("--host-name", "must have at most " + MAX_HOST_NAME_LENGTH + " characters");
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateLoad;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
@@ -78,14 +78,14 @@
     }
 
     @Override
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
         return find().map(g -> g.acquire(range, fence, inherited)).orElseGet(LocalGate::noBackend);
     }
 
     @Override
-    public CompletableFuture<InheritedRecords> release(KeyRange range) {
+    public CompletableFuture<TransferredRecords> release(KeyRange range) {
         return find().map(g -> g.release(range))
-                .orElseGet(() -> CompletableFuture.completedFuture(InheritedRecords.NONE));
+                .orElseGet(() -> CompletableFuture.completedFuture(TransferredRecords.NONE));
     }
 
     @Override
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public boolean mayHold(KeyRange range) {
-        return find().map(g -> g.mayHold(range)).orElse(false);
+    public boolean mayHoldEarlierGrant(KeyRange range) {
+        return find().map(g -> g.mayHoldEarlierGrant(range)).orElse(false);
     }
 
     @Override
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/PresenceWatch.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/PresenceWatch.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.kernel.backend.Presence;
+import org.coriandercrank.kernel.backend.ProbeResult;
 
 /**
  * Decides from the signs of life of a backend server whether it is gone, so that its ranges go elsewhere.
@@ -39,7 +39,7 @@
     }
 
     /** Takes the result of a call; returns why the server is gone, if it is. */
-    Optional<String> onPresence(Presence presence, long nowNanos) {
+    Optional<String> onPresence(ProbeResult presence, long nowNanos) {
         switch (presence) {
             case ANSWERED -> onAnnounced();
             case REFUSED -> refusedSinceNanos = OptionalLong.of(refusedSinceNanos.orElse(nowNanos));
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.kohsuke.args4j.Option;
 
@@ -66,7 +66,7 @@
     private final List<Long> parsedSeeds = new ArrayList<>();
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         for (String size : sizes.split(",")) {
             Integer parsed = faults.parse("--sizes", size, Integer::valueOf);
             if (parsed != null) {
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
@@ -33,7 +33,7 @@
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.message.OutcomeAnswer;
 import org.coriandercrank.kernel.message.OutcomeQuery;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
 import org.coriandercrank.kernel.request.CallerAnswer;
@@ -102,18 +102,18 @@
     /** Attaches a server with all capabilities and serves the whole hash space, with no record missing. */
     GateFixture serving(int slots) {
         attach(slots, ALL);
-        acquire(KeyRange.ALL, 1, InheritedRecords.NEVER_OWNED);
+        acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         return this;
     }
 
-    CompletableFuture<Void> acquire(KeyRange range, long fence, InheritedRecords inherited) {
+    CompletableFuture<Void> acquire(KeyRange range, long fence, TransferredRecords inherited) {
         CompletableFuture<Void> result = core.acquire(range, new Generation(fence), inherited);
         timers.settle();
         return result;
     }
 
-    CompletableFuture<InheritedRecords> release(KeyRange range) {
-        CompletableFuture<InheritedRecords> result = core.release(range);
+    CompletableFuture<TransferredRecords> release(KeyRange range) {
+        CompletableFuture<TransferredRecords> result = core.release(range);
         timers.settle();
         return result;
     }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
@@ -21,7 +21,7 @@
 import org.coriandercrank.kernel.id.KeyHash;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.message.OutcomeAnswer;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
@@ -70,7 +70,7 @@
         gate.rules = shortDeadlines(gate.rules);
         gate.backend.onCall = this::onCall;
         gate.attach(SLOTS, capabilities);
-        acquire(KeyRange.ALL, fence, InheritedRecords.NEVER_OWNED);
+        acquire(KeyRange.ALL, fence, TransferredRecords.NEVER_OWNED);
         assertThat(acquired).isNotEmpty();
     }
 
@@ -96,8 +96,8 @@
             case 0, 1, 2, 3, 4, 5 -> submit(request(pick % IDS));
             case 6 -> gate.core.cancel(request(pick % IDS).id());
             case 7 -> resolve(request(pick % IDS));
-            case 8, 9 -> acquire(RANGES[pick % RANGES.length], ++fence, InheritedRecords.NONE);
-            case 10 -> acquire(RANGES[pick % RANGES.length], Math.max(1, fence - 1), InheritedRecords.NONE);
+            case 8, 9 -> acquire(RANGES[pick % RANGES.length], ++fence, TransferredRecords.NONE);
+            case 10 -> acquire(RANGES[pick % RANGES.length], Math.max(1, fence - 1), TransferredRecords.NONE);
             case 11 -> release(RANGES[pick % RANGES.length]);
             case 12 -> setLease(pick % 3 != 0);
             case 13, 14, 15 -> pickOpen(pick).forEach(Call::succeed);
@@ -218,7 +218,7 @@
         }
     }
 
-    private void acquire(KeyRange range, long newFence, InheritedRecords inherited) {
+    private void acquire(KeyRange range, long newFence, TransferredRecords inherited) {
         CompletableFuture<Void> result = gate.core.acquire(range, new Generation(newFence), inherited);
         if (!result.isCompletedExceptionally()) {
             accepted.add(new Acquired(range, newFence));
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -18,7 +18,7 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.BackendRule;
 import org.coriandercrank.kernel.config.ServiceConfig;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
@@ -45,9 +45,9 @@
             boolean answered, String capabilities, boolean withoutProof, boolean completes) {
         GateFixture other = new GateFixture(GateOptions.DEFAULTS.withRampMs(0).withReleaseWithoutProof(withoutProof));
         other.attach(2, parse(capabilities));
-        other.acquire(KeyRange.ALL, 1, InheritedRecords.NEVER_OWNED);
+        other.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         other.backend.answersGrants = answered;
-        CompletableFuture<InheritedRecords> released = other.release(KeyRange.ALL);
+        CompletableFuture<TransferredRecords> released = other.release(KeyRange.ALL);
         assertThat(released.isDone()).isEqualTo(answered);
         other.timers.advanceMs(950);
         assertThat(released.isDone()).isEqualTo(answered);
@@ -61,7 +61,7 @@
         gate.serving(1);
         gate.submit(gate.post(HIGH_KEY));
         CompletableFuture<CallerAnswer> queued = gate.submit(gate.post(HIGH_KEY));
-        CompletableFuture<InheritedRecords> released = gate.release(HIGH);
+        CompletableFuture<TransferredRecords> released = gate.release(HIGH);
         assertThat(codeOf(queued)).isEqualTo(ResultCode.NOT_OWNER);
         assertThat(codeOf(gate.submit(gate.post(HIGH_KEY)))).isEqualTo(ResultCode.RANGE_MOVING);
         gate.timers.advanceMs(500);
@@ -85,10 +85,10 @@
     @CsvSource({"'DEADLINE', 1300", "'VALIDITY', 61300", "'', 61300"})
     void releaseWaitsForLostCalls(String capabilities, long completeAfterMs) {
         gate.attach(1, parse(capabilities));
-        gate.acquire(KeyRange.ALL, 1, InheritedRecords.NEVER_OWNED);
+        gate.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         gate.submit(gate.post(HIGH_KEY));
         gate.backend.calls.get(0).fail(ResultCode.OUTCOME_UNKNOWN);
-        CompletableFuture<InheritedRecords> released = gate.release(KeyRange.ALL);
+        CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
         gate.timers.advanceMs(1_000);
         assertThat(released.isDone()).isFalse();
         gate.timers.advanceMs(completeAfterMs - 1_000.0);
@@ -100,9 +100,9 @@
     void acquireDuringARelease() {
         gate.serving(2);
         gate.submit(gate.post(HIGH_KEY));
-        CompletableFuture<InheritedRecords> released = gate.release(KeyRange.ALL);
-        assertThat(gate.acquire(KeyRange.ALL, 1, InheritedRecords.NONE)).isCompletedExceptionally();
-        assertThat(gate.acquire(KeyRange.ALL, 3, InheritedRecords.NONE)).isCompleted();
+        CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
+        assertThat(gate.acquire(KeyRange.ALL, 1, TransferredRecords.NONE)).isCompletedExceptionally();
+        assertThat(gate.acquire(KeyRange.ALL, 3, TransferredRecords.NONE)).isCompleted();
         gate.submit(gate.post(HIGH_KEY));
         assertThat(gate.backend.calls)
                 .extracting(c -> c.request.fence().value())
@@ -159,12 +159,12 @@
         gate.attach(2, ALL);
         gate.backend.grantFailure = failure;
         gate.backend.answersGrants = false;
-        CompletableFuture<Void> failed = gate.acquire(LOW, 4, InheritedRecords.NONE);
+        CompletableFuture<Void> failed = gate.acquire(LOW, 4, TransferredRecords.NONE);
         gate.timers.advanceMs(800);
         assertThat(CrankException.of(failed.handle((v, e) -> e).join()).code()).isEqualTo(code);
         gate.backend.grantFailure = null;
         gate.backend.answersGrants = true;
-        CompletableFuture<Void> repeated = gate.acquire(LOW, 4, InheritedRecords.NONE);
+        CompletableFuture<Void> repeated = gate.acquire(LOW, 4, TransferredRecords.NONE);
         gate.timers.advanceMs(350);
         assertThat(repeated).isCompleted();
     }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.gate.test.FakeBackend.Call;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.message.OutcomeAnswer.State;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
 import org.coriandercrank.kernel.table.KeyRange;
@@ -95,7 +95,7 @@
     void ageOfKeyAgainstRecords(long completeForMs, double servedForMs, Long ageMs, ResultCode refused) {
         GateFixture taker = new GateFixture();
         taker.attach(2, GateFixture.ALL);
-        taker.acquire(KeyRange.ALL, 1, new InheritedRecords(completeForMs, List.of()));
+        taker.acquire(KeyRange.ALL, 1, new TransferredRecords(completeForMs, List.of()));
         taker.timers.advanceMs(servedForMs);
         OptionalLong age = ageMs == null ? OptionalLong.empty() : OptionalLong.of(ageMs);
         assertThat(codeOf(taker.submit(request("a", "k", "POST", 1_000, "key", age))))
@@ -141,7 +141,7 @@
         gate.release(KeyRange.ALL);
         gate.timers.advanceMs(20);
         assertThat(gate.resolve(gate.post("k"))).isEqualTo(State.UNKNOWN);
-        gate.acquire(KeyRange.ALL, 2, InheritedRecords.NONE);
+        gate.acquire(KeyRange.ALL, 2, TransferredRecords.NONE);
         gate.timers.advanceMs(20);
         CallerRequest early = gate.post("k");
         assertThat(gate.resolve(early)).isEqualTo(State.UNKNOWN);
@@ -203,7 +203,7 @@
     void cancellationWithoutCapability() {
         GateFixture plain = new GateFixture();
         plain.attach(2, Set.of());
-        plain.acquire(KeyRange.ALL, 1, InheritedRecords.NEVER_OWNED);
+        plain.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         CallerRequest post = plain.post("k");
         CompletableFuture<CallerAnswer> answer = plain.submit(post);
         plain.core.cancel(post.id());
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.log.DecisionLog;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.KeyRange;
@@ -49,7 +49,7 @@
                             110,
                             GateFixture.ALL),
                     backend);
-            gate.acquire(KeyRange.ALL, new Generation(1), InheritedRecords.NEVER_OWNED)
+            gate.acquire(KeyRange.ALL, new Generation(1), TransferredRecords.NEVER_OWNED)
                     .get(5, TimeUnit.SECONDS);
             GateFixture ids = new GateFixture();
             List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.KeyRange;
@@ -72,8 +72,8 @@
         FakeBackend next = attachNext();
         gate.timers.advanceMs(5_000);
         assertThat(next.grants).allSatisfy(grant -> assertThat(grant.ranges()).isEmpty());
-        assertThat(gate.acquire(KeyRange.ALL, 1, InheritedRecords.NONE)).isCompletedExceptionally();
-        assertThat(gate.acquire(KeyRange.ALL, 2, InheritedRecords.NONE)).isCompleted();
+        assertThat(gate.acquire(KeyRange.ALL, 1, TransferredRecords.NONE)).isCompletedExceptionally();
+        assertThat(gate.acquire(KeyRange.ALL, 2, TransferredRecords.NONE)).isCompleted();
         assertThat(next.lastGrant().ranges()).hasSize(1);
     }
 
@@ -82,7 +82,7 @@
     void releaseCompletesWhenTheServerHasEnded() {
         gate.serving(1);
         gate.backend.answersGrants = false;
-        CompletableFuture<InheritedRecords> released = gate.release(KeyRange.ALL);
+        CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
         assertThat(released).isNotDone();
         gate.core.detach();
         gate.timers.settle();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -15,12 +15,12 @@
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateLoad;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.time.TimerService;
@@ -36,7 +36,7 @@
     private static final long RING_FULL_RETRY_MS = 20;
 
     private final TimerService timers;
-    private final Duty duty;
+    private final SerialExecutor duty;
     private final GateCore core;
     private final TimerService.Subscription ticks;
     private final long busyTickMs;
@@ -131,12 +131,12 @@
     }
 
     @Override
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
         return duty.call(() -> thenTick(core.acquire(range, fence, inherited))).thenCompose(Function.identity());
     }
 
     @Override
-    public CompletableFuture<InheritedRecords> release(KeyRange range) {
+    public CompletableFuture<TransferredRecords> release(KeyRange range) {
         return duty.call(() -> thenTick(core.release(range))).thenCompose(Function.identity());
     }
 
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public boolean mayHold(KeyRange range) {
+    public boolean mayHoldEarlierGrant(KeyRange range) {
         return core.mayHold(range);
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateInputs.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateInputs.java
@@ -6,8 +6,8 @@
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.RoutingView;
-import org.coriandercrank.kernel.ring.Duty;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
@@ -24,7 +24,7 @@
         TimerService timers,
         DecisionLog decisions,
         MeterRegistry meters,
-        Duty.Factory duties) {
+        SerialExecutor.Factory duties) {
     public GateInputs {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(routing, "routing");
@@ -43,6 +43,6 @@
             TimerService timers,
             DecisionLog decisions,
             MeterRegistry meters) {
-        this(service, routing, lease, timers, decisions, meters, DutyThread::new);
+        this(service, routing, lease, timers, decisions, meters, SingleThreadExecutor::new);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.kernel.ownership.GateLoad;
 import org.coriandercrank.kernel.ownership.GateStatus;
 import org.coriandercrank.kernel.ownership.GateStatus.ServingRange;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
@@ -148,14 +148,14 @@
         advance();
     }
 
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
         CompletableFuture<Void> result = rangeService.acquire(range, fence, inherited);
         advance();
         return result;
     }
 
-    public CompletableFuture<InheritedRecords> release(KeyRange range) {
-        CompletableFuture<InheritedRecords> result = rangeService.release(range, requestService.unsettled());
+    public CompletableFuture<TransferredRecords> release(KeyRange range) {
+        CompletableFuture<TransferredRecords> result = rangeService.release(range, requestService.unsettled());
         requestService.refuseUnserved();
         advance();
         return result;
@@ -205,7 +205,7 @@
 
     public boolean mayHold(KeyRange range) {
         Backend current = publishedBackend;
-        return current != null && current.server().mayHold(range);
+        return current != null && current.server().mayHoldEarlierGrant(range);
     }
 
     public GateLoad load() {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -7,7 +7,7 @@
 import org.coriandercrank.kernel.backend.Grant.GrantedRange;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.Generation;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
@@ -30,7 +30,7 @@
 
     private final KeyRange range;
     private final Generation fence;
-    private final InheritedRecords inherited;
+    private final TransferredRecords inherited;
     private final CompletableFuture<Void> acquired;
     private final LoadMeter load;
     private final Set<Generation> replacedFences = new HashSet<>();
@@ -46,7 +46,7 @@
     private RangeEntry(
             KeyRange range,
             Generation fence,
-            InheritedRecords inherited,
+            TransferredRecords inherited,
             CompletableFuture<Void> acquired,
             LoadMeter load,
             Horizon horizon) {
@@ -60,7 +60,7 @@
     }
 
     public static RangeEntry acquiring(
-            KeyRange range, Generation fence, InheritedRecords inherited, Horizon horizon, long nowNanos) {
+            KeyRange range, Generation fence, TransferredRecords inherited, Horizon horizon, long nowNanos) {
         RangeEntry entry =
                 new RangeEntry(range, fence, inherited, new CompletableFuture<>(), new LoadMeter(nowNanos), horizon);
         entry.servingSinceNanos = nowNanos;
@@ -90,7 +90,7 @@
         return fence;
     }
 
-    public InheritedRecords inherited() {
+    public TransferredRecords inherited() {
         return inherited;
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -14,7 +14,7 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.KeyHash;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
@@ -30,7 +30,7 @@
         private final KeyRange range;
         private final Set<Execution> unsettled;
         private final List<RangeEntry> entries = new ArrayList<>();
-        private final CompletableFuture<InheritedRecords> result = new CompletableFuture<>();
+        private final CompletableFuture<TransferredRecords> result = new CompletableFuture<>();
 
         private Release(KeyRange range, Set<Execution> unsettled) {
             this.range = range;
@@ -62,7 +62,7 @@
         backend = Optional.ofNullable(newBackend);
     }
 
-    CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
+    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
         List<RangeEntry> live = liveOverlapping(range);
         for (RangeEntry entry : live) {
             if (entry.fence().equals(fence) && entry.range().contains(range)) {
@@ -104,7 +104,7 @@
     }
 
     /** Replaces what is held of a range under older fences; records that the gate has itself stay complete. */
-    private RangeEntry newEntry(KeyRange range, Generation fence, InheritedRecords inherited) {
+    private RangeEntry newEntry(KeyRange range, Generation fence, TransferredRecords inherited) {
         long nowNanos = runtime.nowNanos();
         Horizon inheritedHorizon = Horizon.reachingBack(nowNanos, inherited.completeForMs());
         Horizon ownHorizon = Horizon.UNLIMITED;
@@ -149,7 +149,7 @@
      *
      * @param inFlight calls that run or were lost, of any range
      */
-    CompletableFuture<InheritedRecords> release(KeyRange range, List<Execution> inFlight) {
+    CompletableFuture<TransferredRecords> release(KeyRange range, List<Execution> inFlight) {
         Set<Execution> unsettled = new HashSet<>();
         for (Execution call : inFlight) {
             if (range.contains(call.hash())) {
@@ -271,7 +271,7 @@
         }
         boolean covered =
                 RangeTable.covers(known.stream().map(RangeTable.Released::range).toList(), release.range);
-        InheritedRecords exported = records.export(
+        TransferredRecords exported = records.export(
                         release.range,
                         covered ? horizon : Horizon.since(nowNanos),
                         runtime.options().maxTransferBytes(),
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.id.IdempotencyKey;
 import org.coriandercrank.kernel.id.KeyHash;
 import org.coriandercrank.kernel.id.RequestId;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.request.OutcomeRecord;
@@ -95,7 +95,7 @@
     }
 
     /** Takes over the records of a range; a record that is present already stays. */
-    public void putAll(InheritedRecords inherited, long nowNanos) {
+    public void putAll(TransferredRecords inherited, long nowNanos) {
         for (OutcomeRecord r : inherited.records()) {
             long madeAtNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(r.ageMs(), Integer.MAX_VALUE));
             if (!byId.containsKey(r.requestId())) {
@@ -137,7 +137,7 @@
     }
 
     /** Records of a range for its next owner, the newest up to a number of bytes, with a horizon that fits them. */
-    public InheritedRecords export(KeyRange range, Horizon horizon, long maxTransferBytes, long nowNanos) {
+    public TransferredRecords export(KeyRange range, Horizon horizon, long maxTransferBytes, long nowNanos) {
         Deque<Kept> inRange = new ArrayDeque<>();
         for (Kept kept : byId.values()) {
             if (range.contains(kept.hash())) {
@@ -157,7 +157,7 @@
                 exportedHorizon = exportedHorizon.later(Horizon.since(kept.madeAtNanos()));
             }
         }
-        return new InheritedRecords(exportedHorizon.completeForMs(nowNanos), exported);
+        return new TransferredRecords(exportedHorizon.completeForMs(nowNanos), exported);
     }
 
     public int size() {
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/TestWorld.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/TestWorld.java
@@ -27,12 +27,12 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.log.DecisionLog;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.KeyRange;
@@ -77,7 +77,7 @@
                         new Region("east"),
                         new FailureDomain("east-a"),
                         Optional.empty(),
-                        DutyThread::new),
+                        SingleThreadExecutor::new),
                 options);
         address = ingress.start(LOOPBACK);
         client = new HttpClient(group, address, HttpClientOptions.DEFAULTS);
@@ -118,8 +118,8 @@
     }
 
     static RoutingSnapshot ownedBy(String owner, long generation, Member... members) {
-        Map<MemberId, KnownMember> known = Arrays.stream(members)
-                .map(m -> new KnownMember(m, new Revision(1)))
+        Map<MemberId, VersionedMember> known = Arrays.stream(members)
+                .map(m -> new VersionedMember(m, new Revision(1)))
                 .collect(Collectors.toMap(k -> k.member().id(), Function.identity()));
         Generation table = new Generation(generation);
         List<RangeAssignment> ranges = owner.isEmpty()
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
@@ -34,4 +34,4 @@
         Region region,
         FailureDomain failureDomain,
         Optional<CallerProtocol> protocol,
-        Duty.Factory duties) {}
+        SerialExecutor.Factory duties) {}
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.ownership.GateLoad;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.placement.BalancingCandidate;
 import org.coriandercrank.kernel.placement.BalancingPolicy;
@@ -153,7 +153,7 @@
 
     private static List<Eligible> eligible(RoutingSnapshot snapshot, ServiceName service) {
         List<Eligible> result = new ArrayList<>();
-        for (KnownMember known : snapshot.members().values()) {
+        for (VersionedMember known : snapshot.members().values()) {
             Member member = known.member();
             Optional<BackendInfo> backend =
                     member.backend().filter(b -> b.service().equals(service));
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
@@ -69,7 +69,7 @@
     }
 
     private OptionalLong retryAfterMs(CallerAnswer answer) {
-        if (answer.retryAfterMs().isPresent() || !answer.code().isRetryLater()) {
+        if (answer.retryAfterMs().isPresent() || !answer.code().isRetryable()) {
             return answer.retryAfterMs();
         }
         return OptionalLong.of(defaultRetryAfterMs);
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestExecutor.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestExecutor.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 
 /**
  * Executes tasks on the ingress duty until it is closed, and drops them afterwards. Thread safe.
@@ -10,10 +10,10 @@
  * <p>The timer service repeats rejected tasks; without the drop it would repeat those of a closed duty for ever.
  */
 public final class RequestExecutor implements Executor, AutoCloseable {
-    private final Duty duty;
+    private final SerialExecutor duty;
     private volatile boolean closed;
 
-    public RequestExecutor(Duty duty) {
+    public RequestExecutor(SerialExecutor duty) {
         this.duty = duty;
     }
 
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/CommandLineTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/CommandLineTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.OptionalInt;
 import org.coriandercrank.kernel.settings.CommandLine;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +26,7 @@
         private int slots = 3;
 
         @Override
-        public void check(Faults faults) {
+        public void validate(ValidationErrors faults) {
             faults.requireRange("--slots", slots, 1, 10);
         }
     }
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/DutyThreadTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/DutyThreadTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -26,7 +26,7 @@
 class DutyThreadTest {
     private static final int RING_CAPACITY = 8;
 
-    private final DutyThread duty = new DutyThread("test-duty", RING_CAPACITY);
+    private final SingleThreadExecutor duty = new SingleThreadExecutor("test-duty", RING_CAPACITY);
 
     @AfterEach
     void close() {
@@ -118,7 +118,7 @@
     @Test
     void acceptedTasksRunAlsoIfTheDutyClosesMeanwhile() throws InterruptedException {
         for (int round = 0; round < 200; round++) {
-            DutyThread closing = new DutyThread("closing-duty", 1_024);
+            SingleThreadExecutor closing = new SingleThreadExecutor("closing-duty", 1_024);
             AtomicInteger accepted = new AtomicInteger();
             AtomicInteger ran = new AtomicInteger();
             CountDownLatch offering = new CountDownLatch(1);
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SettingsLoaderTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SettingsLoaderTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.coriandercrank.kernel.settings.SettingsLoader;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
         private int slots = 3;
 
         @Override
-        public void check(Faults faults) {
+        public void validate(ValidationErrors faults) {
             faults.requireRange("--slots", slots, 1, 10);
             faults.parse("--store-address", storeAddress, text -> text);
         }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
@@ -37,7 +37,7 @@
      * Whether the server may hold part of a range that this process did not grant, left over from a former process of the
      * daemon. Until a grant without the range is acknowledged, or such a grant has lapsed, nobody else may get the range.
      */
-    default boolean mayHold(KeyRange range) {
+    default boolean mayHoldEarlierGrant(KeyRange range) {
         return false;
     }
 
@@ -47,8 +47,8 @@
     CompletableFuture<BackendHealth> health();
 
     /** Whether the process of the server is there. Never fails. */
-    default CompletableFuture<Presence> presence() {
-        return health().handle((health, failure) -> failure == null ? Presence.ANSWERED : Presence.SILENT);
+    default CompletableFuture<ProbeResult> probe() {
+        return health().handle((health, failure) -> failure == null ? ProbeResult.ANSWERED : ProbeResult.SILENT);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/Presence.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/ProbeResult.java
@@ -1,7 +1,7 @@
 package org.coriandercrank.kernel.backend;
 
 /** What a call to a backend server tells of its process. */
-public enum Presence {
+public enum ProbeResult {
     /** It answered, whatever the answer was. */
     ANSWERED,
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
@@ -108,7 +108,7 @@
     }
 
     /** Whether the same request may succeed later without a change by the caller. */
-    public boolean isRetryLater() {
+    public boolean isRetryable() {
         return number >= 200 && number < 300;
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ring/Duty.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SerialExecutor.java
@@ -1,4 +1,4 @@
-package org.coriandercrank.kernel.ring;
+package org.coriandercrank.kernel.concurrent;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
@@ -13,12 +13,12 @@
  * <p>Implementations are thread safe. State of the part is touched only by its tasks. A task that throws is logged and
  * does not end the duty. A task whose offer returned true runs, also if the duty is closed meanwhile.
  */
-public interface Duty extends Executor, AutoCloseable {
+public interface SerialExecutor extends Executor, AutoCloseable {
     /** Makes the duties of a process. */
     @FunctionalInterface
     interface Factory {
         /** @param capacity tasks that may wait */
-        Duty create(String name, int capacity);
+        SerialExecutor create(String name, int capacity);
     }
 
     /** Queues a task; false if the duty is full or closed. */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ring/DutyThread.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SingleThreadExecutor.java
@@ -1,4 +1,4 @@
-package org.coriandercrank.kernel.ring;
+package org.coriandercrank.kernel.concurrent;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.RejectedExecutionException;
@@ -13,7 +13,7 @@
  * touched only by them. A task that throws, also an {@link Error}, is logged and does not end the thread. A task whose
  * offer returned true runs, also if the duty is closed meanwhile.
  */
-public final class DutyThread implements Duty {
+public final class SingleThreadExecutor implements SerialExecutor {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int SPINS_BEFORE_PARK = 100;
     private static final long PARK_NANOS = 1_000_000_000;
@@ -27,7 +27,7 @@
     private volatile boolean closed;
     private volatile boolean parked;
 
-    public DutyThread(String name, int ringCapacity) {
+    public SingleThreadExecutor(String name, int ringCapacity) {
         ring = new MpscArrayQueue<>(ringCapacity);
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ring/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/package-info.java
@@ -1,2 +1,2 @@
 /** Threads for duties, joined by bounded rings. */
-package org.coriandercrank.kernel.ring;
+package org.coriandercrank.kernel.concurrent;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/ReleaseAnswer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/ReleaseAnswer.java
@@ -27,7 +27,7 @@
         this(released, recordsCompleteForMs, records, List.of());
     }
 
-    public static ReleaseAnswer notYet() {
+    public static ReleaseAnswer notReleased() {
         return new ReleaseAnswer(false, 0, List.of());
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
@@ -45,13 +45,13 @@
      * Grants a range to the backend server and starts serving it. Completes when the range is served; fails if the
      * grant fails, and may then be called again.
      */
-    CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited);
+    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited);
 
     /**
      * Stops admitting requests of a range (also of a part of a served range), waits for those in flight, revokes the
      * grant and returns the records. Completes only when no execution for the range can happen any more.
      */
-    CompletableFuture<InheritedRecords> release(KeyRange range);
+    CompletableFuture<TransferredRecords> release(KeyRange range);
 
     /** Takes no new work at all; completes when nothing is queued or in flight. */
     CompletableFuture<Void> drain();
@@ -62,7 +62,7 @@
     GateStatus status();
 
     /** Whether the backend server may hold part of a range that a former process of this daemon granted. */
-    default boolean mayHold(KeyRange range) {
+    default boolean mayHoldEarlierGrant(KeyRange range) {
         return false;
     }
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
@@ -20,7 +20,7 @@
         Revision configurationRevision,
         Configuration configuration,
         Map<ServiceName, AssignmentTable> tables,
-        Map<MemberId, KnownMember> members) {
+        Map<MemberId, VersionedMember> members) {
     public RoutingSnapshot {
         tables = Map.copyOf(tables);
         members = Map.copyOf(members);
@@ -35,6 +35,6 @@
     }
 
     public Optional<Member> member(MemberId id) {
-        return Optional.ofNullable(members.get(id)).map(KnownMember::member);
+        return Optional.ofNullable(members.get(id)).map(VersionedMember::member);
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/KnownMember.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/VersionedMember.java
@@ -4,4 +4,4 @@
 import org.coriandercrank.kernel.table.Member;
 
 /** A member record and its revision in the store. Immutable. */
-public record KnownMember(Member member, Revision revision) {}
+public record VersionedMember(Member member, Revision revision) {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
@@ -28,7 +28,7 @@
      * @throws CrankException with {@link ResultCode#SETTING_INVALID} and one line for each fault
      */
     public static <T extends Settings> T load(T bean, List<String> arguments, Map<String, String> environment) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         CmdLineParser parser = new CmdLineParser(bean);
         for (OptionHandler<?> handler : parser.getOptions()) {
             String flag = ((NamedOptionDef) handler.option).name();
@@ -38,7 +38,7 @@
             }
         }
         applyArguments(bean, arguments, faults);
-        bean.check(faults);
+        bean.validate(faults);
         if (!faults.isEmpty()) {
             throw new CrankException(ResultCode.SETTING_INVALID, String.join("\n", faults.messages()));
         }
@@ -66,7 +66,7 @@
         return out.toString();
     }
 
-    private static void applyArguments(Settings bean, List<String> arguments, Faults faults) {
+    private static void applyArguments(Settings bean, List<String> arguments, ValidationErrors faults) {
         List<String> flags = flags(bean);
         List<String> rest = new ArrayList<>(arguments);
         while (!rest.isEmpty()) {
@@ -89,7 +89,7 @@
     }
 
     private static String unknown(String name, List<String> flags) {
-        return Nearest.to(name, flags)
+        return SpellingSuggestion.find(name, flags)
                 .map(nearest -> "is not a flag; did you mean " + nearest + "?")
                 .orElse("is not a flag");
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    private static void apply(Settings bean, String flag, String value, String source, Faults faults) {
+    private static void apply(Settings bean, String flag, String value, String source, ValidationErrors faults) {
         try {
             new CmdLineParser(bean).parseArgument(flag, value);
         } catch (CmdLineException e) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/Nearest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SpellingSuggestion.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /** Finds the name that was probably meant by a mistyped one. Stateless. */
-public final class Nearest {
-    private Nearest() {}
+public final class SpellingSuggestion {
+    private SpellingSuggestion() {}
 
     /** The name with the fewest edits, if they are at most a third of the length of the mistyped one. */
-    public static Optional<String> to(String mistyped, Collection<String> names) {
+    public static Optional<String> find(String mistyped, Collection<String> names) {
         return names.stream()
                 .min(Comparator.comparingInt((String name) -> edits(mistyped, name))
                         .thenComparing(Comparator.naturalOrder()))
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/Faults.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/ValidationErrors.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /** Collects faults of settings or input so that all are reported together. Not thread safe. */
-public final class Faults {
+public final class ValidationErrors {
     private final List<String> messages = new ArrayList<>();
 
     public void add(String field, String problem) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/AssignmentTable.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/AssignmentTable.java
@@ -58,7 +58,7 @@
     }
 
     /** Whether any assignment names the member as owner or previous owner. */
-    public boolean mentions(MemberId member) {
+    public boolean references(MemberId member) {
         return assignments.stream()
                 .anyMatch(a -> a.owner().equals(member) || a.previousOwners().contains(member));
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/TimerService.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/TimerService.java
@@ -4,7 +4,7 @@
 
 /**
  * The only source of timed work; parts subscribe to it. Thread safe. Callbacks run on the executor of the subscriber,
- * normally a {@link org.coriandercrank.kernel.ring.DutyThread}.
+ * normally a {@link org.coriandercrank.kernel.concurrent.SingleThreadExecutor}.
  */
 public interface TimerService extends AutoCloseable {
     /** A running subscription. */
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 import org.coriandercrank.lease.HolderAction;
@@ -67,7 +67,7 @@
         HolderAction.WriteRecord write = writes(holder.tick(0)).get(0);
         List<HolderAction> actions = holder.writeUnanswered(write.operation(), 400 * MS);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord) actions.get(0);
-        Optional<KnownMember> found = Optional.of(new KnownMember(write.record(), new Revision(10)));
+        Optional<VersionedMember> found = Optional.of(new VersionedMember(write.record(), new Revision(10)));
         holder.readSucceeded(read.operation(), found, 410 * MS);
         assertThat(holder.confirmed()).isEqualTo(found);
     }
@@ -81,7 +81,7 @@
                 holder.writeConflicted(write.operation(), 2 * MS).get(0);
         Member sealed = write.record().withState(MemberState.SEALED);
         assertThat(holder.readSucceeded(
-                        read.operation(), Optional.of(new KnownMember(sealed, new Revision(11))), 3 * MS))
+                        read.operation(), Optional.of(new VersionedMember(sealed, new Revision(11))), 3 * MS))
                 .containsExactly(new HolderAction.End("sealed"));
         assertThat(holder.isEnded()).isTrue();
     }
@@ -136,7 +136,7 @@
         HolderAction.ReadRecord read = (HolderAction.ReadRecord) afterConflict.get(0);
 
         List<HolderAction> afterRead = resumed.readSucceeded(
-                read.operation(), Optional.of(new KnownMember(member(A, B), new Revision(41))), 3 * MS);
+                read.operation(), Optional.of(new VersionedMember(member(A, B), new Revision(41))), 3 * MS);
         HolderAction.WriteRecord write = writes(afterRead).get(0);
         assertThat(write.expected()).isEqualTo(new Revision(41));
         assertThat(resumed.validUntilNanos()).as("before the own write").isLessThanOrEqualTo(3 * MS);
@@ -153,12 +153,12 @@
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
                 resumed.writeConflicted(create.operation(), 2 * MS).get(0);
         HolderAction.WriteRecord write = writes(resumed.readSucceeded(
-                        read.operation(), Optional.of(new KnownMember(member(A, C), new Revision(41))), 3 * MS))
+                        read.operation(), Optional.of(new VersionedMember(member(A, C), new Revision(41))), 3 * MS))
                 .get(0);
         HolderAction.ReadRecord again = (HolderAction.ReadRecord)
                 resumed.writeConflicted(write.operation(), 4 * MS).get(0);
         List<HolderAction> actions = resumed.readSucceeded(
-                again.operation(), Optional.of(new KnownMember(member(B, C), new Revision(43))), 5 * MS);
+                again.operation(), Optional.of(new VersionedMember(member(B, C), new Revision(43))), 5 * MS);
         assertThat(resumed.isEnded()).isFalse();
         assertThat(writes(actions))
                 .singleElement()
@@ -171,7 +171,7 @@
         HolderAction.WriteRecord create = writes(resumed.tick(MS)).get(0);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
                 resumed.writeConflicted(create.operation(), 2 * MS).get(0);
-        KnownMember sealed = new KnownMember(member(A, B).withState(MemberState.SEALED), new Revision(41));
+        VersionedMember sealed = new VersionedMember(member(A, B).withState(MemberState.SEALED), new Revision(41));
         resumed.readSucceeded(read.operation(), Optional.of(sealed), 3 * MS);
         assertThat(resumed.isEnded()).isTrue();
     }
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 import org.coriandercrank.lease.HolderAction;
@@ -166,7 +166,7 @@
     }
 
     /** The record reaches the taker after a delay, so the taker's knowledge can be outdated. */
-    private void learnLater(int taker, KnownMember found) {
+    private void learnLater(int taker, VersionedMember found) {
         if (random.nextInt(20) == 0) {
             at(nowNanos + delay(), processes.get(taker), () -> {
                 if (takeovers.get(taker).isEmpty()) {
@@ -253,14 +253,14 @@
         });
     }
 
-    private void storeRead(SimulatedProcess client, Consumer<Optional<KnownMember>> succeeded, Runnable failed) {
+    private void storeRead(SimulatedProcess client, Consumer<Optional<VersionedMember>> succeeded, Runnable failed) {
         at(nowNanos + STORE_TIMEOUT_NANOS, client, failed);
         if (random.nextDouble() < lossRate || (client == holderProcess && isIn(holderCuts))) {
             return;
         }
         at(nowNanos + delay(), storeProcess, () -> {
             if (!isIn(outages)) {
-                Optional<KnownMember> found = store.read();
+                Optional<VersionedMember> found = store.read();
                 at(nowNanos + delay(), client, () -> succeeded.accept(found));
             }
         });
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 
@@ -39,7 +39,7 @@
     private final StoreBackoff backoff;
 
     private final boolean mayResume;
-    private Optional<KnownMember> confirmed = Optional.empty();
+    private Optional<VersionedMember> confirmed = Optional.empty();
 
     /** Revision of the record that a former process left. */
     private Revision leftRevision = Revision.NONE;
@@ -85,7 +85,7 @@
     }
 
     /** The record that the store is known to have had last. */
-    public Optional<KnownMember> confirmed() {
+    public Optional<VersionedMember> confirmed() {
         return confirmed;
     }
 
@@ -159,7 +159,7 @@
             return List.of();
         }
         PendingWrite write = pendingWrites.get(pendingWrites.size() - 1);
-        return confirm(new KnownMember(write.record(), revision), write.sentAtNanos(), nowNanos);
+        return confirm(new VersionedMember(write.record(), revision), write.sentAtNanos(), nowNanos);
     }
 
     /** The write certainly had no effect. */
@@ -184,12 +184,12 @@
     }
 
     /** Result of reading the own record; empty if it does not exist. */
-    public List<HolderAction> readSucceeded(long answeredOperation, Optional<KnownMember> read, long nowNanos) {
+    public List<HolderAction> readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
         if (!finishes(answeredOperation)) {
             return List.of();
         }
-        Revision known = confirmed.map(KnownMember::revision).orElse(Revision.NONE);
-        Revision found = read.map(KnownMember::revision).orElse(Revision.NONE);
+        Revision known = confirmed.map(VersionedMember::revision).orElse(Revision.NONE);
+        Revision found = read.map(VersionedMember::revision).orElse(Revision.NONE);
         if (confirmed.isEmpty() && mayResume && read.isPresent()) {
             return resume(read.get(), nowNanos);
         }
@@ -217,7 +217,7 @@
         }
     }
 
-    private List<HolderAction> resume(KnownMember left, long nowNanos) {
+    private List<HolderAction> resume(VersionedMember left, long nowNanos) {
         if (left.member().state() == MemberState.SEALED) {
             return end("sealed");
         }
@@ -253,7 +253,7 @@
         return true;
     }
 
-    private List<HolderAction> confirm(KnownMember record, long sentAtNanos, long nowNanos) {
+    private List<HolderAction> confirm(VersionedMember record, long sentAtNanos, long nowNanos) {
         confirmed = Optional.of(record);
         pendingWrites.clear();
         unresolved = false;
@@ -310,7 +310,7 @@
             operationInFlight = true;
             lastWriteNanos = OptionalLong.of(nowNanos);
             addPending(new PendingWrite(record.get(), nowNanos));
-            Revision expected = confirmed.map(KnownMember::revision).orElse(leftRevision);
+            Revision expected = confirmed.map(VersionedMember::revision).orElse(leftRevision);
             actions.add(new HolderAction.WriteRecord(operation, record.get(), expected));
         }
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
@@ -35,7 +35,7 @@
     private final StoreBackoff backoff;
     private final Set<MemberId> refusals = new HashSet<>();
     private final Map<MemberId, Long> askAgainNanos = new HashMap<>();
-    private KnownMember target;
+    private VersionedMember target;
     private long knownSinceNanos;
     private long operation;
     private boolean operationInFlight;
@@ -48,7 +48,7 @@
      * @param knownSinceNanos when this daemon learned of this revision of the record
      * @param startAtNanos earliest time of the first action
      */
-    public Takeover(LeaseTiming timing, KnownMember target, long knownSinceNanos, long startAtNanos) {
+    public Takeover(LeaseTiming timing, VersionedMember target, long knownSinceNanos, long startAtNanos) {
         this.timing = timing;
         this.target = target;
         this.knownSinceNanos = knownSinceNanos;
@@ -60,7 +60,7 @@
         return state;
     }
 
-    public KnownMember target() {
+    public VersionedMember target() {
         return target;
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** A record of the member was learned by other means; older ones are ignored. */
-    public void recordLearned(KnownMember record, long nowNanos) {
+    public void recordLearned(VersionedMember record, long nowNanos) {
         if (!record.revision().isNewerThan(target.revision())) {
             return;
         }
@@ -126,7 +126,7 @@
     /** The seal took effect. */
     public void sealSucceeded(long answeredOperation, Revision revision, long nowNanos) {
         if (finishes(answeredOperation)) {
-            recordLearned(new KnownMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
+            recordLearned(new VersionedMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
         }
     }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    public void readSucceeded(long answeredOperation, Optional<KnownMember> read, long nowNanos) {
+    public void readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
         if (!finishes(answeredOperation)) {
             return;
         }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.coriandercrank.load.internal.Scenario.Part;
 import org.kohsuke.args4j.Option;
@@ -84,7 +84,7 @@
     private Optional<Scenario> parsedScenario = Optional.empty();
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         if (targets == null || targets.isEmpty()) {
             faults.add("--targets", "is required");
         } else {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -25,8 +25,8 @@
 import org.coriandercrank.kernel.message.OutcomeAnswer;
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
@@ -36,7 +36,7 @@
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -70,7 +70,7 @@
                 timers,
                 new DecisionLog(0, MonotonicClock.SYSTEM),
                 new SimpleMeterRegistry(),
-                DutyThread::new);
+                SingleThreadExecutor::new);
     }
 
     void write(String name, byte[] value) {
@@ -159,10 +159,10 @@
 
         @Override
         public RoutingSnapshot current() {
-            Map<MemberId, KnownMember> members = new HashMap<>();
+            Map<MemberId, VersionedMember> members = new HashMap<>();
             for (StoredObject o : store.list(ObjectNames.MEMBERS_PREFIX).join().changes()) {
                 Member member = JsonCodec.decode(o.value(), Member.class);
-                members.put(member.id(), new KnownMember(member, o.revision()));
+                members.put(member.id(), new VersionedMember(member, o.revision()));
             }
             Optional<StoredObject> stored = store.get(ObjectNames.CONFIGURATION).join();
             return new RoutingSnapshot(
@@ -212,16 +212,16 @@
 
         @Override
         public synchronized CompletableFuture<Void> acquire(
-                KeyRange range, Generation fence, InheritedRecords inherited) {
+                KeyRange range, Generation fence, TransferredRecords inherited) {
             remove(range);
             serving.add(new RangeLoad(range, fence, true, 0, List.of()));
             return CompletableFuture.completedFuture(null);
         }
 
         @Override
-        public synchronized CompletableFuture<InheritedRecords> release(KeyRange range) {
+        public synchronized CompletableFuture<TransferredRecords> release(KeyRange range) {
             remove(range);
-            return CompletableFuture.completedFuture(InheritedRecords.NONE);
+            return CompletableFuture.completedFuture(TransferredRecords.NONE);
         }
 
         private void remove(KeyRange range) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
@@ -67,7 +67,7 @@
         List<RangeAssignment> before = daemons.table().assignments();
         MemberId lost = members.get(0).id();
         daemons.write(members.get(0).withState(MemberState.SEALED));
-        await(() -> !daemons.table().mentions(lost));
+        await(() -> !daemons.table().references(lost));
         awaitServed();
         for (RangeAssignment old : before) {
             if (!old.owner().equals(lost)) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.message.LoadReport;
 import org.coriandercrank.kernel.message.ReleaseRequest;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.placement.PlacedRange;
 import org.coriandercrank.kernel.placement.PlacementInput;
 import org.coriandercrank.kernel.placement.RangeLoad;
@@ -218,7 +218,7 @@
             return;
         }
         replace(daemon, release.range(), null);
-        daemon.state.released(release, InheritedRecords.NONE, nowMs);
+        daemon.state.released(release, TransferredRecords.NONE, nowMs);
     }
 
     private static void replace(Daemon daemon, KeyRange range, Served served) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.message.ReleaseAnswer;
 import org.coriandercrank.kernel.message.ReleaseRequest;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.RangeAssignment;
@@ -52,13 +52,13 @@
     private void serveAllFromGenerationOne() {
         state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
-        assertThat(acquire.inherited()).isEqualTo(InheritedRecords.NEVER_OWNED);
+        assertThat(acquire.inherited()).isEqualTo(TransferredRecords.NEVER_OWNED);
         state.acquired(acquire);
     }
 
     private void finishRelease(KeyRange range) {
         assertThat(poll()).containsExactly(new OwnershipAction.Release(range));
-        state.released(new OwnershipAction.Release(range), new InheritedRecords(KEPT_MS, List.of()), 1_000);
+        state.released(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
     }
 
     /** Guards against an old table that makes a daemon serve a range again which it released to a newer owner. */
@@ -88,7 +88,7 @@
     void refusesAStaleRequest() {
         serveAllFromGenerationOne();
         state.applyTable(table(7, range(KeyRange.ALL, A, 7)));
-        assertThat(state.requestRelease(request(B, LOW, 5), 1_000)).contains(ReleaseAnswer.notYet());
+        assertThat(state.requestRelease(request(B, LOW, 5), 1_000)).contains(ReleaseAnswer.notReleased());
         assertThat(poll()).isEmpty();
     }
 
@@ -164,7 +164,7 @@
         assertThat(actions)
                 .as(label)
                 .containsExactly(new OwnershipAction.Acquire(
-                        KeyRange.ALL, new Generation(4), new InheritedRecords(expectedMs, List.of())));
+                        KeyRange.ALL, new Generation(4), new TransferredRecords(expectedMs, List.of())));
     }
 
     /**
@@ -210,7 +210,7 @@
             if (action instanceof OwnershipAction.Acquire acquire) {
                 state.acquired(acquire);
             } else if (action instanceof OwnershipAction.Release release) {
-                state.released(release, InheritedRecords.NONE, nowMs);
+                state.released(release, TransferredRecords.NONE, nowMs);
             }
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.ownership.RoutingView;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.TimerService;
 
@@ -24,4 +24,4 @@
         TimerService timers,
         DecisionLog log,
         MeterRegistry meters,
-        Duty.Factory duties) {}
+        SerialExecutor.Factory duties) {}
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -24,7 +24,7 @@
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.StoredObject;
@@ -63,7 +63,7 @@
     private final PlacementContext context;
     private final PluginRegistry plugins;
     private final PlannerOptions options;
-    private final Duty duty;
+    private final SerialExecutor duty;
     private final PlannerRole role;
     private volatile boolean holdsRole;
     private final LoadCollector loads;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -22,7 +22,7 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.peer.PeerHandler;
 import org.coriandercrank.kernel.peer.PeerTarget;
-import org.coriandercrank.kernel.ring.Duty;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.StoredObject;
@@ -57,7 +57,7 @@
     private final LeaseView lease;
     private final OwnerGate gate;
     private final RangeOwnershipOptions options;
-    private final Duty duty;
+    private final SerialExecutor duty;
     private final Map<ServiceName, OwnershipState> states = new HashMap<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private final Counter acquiredRanges;
@@ -285,7 +285,7 @@
         CompletableFuture<ReleaseAnswer> answer = new CompletableFuture<>();
         boolean queued = duty.offer(() -> {
             if (waiters.size() >= MAX_WAITERS || stateOf(request.service()).isEmpty()) {
-                answer.complete(ReleaseAnswer.notYet());
+                answer.complete(ReleaseAnswer.notReleased());
                 return;
             }
             waiters.add(new Waiter(request, answer));
@@ -296,14 +296,14 @@
             }
         });
         if (!queued) {
-            answer.complete(ReleaseAnswer.notYet());
+            answer.complete(ReleaseAnswer.notReleased());
         }
         return answer;
     }
 
     private void giveUp(CompletableFuture<ReleaseAnswer> answer) {
         waiters.removeIf(w -> w.answer == answer);
-        answer.complete(ReleaseAnswer.notYet());
+        answer.complete(ReleaseAnswer.notReleased());
     }
 
     private void answerWaiters() {
@@ -318,7 +318,7 @@
 
     /** Has a range revoked that a former process of this daemon granted and this one does not serve. */
     private boolean isLeftHeld(KeyRange range) {
-        if (!gate.mayHold(range)) {
+        if (!gate.mayHoldEarlierGrant(range)) {
             return false;
         }
         gate.release(range);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/Holding.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/Holding.java
@@ -1,7 +1,7 @@
 package org.coriandercrank.placement.internal;
 
 import org.coriandercrank.kernel.id.Generation;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
@@ -16,7 +16,7 @@
         KeyRange range,
         Generation fence,
         Phase phase,
-        InheritedRecords inherited,
+        TransferredRecords inherited,
         boolean served,
         boolean callOutstanding,
         long retryAtMs) {
@@ -31,11 +31,11 @@
     }
 
     Holding serving() {
-        return new Holding(range, fence, Phase.SERVING, InheritedRecords.NONE, true, false, 0);
+        return new Holding(range, fence, Phase.SERVING, TransferredRecords.NONE, true, false, 0);
     }
 
     Holding releasing(KeyRange part) {
-        return new Holding(part, fence, Phase.RELEASING, InheritedRecords.NONE, served, false, 0);
+        return new Holding(part, fence, Phase.RELEASING, TransferredRecords.NONE, served, false, 0);
     }
 
     Holding called() {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.message.LoadQuery;
 import org.coriandercrank.kernel.message.LoadReport;
 import org.coriandercrank.kernel.message.Message;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandler;
@@ -52,7 +52,7 @@
     public void query(RoutingSnapshot snapshot) {
         round++;
         reports.values().removeIf(r -> round - r.round > ROUNDS_KEPT);
-        for (KnownMember known : snapshot.members().values()) {
+        for (VersionedMember known : snapshot.members().values()) {
             Member member = known.member();
             boolean mayOwn = member.state() == MemberState.ACTIVE || member.state() == MemberState.LEAVING;
             if (mayOwn && member.backend().isPresent()) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.coriandercrank.kernel.id.MemberId;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -31,8 +31,8 @@
         snapshot.members().forEach((id, known) -> check(snapshot, id, known, nowMs));
     }
 
-    private void check(RoutingSnapshot snapshot, MemberId id, KnownMember known, long nowMs) {
-        boolean mentioned = snapshot.tables().values().stream().anyMatch(t -> t.mentions(id));
+    private void check(RoutingSnapshot snapshot, MemberId id, VersionedMember known, long nowMs) {
+        boolean mentioned = snapshot.tables().values().stream().anyMatch(t -> t.references(id));
         if (known.member().state() != MemberState.SEALED || mentioned) {
             unmentionedSinceMs.remove(id);
             return;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -14,7 +14,7 @@
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.message.ReleaseAnswer;
 import org.coriandercrank.kernel.message.ReleaseRequest;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
@@ -91,7 +91,7 @@
         owned = newTable.ownedBy(self);
         barriers.removeIf(b -> !b.generation.isNewerThan(table.generation()));
         released.prune(table, self);
-        gone.removeIf(m -> !table.mentions(m));
+        gone.removeIf(m -> !table.references(m));
         lingerWhereNotAsked();
         reconcile();
     }
@@ -124,7 +124,7 @@
                 reconcile();
             }
         } else if (!sealed && isAssigned(range)) {
-            return Optional.of(ReleaseAnswer.notYet());
+            return Optional.of(ReleaseAnswer.notReleased());
         }
         if (holdings.stream().anyMatch(h -> h.range().overlaps(range))) {
             return Optional.empty();
@@ -272,7 +272,7 @@
         dirty = true;
     }
 
-    public void released(OwnershipAction.Release action, InheritedRecords records, long nowMs) {
+    public void released(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
         for (Holding holding : List.copyOf(holdings)) {
             if (holding.range().equals(action.range())) {
                 holdings.remove(holding);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.message.ReleaseAnswer;
 import org.coriandercrank.kernel.ownership.Handover;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.OutcomeRecord;
 import org.coriandercrank.kernel.table.KeyRange;
 
@@ -74,10 +74,10 @@
      *
      * @param own records that this daemon itself kept of the range
      */
-    InheritedRecords inherited(ReleaseAnswer own) {
+    TransferredRecords inherited(ReleaseAnswer own) {
         boolean nobodyBefore = id.previousOwners().isEmpty() && own.recordsCompleteForMs() == ReleaseAnswer.NOT_SERVED;
         if (nobodyBefore && id.fence().equals(FIRST_GENERATION)) {
-            return InheritedRecords.NEVER_OWNED;
+            return TransferredRecords.NEVER_OWNED;
         }
         List<ReleaseAnswer> all = new ArrayList<>(answers.values());
         all.add(own);
@@ -91,6 +91,6 @@
                 all.stream().flatMap(a -> a.records().stream()).toList();
         List<Handover> handovers =
                 all.stream().flatMap(a -> a.handovers().stream()).toList();
-        return new InheritedRecords(anySealed ? 0 : completeForMs, records, handovers);
+        return new TransferredRecords(anySealed ? 0 : completeForMs, records, handovers);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -7,7 +7,7 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
@@ -66,7 +66,7 @@
     /** Position among the active members by a hash of the id, so that neighbours in one host group rank apart. */
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
-                .map(KnownMember::member)
+                .map(VersionedMember::member)
                 .filter(m -> m.state() == MemberState.ACTIVE && order(m.id()) < ownOrder)
                 .count();
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -8,7 +8,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.message.ReleaseAnswer;
 import org.coriandercrank.kernel.ownership.Handover;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.OutcomeRecord;
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.KeyRange;
@@ -25,7 +25,7 @@
     private record Recipient(MemberId requester, Generation generation) {}
 
     private record Entry(
-            KeyRange range, Generation generation, InheritedRecords records, long atMs, Recipient recipient) {
+            KeyRange range, Generation generation, TransferredRecords records, long atMs, Recipient recipient) {
         Entry withRange(KeyRange part, Recipient newRecipient) {
             return new Entry(part, generation, records, atMs, newRecipient);
         }
@@ -40,7 +40,7 @@
         this.maxRecords = maxRecords;
     }
 
-    void add(KeyRange range, Generation generation, InheritedRecords records, long nowMs) {
+    void add(KeyRange range, Generation generation, TransferredRecords records, long nowMs) {
         forget(range);
         entries.addLast(new Entry(range, generation, records, nowMs, null));
         long total = entries.stream().mapToLong(e -> e.records.records().size()).sum();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.id.ServiceName;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
@@ -62,7 +62,7 @@
     long faultSeed = 1;
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         faults.parse("--service", service, ServiceName::new);
         faults.parse("--listen", listen, HostAddress::parse);
         if (!daemon.isEmpty()) {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.coriandercrank.kernel.time.TimerService;
@@ -28,7 +28,7 @@
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
-    private final DutyThread duty = new DutyThread("backend", RING_CAPACITY);
+    private final SingleThreadExecutor duty = new SingleThreadExecutor("backend", RING_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final BackendService service;
     private final AtomicBoolean closed = new AtomicBoolean();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.coriandercrank.kernel.time.TimerService;
 import org.coriandercrank.standin.internal.FaultSet;
@@ -31,7 +31,7 @@
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
-    private final DutyThread duty = new DutyThread("store", RING_CAPACITY);
+    private final SingleThreadExecutor duty = new SingleThreadExecutor("store", RING_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final AtomicBoolean closed = new AtomicBoolean();
     private final HttpServer server;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
@@ -1,7 +1,7 @@
 package org.coriandercrank.standin;
 
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.settings.Faults;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
 import org.kohsuke.args4j.Option;
 
@@ -19,7 +19,7 @@
     long faultSeed = 1;
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors faults) {
         faults.parse("--listen", listen, HostAddress::parse);
         faults.requireRange("--history-entries", historyEntries, 1, MAX_HISTORY_ENTRIES);
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.http.HttpReply;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.time.TimerService;
@@ -24,7 +24,7 @@
     private static final int PERIODS_WHEN_ACCEPTED = 3;
     private static final long CALL_TIMEOUT_MS = 900;
 
-    private final DutyThread duty;
+    private final SingleThreadExecutor duty;
     private final HttpClient client;
     private final HttpCall announcement;
     private final TimerService.Subscription subscription;
@@ -32,7 +32,7 @@
     private int periodsSinceSent;
 
     public Announcer(
-            EventLoopGroup group, DutyThread duty, TimerService timers, HostAddress daemonAdmin, BackendInfo info) {
+            EventLoopGroup group, SingleThreadExecutor duty, TimerService timers, HostAddress daemonAdmin, BackendInfo info) {
         this.duty = duty;
         this.client = new HttpClient(group, daemonAdmin, HttpClientOptions.DEFAULTS.withMaxConnections(1));
         this.announcement = new HttpCall(
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.http.HttpReply;
 import org.coriandercrank.kernel.backend.Grant;
 import org.coriandercrank.kernel.id.RequestId;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 import org.coriandercrank.kernel.time.TimerService;
 
@@ -34,7 +34,7 @@
     private static final int MAX_EARLY_CANCELS = 1_024;
 
     private final BackendOptions options;
-    private final DutyThread duty;
+    private final SingleThreadExecutor duty;
     private final TimerService timers;
     private final FaultSet faults;
     private final Ledger ledger;
@@ -56,7 +56,7 @@
     private long rejected;
     private boolean draining;
 
-    BackendEngine(BackendOptions options, DutyThread duty, TimerService timers, FaultSet faults, Ledger ledger) {
+    BackendEngine(BackendOptions options, SingleThreadExecutor duty, TimerService timers, FaultSet faults, Ledger ledger) {
         this.options = options;
         this.duty = duty;
         this.timers = timers;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.time.TimerService;
 
@@ -28,7 +28,7 @@
 public final class BackendService implements HttpHandler, AutoCloseable {
     private static final String CANCEL_PATH = "/control/cancel/";
 
-    private final DutyThread duty;
+    private final SingleThreadExecutor duty;
     private final TimerService timers;
     private final FaultSet faults;
     private final Ledger ledger;
@@ -42,7 +42,7 @@
     private volatile IntSupplier openConnections = () -> 0;
     private volatile IntSupplier peakConnections = () -> 0;
 
-    public BackendService(BackendOptions options, DutyThread duty, TimerService timers) {
+    public BackendService(BackendOptions options, SingleThreadExecutor duty, TimerService timers) {
         this.duty = duty;
         this.timers = timers;
         this.faults = new FaultSet(timers.clock(), options.faultSeed());
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReport.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReport.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.coriandercrank.kernel.backend.BackendHealth;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
@@ -18,7 +18,7 @@
     private Optional<BackendHealth> override = Optional.empty();
     private BackendHealth past;
 
-    HealthReport(Supplier<BackendHealth> present, long lagMs, DutyThread duty, TimerService timers) {
+    HealthReport(Supplier<BackendHealth> present, long lagMs, SingleThreadExecutor duty, TimerService timers) {
         this.present = present;
         this.lagging = lagMs > 0;
         this.past = present.get();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -18,7 +18,7 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.ring.DutyThread;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.WatchBatch;
 import org.coriandercrank.kernel.time.TimerService;
@@ -36,7 +36,7 @@
     /** A watch that waits for a change. Confined to the duty. */
     private record Waiter(String prefix, long after, CompletableFuture<HttpReply> result) {}
 
-    private final DutyThread duty;
+    private final SingleThreadExecutor duty;
     private final TimerService timers;
     private final StoreState state;
     private final FaultSet faults;
@@ -45,7 +45,7 @@
     private long conflicts;
     private long refused;
 
-    public StoreService(DutyThread duty, TimerService timers, StoreState state, FaultSet faults) {
+    public StoreService(SingleThreadExecutor duty, TimerService timers, StoreState state, FaultSet faults) {
         this.duty = duty;
         this.timers = timers;
         this.state = state;
