--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -68,7 +68,7 @@
         List<MemberId> former =
                 cluster.hosts().stream().map(host -> host.control().self()).toList();
         cluster.restartAll(
-                ControlOptions.DEFAULT.withLease(3_600, 800, 105).withWatches(2_000, 15_000, 8_000), places());
+                ControlOptions.DEFAULT.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000), places());
         cluster.time().runFor(JOINED_MS);
         former.forEach(cluster::seal);
         assertThat(cluster.time()
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -71,7 +71,7 @@
         DecisionLog log = new DecisionLog(LOG_LINES_PER_SECOND, timers.clock());
         ControlServices services = new ControlServices(store, this, handlers, timers, log, metrics);
         control = ControlPlane.create(options, identity, services, this::execute, new Random(seed));
-        control.onSealed((member, reason) -> sealedIncarnations.add(member));
+        control.addIncarnationListener((member, reason) -> sealedIncarnations.add(member));
     }
 
     ControlPlane control() {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -17,7 +17,7 @@
  * Membership, lease, takeover and dissemination of a daemon.
  *
  * <p>Thread safe. {@link #start} lists the store and then joins; both go on through an outage of the store until they
- * succeed. A daemon whose incarnation was sealed by others hears of it through {@link #onSealed} and joins again with
+ * succeed. A daemon whose incarnation was sealed by others hears of it through {@link #addIncarnationListener} and joins again with
  * {@link #rejoin}.
  */
 public final class ControlPlane implements AutoCloseable {
@@ -29,8 +29,8 @@
 
     private ControlPlane(ControlContext context, boolean joins, Runnable closeThread) {
         this.context = context;
-        Optional<MemberChoice> initial =
-                joins ? Optional.of(new MemberChoice(ControlLoop.newMemberId(context), false)) : Optional.empty();
+        Optional<JoinParameters> initial =
+                joins ? Optional.of(new JoinParameters(ControlLoop.newMemberId(context), false)) : Optional.empty();
         this.loop = new ControlLoop(context, initial);
         this.closeThread = closeThread;
     }
@@ -41,10 +41,10 @@
     }
 
     /**
-     * A control plane on a duty of its own that joins only after {@link #rejoin(MemberChoice)}. Until then it keeps its
+     * A control plane on a duty of its own that joins only after {@link #rejoin(JoinParameters)}. Until then it keeps its
      * view of the other members up to date.
      */
-    public static ControlPlane createWaiting(ControlOptions options, HostIdentity identity, ControlServices services) {
+    public static ControlPlane createWithDeferredJoin(ControlOptions options, HostIdentity identity, ControlServices services) {
         return create(options, identity, services, false);
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** Adds a listener for seals of this daemon by others. */
-    public void onSealed(SealListener listener) {
+    public void addIncarnationListener(IncarnationListener listener) {
         loop.onSealed(listener);
     }
 
@@ -117,11 +117,11 @@
 
     /** Joins under a new id after the former incarnation ended; fails with {@code INTERNAL} if it has not. */
     public CompletableFuture<MemberId> rejoin() {
-        return rejoin(new MemberChoice(ControlLoop.newMemberId(context), false));
+        return rejoin(new JoinParameters(ControlLoop.newMemberId(context), false));
     }
 
     /** Joins under a chosen id; the former incarnation must have ended, or never have started. */
-    public CompletableFuture<MemberId> rejoin(MemberChoice choice) {
+    public CompletableFuture<MemberId> rejoin(JoinParameters choice) {
         return loop.rejoin(choice);
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlServices.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlServices.java
@@ -13,7 +13,7 @@
 /**
  * What the control plane uses of its daemon; owned and closed by the daemon. Immutable.
  *
- * @param holderClock clock of the own lease; it should count the time in which the host was suspended, because the votes
+ * @param leaseClock clock of the own lease; it should count the time in which the host was suspended, because the votes
  *     of witnesses lapse in that time
  * @param duties makes the duty that the control plane runs on
  */
@@ -24,7 +24,7 @@
         TimerService timers,
         DecisionLog log,
         MeterRegistry metrics,
-        MonotonicClock holderClock,
+        MonotonicClock leaseClock,
         Duty.Factory duties) {
     /** Services whose own lease is measured by the clock of the timers. */
     public ControlServices(
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/SealListener.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/IncarnationListener.java
@@ -4,10 +4,10 @@
 
 /** Learns that the incarnation of this daemon was sealed or replaced by others. */
 @FunctionalInterface
-public interface SealListener {
+public interface IncarnationListener {
     /**
      * Called once for an incarnation, on the control thread; must not block. The lease is already invalid. The daemon
      * drops all its ranges and then calls {@link ControlPlane#rejoin()}.
      */
-    void sealed(MemberId member, String reason);
+    void incarnationEnded(MemberId member, String reason);
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -30,7 +30,7 @@
 
     /** Time on the clock of the own lease. */
     public long holderNowNanos() {
-        return services.holderClock().nowNanos();
+        return services.leaseClock().nowNanos();
     }
 
     /** Runs a task on the control thread; one that finds the ring full is retried, because its result is awaited. */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.control.ControlStatus;
-import org.coriandercrank.control.MemberChoice;
-import org.coriandercrank.control.SealListener;
+import org.coriandercrank.control.JoinParameters;
+import org.coriandercrank.control.IncarnationListener;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
@@ -47,7 +47,7 @@
     private final ControlMetrics metrics;
     private final TakeoverDuty takeovers;
     private final PredecessorDuty predecessors;
-    private final List<SealListener> sealListeners = new CopyOnWriteArrayList<>();
+    private final List<IncarnationListener> sealListeners = new CopyOnWriteArrayList<>();
     private volatile Membership membership;
     private volatile ControlStatus status;
     private volatile TimerService.Subscription timer = () -> {};
@@ -59,10 +59,10 @@
      *
      * @param initial the id to join under; if empty, the daemon joins only after {@link #rejoin}
      */
-    public ControlLoop(ControlContext context, Optional<MemberChoice> initial) {
+    public ControlLoop(ControlContext context, Optional<JoinParameters> initial) {
         this.context = context;
         mayJoin = initial.isPresent();
-        MemberChoice choice = initial.orElseGet(() -> new MemberChoice(newMemberId(context), false));
+        JoinParameters choice = initial.orElseGet(() -> new JoinParameters(newMemberId(context), false));
         MemberId self = choice.id();
         view = new ClusterView(context, self);
         metrics = new ControlMetrics(
@@ -96,7 +96,7 @@
         return () -> context.nowNanos() + membership.validUntilNanos() - context.holderNowNanos();
     }
 
-    public void onSealed(SealListener listener) {
+    public void onSealed(IncarnationListener listener) {
         sealListeners.add(listener);
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Replaces a membership that has ended or was never started by one under another id. */
-    public CompletableFuture<MemberId> rejoin(MemberChoice choice) {
+    public CompletableFuture<MemberId> rejoin(JoinParameters choice) {
         return context.answer(() -> {
             if (membership.isStarted() && !membership.isEnded()) {
                 throw new CrankException(ResultCode.INTERNAL, "incarnation " + membership.id() + " has not ended");
@@ -154,7 +154,7 @@
                 + Long.toString(context.random().nextLong(MEMBER_ID_RANDOM_BOUND), Character.MAX_RADIX));
     }
 
-    private Membership newMembership(MemberChoice choice) {
+    private Membership newMembership(JoinParameters choice) {
         return new Membership(context, choice, view, dissemination, metrics, this::sealed);
     }
 
@@ -218,7 +218,7 @@
     }
 
     private void sealed(MemberId member, String reason) {
-        sealListeners.forEach(listener -> listener.sealed(member, reason));
+        sealListeners.forEach(listener -> listener.incarnationEnded(member, reason));
     }
 
     private long leaseRemainingMs() {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -122,15 +122,15 @@
             } else if (isWatching() || isSettling(nowNanos)) {
                 watch(feed, context.options().watchWaitMs());
             } else if (feed.kind == FetchObject.Kind.CONFIGURATION
-                    && context.options().configurationWaitMs() > 0) {
-                watch(feed, context.options().configurationWaitMs());
+                    && context.options().configurationWatchWaitMs() > 0) {
+                watch(feed, context.options().configurationWatchWaitMs());
             }
         }
     }
 
     /** Whether the daemon started so recently that it may know only members that ended with it. */
     private boolean isSettling(long nowNanos) {
-        return nowNanos - startedNanos < context.options().settleWatchMs() * NANOS_PER_MS;
+        return nowNanos - startedNanos < context.options().startupWatchMs() * NANOS_PER_MS;
     }
 
     /** Digest of a peer; fetches what it knows beyond this daemon. */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.control.MemberChoice;
-import org.coriandercrank.control.SealListener;
+import org.coriandercrank.control.JoinParameters;
+import org.coriandercrank.control.IncarnationListener;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
@@ -46,7 +46,7 @@
     private final ClusterView view;
     private final Dissemination dissemination;
     private final ControlMetrics metrics;
-    private final SealListener sealListener;
+    private final IncarnationListener sealListener;
     private final MemberId id;
     private final boolean mayResume;
     private final Map<MemberId, Long> namedNanos = new HashMap<>();
@@ -67,11 +67,11 @@
 
     public Membership(
             ControlContext context,
-            MemberChoice choice,
+            JoinParameters choice,
             ClusterView view,
             Dissemination dissemination,
             ControlMetrics metrics,
-            SealListener sealListener) {
+            IncarnationListener sealListener) {
         this.context = context;
         this.id = choice.id();
         this.mayResume = choice.mayResume();
@@ -161,7 +161,7 @@
             reviewedNanos = nowNanos;
             reviewWitnesses(nowNanos);
         }
-        long spacingNanos = TimeUnit.MILLISECONDS.toNanos(context.options().pushSpacingMs());
+        long spacingNanos = TimeUnit.MILLISECONDS.toNanos(context.options().minPushIntervalMs());
         if (nowNanos - lastHeartbeatNanos >= spacingNanos && dissemination.takeNewsToPush()) {
             perform(lease.heartbeatNow(nowNanos));
         }
@@ -237,8 +237,8 @@
 
     private void reviewWitnesses(long nowNanos) {
         suspectUntilNanos.values().removeIf(until -> nowNanos - until >= 0);
-        long lostNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessLostMs());
-        long retryNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryMs());
+        long lostNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessTimeoutMs());
+        long retryNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryDelayMs());
         for (MemberId witness : wanted.witnesses()) {
             if (nowNanos - lastHeardNanos(witness) > lostNanos) {
                 suspectUntilNanos.put(witness, nowNanos + retryNanos);
@@ -296,7 +296,7 @@
 
     private long nextRebalanceNanos() {
         return TimeUnit.MILLISECONDS.toNanos(
-                context.jitteredMs(context.options().rebalanceMs()));
+                context.jitteredMs(context.options().rebalanceIntervalMs()));
     }
 
     private void perform(List<HolderAction> actions) {
@@ -416,7 +416,7 @@
         leaving.complete(null);
         sealed.complete(null);
         if (wanted.state() != MemberState.SEALED) {
-            sealListener.sealed(id, reason);
+            sealListener.incarnationEnded(id, reason);
         }
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -10,7 +10,7 @@
 import org.coriandercrank.control.ControlPlane;
 import org.coriandercrank.control.ControlServices;
 import org.coriandercrank.control.ControlStatus;
-import org.coriandercrank.control.MemberChoice;
+import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.daemon.internal.LocalGate;
 import org.coriandercrank.daemon.internal.MemberParts;
 import org.coriandercrank.gate.Gate;
@@ -75,11 +75,11 @@
                 services.metrics());
         control = options.joinsAtOnce()
                 ? ControlPlane.create(options.control(), options.identity(), controlServices())
-                : ControlPlane.createWaiting(options.control(), options.identity(), controlServices());
+                : ControlPlane.createWithDeferredJoin(options.control(), options.identity(), controlServices());
         controlReference.set(control);
         gate = new LocalGate(this::createGate);
         ingress = new Ingress(ingressDependencies(), options.ingress());
-        control.onSealed((id, reason) -> {
+        control.addIncarnationListener((id, reason) -> {
             logger.atWarning().log("event=sealed member=%s reason=\"%s\"", id, reason);
             sealParts();
             whenSealed.run();
@@ -108,7 +108,7 @@
     }
 
     /** Joins under an id; for a daemon that does not join at once, and after the former member has ended. */
-    public CompletableFuture<Void> join(MemberChoice choice) {
+    public CompletableFuture<Void> join(JoinParameters choice) {
         return control.rejoin(choice).thenAccept(id -> startMember());
     }
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -107,7 +107,7 @@
         return HostOptions.defaults(
                 identity,
                 settings.peerListen(),
-                ControlOptions.DEFAULT.withLease(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
+                ControlOptions.DEFAULT.withLeaseTiming(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
     }
 
     @Override
