--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
@@ -15,12 +15,12 @@
     private OwnershipChecks() {}
 
     /** Guards against a fence that goes back, holes in the table, and a takeover that moves ranges of healthy members. */
-    static void checkNext(AssignmentTable old, ServicePlan.Decision decision, Set<MemberId> gone) {
+    static void checkNext(AssignmentTable old, TablePlanner.Decision decision, Set<MemberId> gone) {
         AssignmentTable next = decision.table();
         assertThat(next.generation().value()).isEqualTo(old.generation().value() + 1);
         List<KeyRange> covered =
                 next.assignments().stream().map(RangeAssignment::range).toList();
-        if (decision.kind() != ServicePlan.Kind.WITHDRAW) {
+        if (decision.kind() != TablePlanner.Kind.WITHDRAW) {
             assertThat(KeyRanges.subtract(KeyRange.ALL, covered)).isEmpty();
         }
         for (RangeAssignment a : next.assignments()) {
@@ -32,7 +32,7 @@
                 assertThat(a.fence().compareTo(b.fence())).isGreaterThanOrEqualTo(sameOwner ? 0 : 1);
                 if (!sameOwner && !gone.contains(b.owner())) {
                     assertThat(a.previousOwners()).contains(b.owner());
-                    assertThat(decision.kind()).isNotEqualTo(ServicePlan.Kind.TAKEOVER);
+                    assertThat(decision.kind()).isNotEqualTo(TablePlanner.Kind.TAKEOVER);
                 }
             }
         }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -146,14 +146,14 @@
         List<RangeLoad> ranges = daemon.gate.stream()
                 .map(s -> new RangeLoad(s.range, s.fence, s.confirmed, 1, List.of()))
                 .toList();
-        LoadReport report = new LoadReport(id, TestFleet.SERVICE, daemon.state.settledGeneration(), ranges);
+        LoadReport report = new LoadReport(id, TestFleet.SERVICE, daemon.state.appliedGeneration(), ranges);
         events.add(() -> reports.put(id, report));
     }
 
     /** One planner: decides on a table that may be old, and writes only if the store still has that table. */
     private void plan(AssignmentTable known, Set<MemberId> gone) {
-        ServicePlan.View view = new ServicePlan.View(configuration, members, gone, known, reports, nowMs, 0, nowMs, 0);
-        Optional<ServicePlan.Decision> decision = new ServicePlan(this::randomPlacement, 0).decide(view);
+        TablePlanner.View view = new TablePlanner.View(configuration, members, gone, known, reports, nowMs, 0, nowMs, 0);
+        Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(view);
         if (decision.isPresent() && known.generation().equals(newest().generation())) {
             OwnershipChecks.checkNext(newest(), decision.get(), gone);
             tables.add(decision.get().table());
@@ -163,8 +163,8 @@
     private List<PlacedRange> randomPlacement(PlacementInput input) {
         if (random.nextBoolean() && !input.table().assignments().isEmpty()) {
             WorkingTable table = new WorkingTable(input);
-            EvenSplit.reassignOrphans(table, "test");
-            return table.toPlaced();
+            WeightedPlacement.reassignOrphans(table, "test");
+            return table.toPlacedRanges();
         }
         List<PlacedRange> placed = new ArrayList<>();
         KeyHash first = KeyHash.MIN;
@@ -186,7 +186,7 @@
                 startAcquire(daemon, acquire);
             } else if (action instanceof OwnershipAction.Release release) {
                 events.add(() -> finishRelease(daemon, release));
-            } else if (action instanceof OwnershipAction.Ask ask) {
+            } else if (action instanceof OwnershipAction.RequestRelease ask) {
                 ask(daemon, ask);
             }
         }
@@ -218,7 +218,7 @@
             return;
         }
         replace(daemon, release.range(), null);
-        daemon.state.released(release, InheritedRecords.NONE, nowMs);
+        daemon.state.releasedRecords(release, InheritedRecords.NONE, nowMs);
     }
 
     private static void replace(Daemon daemon, KeyRange range, Served served) {
@@ -233,21 +233,21 @@
         daemon.gate.addAll(next);
     }
 
-    private void ask(Daemon daemon, OwnershipAction.Ask ask) {
+    private void ask(Daemon daemon, OwnershipAction.RequestRelease ask) {
         if (faults && random.nextInt(4) == 0) {
-            events.add(() -> daemon.state.askFailed(ask, nowMs));
+            events.add(() -> daemon.state.releaseRequestFailed(ask, nowMs));
         }
         int copies = faults ? 1 + random.nextInt(2) : 1;
         ReleaseRequest request = new ReleaseRequest(daemon.id, TestFleet.SERVICE, ask.range(), ask.fence());
         for (int i = 0; i < copies; i++) {
             events.add(() -> {
                 Daemon previous = daemons.get(ask.previousOwner());
-                var answer = previous.state.requestRelease(request, nowMs);
+                var answer = previous.state.handleReleaseRequest(request, nowMs);
                 events.add(() -> {
                     if (answer.isPresent() && !(faults && random.nextInt(4) == 0)) {
-                        daemon.state.askAnswered(ask, answer.get(), nowMs);
+                        daemon.state.releaseRequestAnswered(ask, answer.get(), nowMs);
                     } else {
-                        daemon.state.askFailed(ask, nowMs);
+                        daemon.state.releaseRequestFailed(ask, nowMs);
                     }
                 });
             });
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -58,26 +58,26 @@
 
     private void finishRelease(KeyRange range) {
         assertThat(poll()).containsExactly(new OwnershipAction.Release(range));
-        state.released(new OwnershipAction.Release(range), new InheritedRecords(KEPT_MS, List.of()), 1_000);
+        state.releasedRecords(new OwnershipAction.Release(range), new InheritedRecords(KEPT_MS, List.of()), 1_000);
     }
 
     /** Guards against an old table that makes a daemon serve a range again which it released to a newer owner. */
     @Test
     void staysReleasedUntilTheTableIsAsNew() {
         serveAllFromGenerationOne();
-        assertThat(state.requestRelease(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.requestRelease(request(B, KeyRange.ALL, 5), 1_000)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isPresent();
         state.applyTable(table(4, range(KeyRange.ALL, A, 4)));
         assertThat(poll()).isEmpty();
         state.applyTable(table(6, range(KeyRange.ALL, A, 6, B)));
-        assertThat(poll()).containsExactly(new OwnershipAction.Ask(KeyRange.ALL, new Generation(6), B));
+        assertThat(poll()).containsExactly(new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(6), B));
     }
 
     /** Guards against a daemon that never served a range and acquires it after it has answered. */
     @Test
     void keepsThePromiseForARangeNeverServed() {
-        assertThat(state.requestRelease(request(B, LOW, 5), 1_000).orElseThrow().recordsCompleteForMs())
+        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000).orElseThrow().recordsCompleteForMs())
                 .isEqualTo(ReleaseAnswer.NOT_SERVED);
         state.applyTable(table(3, range(KeyRange.ALL, A, 3)));
         assertThat(poll()).singleElement().extracting("range").isEqualTo(HIGH);
@@ -88,7 +88,7 @@
     void refusesAStaleRequest() {
         serveAllFromGenerationOne();
         state.applyTable(table(7, range(KeyRange.ALL, A, 7)));
-        assertThat(state.requestRelease(request(B, LOW, 5), 1_000)).contains(ReleaseAnswer.notYet());
+        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000)).contains(ReleaseAnswer.notYet());
         assertThat(poll()).isEmpty();
     }
 
@@ -97,9 +97,9 @@
     void releasesOnlyTheMovedPartOfASplitRange() {
         serveAllFromGenerationOne();
         state.applyTable(table(2, range(LOW, A, 1), range(HIGH, B, 2, A)));
-        assertThat(state.settledGeneration()).isEqualTo(Generation.NONE);
+        assertThat(state.appliedGeneration()).isEqualTo(Generation.NONE);
         finishRelease(HIGH);
-        assertThat(state.settledGeneration()).isEqualTo(new Generation(2));
+        assertThat(state.appliedGeneration()).isEqualTo(new Generation(2));
         assertThat(poll()).isEmpty();
     }
 
@@ -110,7 +110,7 @@
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
         state.applyTable(table(2, range(KeyRange.ALL, B, 2, A)));
         assertThat(poll()).isEmpty();
-        assertThat(state.requestRelease(request(B, KeyRange.ALL, 2), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000)).isEmpty();
         state.acquired(acquire);
         assertThat(poll()).containsExactly(new OwnershipAction.Release(KeyRange.ALL));
     }
@@ -134,11 +134,11 @@
     })
     void vouchesForRecordsOnce(String label, String requester, long generation, long completeForMs) {
         serveAllFromGenerationOne();
-        assertThat(state.requestRelease(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.requestRelease(request(B, KeyRange.ALL, 5), 1_050)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050)).isPresent();
         Optional<ReleaseAnswer> answer =
-                state.requestRelease(request(new MemberId(requester), KeyRange.ALL, generation), 1_100);
+                state.handleReleaseRequest(request(new MemberId(requester), KeyRange.ALL, generation), 1_100);
         assertThat(answer.orElseThrow().recordsCompleteForMs()).as(label).isEqualTo(completeForMs);
     }
 
@@ -153,12 +153,12 @@
     void inheritsFromPreviousOwners(String label, long fromB, long fromC, boolean sealedC, long expectedMs) {
         state.applyTable(table(4, range(KeyRange.ALL, A, 4, B, C)));
         poll();
-        OwnershipAction.Ask askB = new OwnershipAction.Ask(KeyRange.ALL, new Generation(4), B);
-        OwnershipAction.Ask askC = new OwnershipAction.Ask(KeyRange.ALL, new Generation(4), C);
-        state.askAnswered(askB, new ReleaseAnswer(true, fromB, List.of()), 1_000);
+        OwnershipAction.RequestRelease askB = new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), B);
+        OwnershipAction.RequestRelease askC = new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), C);
+        state.releaseRequestAnswered(askB, new ReleaseAnswer(true, fromB, List.of()), 1_000);
         assertThat(poll()).isEmpty();
         if (!sealedC) {
-            state.askAnswered(askC, new ReleaseAnswer(true, fromC, List.of()), 1_000);
+            state.releaseRequestAnswered(askC, new ReleaseAnswer(true, fromC, List.of()), 1_000);
         }
         List<OwnershipAction> actions = sealedC ? poll(C) : poll();
         assertThat(actions)
@@ -194,7 +194,7 @@
         for (int round = 0; round < 20 && answered < ranges; round++) {
             answered = 0;
             for (ReleaseRequest request : requests) {
-                answered += state.requestRelease(request, round)
+                answered += state.handleReleaseRequest(request, round)
                                 .filter(ReleaseAnswer::released)
                                 .isPresent()
                         ? 1
@@ -210,7 +210,7 @@
             if (action instanceof OwnershipAction.Acquire acquire) {
                 state.acquired(acquire);
             } else if (action instanceof OwnershipAction.Release release) {
-                state.released(release, InheritedRecords.NONE, nowMs);
+                state.releasedRecords(release, InheritedRecords.NONE, nowMs);
             }
         }
     }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
@@ -14,7 +14,7 @@
 final class PlannerElectionTest {
     private static final MemberId SELF = new MemberId("self");
     private static final MemberId OTHER = new MemberId("other");
-    private static final PlannerElection.Delays DELAYS = new PlannerElection.Delays(500, 1_500, 200, 10_000, 3);
+    private static final PlannerElection.Options DELAYS = new PlannerElection.Options(500, 1_500, 200, 10_000, 3);
 
     private final PlannerElection election = new PlannerElection(SELF, DELAYS);
 
@@ -44,15 +44,15 @@
             Step expected) {
         read(new PlannerRecord(OTHER, counter), 1, 0);
         read(new PlannerRecord(OTHER, laterCounter), 2, atMs);
-        assertThat(election.next(atMs, eligible, rank, lost)).as(label).isEqualTo(expected);
+        assertThat(election.nextStep(atMs, eligible, rank, lost)).as(label).isEqualTo(expected);
     }
 
     /** Guards against a start without any planner. */
     @Test
     void takesAnAbsentObject() {
-        assertThat(election.next(0, true, 0, false)).isEqualTo(Step.READ);
+        assertThat(election.nextStep(0, true, 0, false)).isEqualTo(Step.READ);
         read(null, 0, 0);
-        assertThat(election.next(0, true, 0, false)).isEqualTo(Step.WRITE);
+        assertThat(election.nextStep(0, true, 0, false)).isEqualTo(Step.WRITE);
     }
 
     /** Guards against a planner that gives up, or writes twice, when the answer to a write was lost. */
@@ -63,7 +63,7 @@
         read(written, 7, 30);
         assertThat(election.isHolder(40)).isTrue();
         assertThat(election.revision()).isEqualTo(new Revision(7));
-        assertThat(election.next(40, true, 0, false)).isEqualTo(Step.NONE);
+        assertThat(election.nextStep(40, true, 0, false)).isEqualTo(Step.NONE);
     }
 
     /** Guards against reads at every tick while the store is down. */
@@ -71,9 +71,9 @@
     void keepsThePeriodOfReadsWhenTheStoreFails() {
         election.readStarted();
         election.callFailed(100);
-        assertThat(election.next(599, true, 0, false)).isEqualTo(Step.NONE);
-        assertThat(election.next(600, true, 0, false)).isEqualTo(Step.READ);
-        assertThat(election.next(10_099, true, 3, false)).isEqualTo(Step.NONE);
+        assertThat(election.nextStep(599, true, 0, false)).isEqualTo(Step.NONE);
+        assertThat(election.nextStep(600, true, 0, false)).isEqualTo(Step.READ);
+        assertThat(election.nextStep(10_099, true, 3, false)).isEqualTo(Step.NONE);
     }
 
     /** Guards against two planners: the role lapses when it could not be renewed, or another member has taken it. */
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
@@ -38,7 +38,7 @@
     void tablesStayValidAndBounded(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int policyIndex) {
         PluginRegistry registry = PluginRegistry.load();
         String name = List.copyOf(registry.names(PluginRegistry.Kind.PLACEMENT)).get(policyIndex);
-        ServicePlan plan = new ServicePlan(registry.get(PluginRegistry.Kind.PLACEMENT, name), 0);
+        TablePlanner plan = new TablePlanner(registry.get(PluginRegistry.Kind.PLACEMENT, name), 0);
         Random random = new Random(seed);
         Map<MemberId, Member> members = new HashMap<>();
         Set<MemberId> gone = new HashSet<>();
@@ -48,16 +48,16 @@
             changeMembers(random, members, gone);
             Configuration configuration = TestFleet.configuration(
                     new BackendRule("server-001", random.nextInt(3) * 100, random.nextInt(10) == 0));
-            ServicePlan.View view = new ServicePlan.View(
+            TablePlanner.View view = new TablePlanner.View(
                     configuration, members, gone, table, reports(random, table, gone), step * 20_000L, 0, 0, 0);
-            largestFleet = Math.max(largestFleet, ServicePlan.candidates(view).size());
-            Optional<ServicePlan.Decision> decision = plan.decide(view);
+            largestFleet = Math.max(largestFleet, TablePlanner.candidates(view).size());
+            Optional<TablePlanner.Decision> decision = plan.decide(view);
             if (decision.isEmpty()) {
                 continue;
             }
             OwnershipChecks.checkNext(table, decision.get(), gone);
             List<MemberId> allowed =
-                    ServicePlan.candidates(view).stream().map(Member::id).toList();
+                    TablePlanner.candidates(view).stream().map(Member::id).toList();
             decision.get().changes().forEach(c -> assertThat(allowed).contains(c.to()));
             table = decision.get().table();
             assertThat(table.assignments().size())
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
@@ -19,9 +19,9 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 import org.coriandercrank.placement.TestFleet;
 import org.coriandercrank.placement.internal.RebalancePolicy;
-import org.coriandercrank.placement.internal.RebalanceRules;
-import org.coriandercrank.placement.internal.ServicePlan;
-import org.coriandercrank.placement.internal.ServiceTrack;
+import org.coriandercrank.placement.internal.RebalanceParameters;
+import org.coriandercrank.placement.internal.TablePlanner;
+import org.coriandercrank.placement.internal.ServicePlanningState;
 import org.coriandercrank.placement.internal.TableBuilder;
 import org.junit.jupiter.api.Test;
 
@@ -88,12 +88,12 @@
 
     private Figures run(String policyName, int size, long seed, double exponent) {
         PlacementPolicy policy = policy(policyName);
-        ServicePlan plan = new ServicePlan(policy, 0);
+        TablePlanner plan = new TablePlanner(policy, 0);
         TrialLoad load = new TrialLoad(seed, exponent, REQUESTS_PER_SERVER * size, KEY_LIMIT * REQUESTS_PER_SERVER);
         for (int i = 0; i < size; i++) {
             join();
         }
-        ServiceTrack track = new ServiceTrack(TestFleet.SERVICE, 125, 0);
+        ServicePlanningState track = new ServicePlanningState(TestFleet.SERVICE, 125, 0);
         List<Double> imbalances = new ArrayList<>();
         int maxRanges = 0;
         for (int step = 0; step < STEPS; step++) {
@@ -123,7 +123,7 @@
         if (v.length == 1) {
             return PluginRegistry.load().get(PluginRegistry.Kind.PLACEMENT, name);
         }
-        return new RebalancePolicy(new RebalanceRules(
+        return new RebalancePolicy(new RebalanceParameters(
                 Double.parseDouble(v[0]),
                 Double.parseDouble(v[1]),
                 Long.parseLong(v[2]),
@@ -159,20 +159,20 @@
         }
     }
 
-    private void decide(ServicePlan plan, ServiceTrack track, TrialLoad load, long nowMs) {
+    private void decide(TablePlanner plan, ServicePlanningState track, TrialLoad load, long nowMs) {
         Map<MemberId, LoadReport> reports = reports(track.table(), load);
-        track.noteImbalance(ServicePlan.imbalance(view(track, reports, nowMs)), nowMs);
-        Optional<ServicePlan.Decision> decision = plan.decide(view(track, reports, nowMs));
+        track.updateImbalance(TablePlanner.imbalance(view(track, reports, nowMs)), nowMs);
+        Optional<TablePlanner.Decision> decision = plan.decide(view(track, reports, nowMs));
         if (decision.isEmpty()) {
             return;
         }
-        track.learn(decision.get().table());
-        if (decision.get().kind() == ServicePlan.Kind.POLICY) {
-            track.noteChange(nowMs);
+        track.updateTable(decision.get().table());
+        if (decision.get().kind() == TablePlanner.Kind.POLICY) {
+            track.recordPolicyChange(nowMs);
         }
         for (TableBuilder.Change change : decision.get().changes()) {
             if (change.from().isPresent()) {
-                boolean takeover = decision.get().kind() == ServicePlan.Kind.TAKEOVER;
+                boolean takeover = decision.get().kind() == TablePlanner.Kind.TAKEOVER;
                 moves++;
                 shareMoved += change.range().share();
                 unavailable += load.keys(change.range()) * (takeover ? TAKEOVER_SECONDS : MOVE_SECONDS);
@@ -180,8 +180,8 @@
         }
     }
 
-    private ServicePlan.View view(ServiceTrack track, Map<MemberId, LoadReport> reports, long nowMs) {
-        return new ServicePlan.View(
+    private TablePlanner.View view(ServicePlanningState track, Map<MemberId, LoadReport> reports, long nowMs) {
+        return new TablePlanner.View(
                 TestFleet.configuration(),
                 members,
                 gone,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -40,9 +40,9 @@
 import org.coriandercrank.placement.internal.PlannerElection;
 import org.coriandercrank.placement.internal.PlannerRole;
 import org.coriandercrank.placement.internal.RebalancePolicy;
-import org.coriandercrank.placement.internal.RebalanceRules;
-import org.coriandercrank.placement.internal.ServicePlan;
-import org.coriandercrank.placement.internal.ServiceTrack;
+import org.coriandercrank.placement.internal.RebalanceParameters;
+import org.coriandercrank.placement.internal.TablePlanner;
+import org.coriandercrank.placement.internal.ServicePlanningState;
 import org.coriandercrank.placement.internal.TableBuilder;
 import org.coriandercrank.placement.internal.TableWriter;
 
@@ -66,14 +66,14 @@
     private final Duty duty;
     private final PlannerRole role;
     private volatile boolean holdsRole;
-    private final LoadCollector loads;
+    private final LoadCollector loadCollector;
     private final TableWriter writer;
     private final MemberCleaner cleaner;
     private final MemberLookup lookup;
     private final PlacementMeters meters;
-    private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceRules.AVAILABILITY);
-    private final Map<ServiceName, ServiceTrack> tracks = new HashMap<>();
-    private final AtomicLong inputs = new AtomicLong();
+    private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceParameters.AVAILABILITY);
+    private final Map<ServiceName, ServicePlanningState> serviceStates = new HashMap<>();
+    private final AtomicLong inputCount = new AtomicLong();
     private TimerService.Subscription tick = () -> {};
     private TimerService.Subscription loadTick = () -> {};
 
@@ -82,17 +82,17 @@
         duty = context.duties().create("planner", RING_CAPACITY);
         this.plugins = plugins;
         this.options = options;
-        PlannerElection.Delays delays = new PlannerElection.Delays(
-                options.renewMs(),
-                options.takeAfterMs(),
+        PlannerElection.Options delays = new PlannerElection.Options(
+                options.renewIntervalMs(),
+                options.roleTimeoutMs(),
                 options.rankDelayMs(),
-                options.idleReadMs(),
-                options.readers());
+                options.slowReadIntervalMs(),
+                options.fastReaders());
         role = new PlannerRole(context.self(), context.store(), context.timers().clock(), this::post, delays);
-        loads = new LoadCollector(
-                context.self(), context.peers(), context.handlers(), this::post, options.loadTimeoutMs());
-        writer = new TableWriter(context.store(), this::tellNewOwners);
-        cleaner = new MemberCleaner(context.store(), options.sealedKeepMs());
+        loadCollector = new LoadCollector(
+                context.self(), context.peers(), context.handlers(), this::post, options.loadQueryTimeoutMs());
+        writer = new TableWriter(context.store(), this::sendToNewOwners);
+        cleaner = new MemberCleaner(context.store(), options.sealedRetentionMs());
         lookup = new MemberLookup(context.store(), this::post);
         meters = new PlacementMeters(context.meters());
     }
@@ -105,18 +105,18 @@
     /** Begins to compete for the role; called once, after the handlers of this daemon are registered. */
     public void start() {
         context.view().subscribe(snapshot -> {
-            inputs.incrementAndGet();
+            inputCount.incrementAndGet();
             duty.offer(this::step);
         });
-        tick = context.timers().every(options.tickMs(), duty, this::step);
-        loadTick = context.timers().every(options.loadPeriodMs(), duty, this::loadStep);
+        tick = context.timers().every(options.tickIntervalMs(), duty, this::step);
+        loadTick = context.timers().every(options.loadQueryIntervalMs(), duty, this::collectLoads);
     }
 
     /**
      * Sends a table to the members that get ranges by it, so that they ask for them before other daemons send requests
      * there. A lost message costs no more than the time of dissemination.
      */
-    private void tellNewOwners(AssignmentTable table, StoredObject object) {
+    private void sendToNewOwners(AssignmentTable table, StoredObject object) {
         RoutingSnapshot snapshot = context.view().current();
         ObjectData data = new ObjectData(FetchObject.Kind.ASSIGNMENTS, Revision.NONE, false, List.of(object));
         table.assignments().stream()
@@ -127,7 +127,7 @@
                 .forEach(owner -> context.peers().send(PeerTarget.of(owner), data));
     }
 
-    /** Stops renewing the role, so that another daemon takes it after {@link PlannerOptions#takeAfterMs}. */
+    /** Stops renewing the role, so that another daemon takes it after {@link PlannerOptions#roleTimeoutMs}. */
     @Override
     public void close() {
         tick.cancel();
@@ -146,23 +146,23 @@
     }
 
     private void step() {
-        long input = inputs.get();
+        long input = inputCount.get();
         RoutingSnapshot snapshot = context.view().current();
         role.step(snapshot);
-        meters.role(role.isHolder());
+        meters.setRoleHeld(role.isHolder());
         holdsRole = role.isHolder();
         if (!role.isHolder()) {
-            tracks.clear();
-            loads.clear();
+            serviceStates.clear();
+            loadCollector.clear();
             return;
         }
         if (snapshot.configurationRevision().equals(Revision.NONE)) {
             return;
         }
-        services(snapshot).forEach(service -> plan(snapshot, input, service));
+        keyedServices(snapshot).forEach(service -> plan(snapshot, input, service));
     }
 
-    private static Set<ServiceName> services(RoutingSnapshot snapshot) {
+    private static Set<ServiceName> keyedServices(RoutingSnapshot snapshot) {
         Set<ServiceName> services = new TreeSet<>(snapshot.tables().keySet());
         snapshot.configuration().services().stream()
                 .filter(ServiceConfig::keyed)
@@ -171,40 +171,40 @@
         return services;
     }
 
-    private void loadStep() {
+    private void collectLoads() {
         if (!role.isHolder()) {
             return;
         }
         RoutingSnapshot snapshot = context.view().current();
-        tracks.forEach((service, track) -> {
-            ServicePlan.View view = view(snapshot, track, track.table());
-            double imbalance = ServicePlan.imbalance(view);
-            track.noteImbalance(imbalance, nowMs());
-            meters.table(service, track.table(), imbalance);
-            meters.unserved(service, track.table(), view.reports(), options.loadPeriodMs() / 1_000.0);
+        serviceStates.forEach((service, track) -> {
+            TablePlanner.View view = view(snapshot, track, track.table());
+            double imbalance = TablePlanner.imbalance(view);
+            track.updateImbalance(imbalance, nowMs());
+            meters.setTable(service, track.table(), imbalance);
+            meters.recordUnserved(service, track.table(), view.reports(), options.loadQueryIntervalMs() / 1_000.0);
         });
-        loads.query(snapshot);
-        context.timers().once(options.loadPeriodMs() / LOAD_ANSWER_DIVISOR, duty, () -> {
-            inputs.incrementAndGet();
+        loadCollector.query(snapshot);
+        context.timers().once(options.loadQueryIntervalMs() / LOAD_ANSWER_DIVISOR, duty, () -> {
+            inputCount.incrementAndGet();
             step();
         });
-        lookup.expireFound();
-        cleaner.step(snapshot, nowMs());
+        lookup.clearFoundMembers();
+        cleaner.deleteExpired(snapshot, nowMs());
     }
 
     private void plan(RoutingSnapshot snapshot, long input, ServiceName service) {
-        ServiceTrack track =
-                tracks.computeIfAbsent(service, s -> new ServiceTrack(s, IMBALANCE_TARGET_PERCENT, nowMs()));
-        snapshot.table(service).ifPresent(track::learn);
-        track.noteCandidates(ServicePlan.candidates(view(snapshot, track, track.table())), nowMs());
-        if (!track.isReady(input, nowMs()) || !lookup.resolveAbsent(snapshot, track.table())) {
+        ServicePlanningState track =
+                serviceStates.computeIfAbsent(service, s -> new ServicePlanningState(s, IMBALANCE_TARGET_PERCENT, nowMs()));
+        snapshot.table(service).ifPresent(track::updateTable);
+        track.updateCandidates(TablePlanner.candidates(view(snapshot, track, track.table())), nowMs());
+        if (!track.shouldDecide(input, nowMs()) || !lookup.resolveMissing(snapshot, track.table())) {
             return;
         }
         if (decide(view(snapshot, track, track.table())).isEmpty()) {
-            track.noteDecided(input);
+            track.recordDecided(input);
             return;
         }
-        track.begin();
+        track.beginWrite();
         writer.write(service, this::post, table -> decideOn(track, table))
                 .whenComplete((outcome, failure) -> post(() -> {
                     if (failure != null) {
@@ -212,20 +212,20 @@
                         logger.atWarning().log(
                                 "event=table-write-failed service=%s result=%s reason=%s",
                                 service, cause.code(), cause.getMessage());
-                        track.end(nowMs() + WRITE_RETRY_MS);
+                        track.endWrite(nowMs() + WRITE_RETRY_MS);
                         return;
                     }
-                    track.learn(outcome.table());
-                    track.end(outcome.written().isPresent() ? nowMs() : nowMs() + WRITE_RETRY_MS);
-                    outcome.written().ifPresent(decision -> written(track, decision));
+                    track.updateTable(outcome.table());
+                    track.endWrite(outcome.written().isPresent() ? nowMs() : nowMs() + WRITE_RETRY_MS);
+                    outcome.written().ifPresent(decision -> tableWritten(track, decision));
                 }));
     }
 
-    private void written(ServiceTrack track, ServicePlan.Decision decision) {
+    private void tableWritten(ServicePlanningState track, TablePlanner.Decision decision) {
         ServiceName service = decision.table().service();
-        meters.changes(service, decision.changes());
-        if (decision.kind() == ServicePlan.Kind.POLICY) {
-            track.noteChange(nowMs());
+        meters.countChanges(service, decision.changes());
+        if (decision.kind() == TablePlanner.Kind.POLICY) {
+            track.recordPolicyChange(nowMs());
         }
         for (TableBuilder.Change change : decision.changes()) {
             context.log().log(() -> String.format(
@@ -237,7 +237,7 @@
                     change.fence(),
                     change.reason()));
         }
-        if (decision.kind() == ServicePlan.Kind.WITHDRAW) {
+        if (decision.kind() == TablePlanner.Kind.WITHDRAW) {
             context.log().log(() -> String.format(
                     "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
                     service, decision.table().generation()));
@@ -246,22 +246,22 @@
     }
 
     /** Decides again on the table read from the store, with the facts that the decision must not have wrong. */
-    private CompletableFuture<Optional<ServicePlan.Decision>> decideOn(ServiceTrack track, AssignmentTable table) {
+    private CompletableFuture<Optional<TablePlanner.Decision>> decideOn(ServicePlanningState track, AssignmentTable table) {
         RoutingSnapshot snapshot = context.view().current();
-        if (!lookup.resolveAbsent(snapshot, table)) {
+        if (!lookup.resolveMissing(snapshot, table)) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        ServicePlan.View view = view(snapshot, track, table);
-        Optional<ServicePlan.Decision> decision = decide(view);
+        TablePlanner.View view = view(snapshot, track, table);
+        Optional<TablePlanner.Decision> decision = decide(view);
         if (decision.isEmpty()) {
             return CompletableFuture.completedFuture(decision);
         }
-        boolean recreated = decision.get().kind() == ServicePlan.Kind.FIRST_TABLE
+        boolean recreated = decision.get().kind() == TablePlanner.Kind.FIRST_TABLE
                 && !table.generation().equals(Generation.NONE);
         if (recreated) {
-            return lookup.listMembers().thenApply(members -> decide(withMembers(view, members)));
+            return lookup.listMembers().thenApply(members -> decide(withStoredMembers(view, members)));
         }
-        if (decision.get().kind() == ServicePlan.Kind.WITHDRAW) {
+        if (decision.get().kind() == TablePlanner.Kind.WITHDRAW) {
             return context.store()
                     .get(ObjectNames.CONFIGURATION)
                     .thenApply(found -> isWithdrawn(table.service(), found) ? decision : Optional.empty());
@@ -277,13 +277,13 @@
     }
 
     /** Members that the snapshot lacks may still hold ranges of the table before the withdrawal. */
-    private static ServicePlan.View withMembers(ServicePlan.View view, List<Member> stored) {
+    private static TablePlanner.View withStoredMembers(TablePlanner.View view, List<Member> stored) {
         Map<MemberId, Member> members = new HashMap<>(view.members());
         stored.forEach(m -> members.putIfAbsent(m.id(), m));
-        return new ServicePlan.View(
+        return new TablePlanner.View(
                 view.configuration(),
                 members,
-                view.gone(),
+                view.removed(),
                 view.table(),
                 view.reports(),
                 view.nowMs(),
@@ -292,13 +292,13 @@
                 view.candidatesSinceMs());
     }
 
-    private Optional<ServicePlan.Decision> decide(ServicePlan.View view) {
+    private Optional<TablePlanner.Decision> decide(TablePlanner.View view) {
         ServiceName service = view.table().service();
         try {
-            return new ServicePlan(policy(view.configuration(), service), options.settleMs()).decide(view);
+            return new TablePlanner(policy(view.configuration(), service), options.firstTableDelayMs()).decide(view);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=policy-failed service=%s", service);
-            return new ServicePlan(fallbackPolicy, options.settleMs()).decide(view);
+            return new TablePlanner(fallbackPolicy, options.firstTableDelayMs()).decide(view);
         }
     }
 
@@ -309,20 +309,20 @@
                 .orElse(fallbackPolicy);
     }
 
-    private ServicePlan.View view(RoutingSnapshot snapshot, ServiceTrack track, AssignmentTable table) {
-        Map<MemberId, Member> members = new HashMap<>(lookup.found());
-        Set<MemberId> gone = new HashSet<>(lookup.gone());
+    private TablePlanner.View view(RoutingSnapshot snapshot, ServicePlanningState track, AssignmentTable table) {
+        Map<MemberId, Member> members = new HashMap<>(lookup.foundMembers());
+        Set<MemberId> gone = new HashSet<>(lookup.removedMembers());
         snapshot.members().forEach((id, known) -> {
             members.put(id, known.member());
             if (known.member().state() == MemberState.SEALED) {
                 gone.add(id);
             }
         });
-        Map<MemberId, LoadReport> reports = loads.reports();
+        Map<MemberId, LoadReport> reports = loadCollector.reports();
         reports.values().removeIf(r -> !r.service().equals(table.service()));
         boolean complete =
                 table.assignments().stream().allMatch(a -> reports.containsKey(a.owner()) || gone.contains(a.owner()));
-        return new ServicePlan.View(
+        return new TablePlanner.View(
                 snapshot.configuration(),
                 members,
                 gone,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -45,12 +45,12 @@
  * that is newer than its members; it counts as sealed only if the store has no record either.
  */
 public final class RangeOwnership implements AutoCloseable {
-    private record Waiter(ReleaseRequest request, CompletableFuture<ReleaseAnswer> answer) {}
+    private record WaitingRequest(ReleaseRequest request, CompletableFuture<ReleaseAnswer> answer) {}
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int RING_CAPACITY = 8_192;
     private static final int MAX_SERVICES = 1_024;
-    private static final int MAX_WAITERS = 16_384;
+    private static final int MAX_WAITING_REQUESTS = 16_384;
     private static final long POST_RETRY_MS = 1;
 
     private final PlacementContext context;
@@ -59,7 +59,7 @@
     private final RangeOwnershipOptions options;
     private final Duty duty;
     private final Map<ServiceName, OwnershipState> states = new HashMap<>();
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<WaitingRequest> waitingRequests = new ArrayList<>();
     private final Counter acquiredRanges;
     private final Counter releasedRanges;
     private final Counter failedCalls;
@@ -84,7 +84,7 @@
         context.handlers().register(ReleaseRequest.class, releaseHandler);
         context.handlers().register(LoadQuery.class, loadHandler);
         context.view().subscribe(snapshot -> duty.offer(this::refresh));
-        tick = context.timers().every(options.tickMs(), duty, this::refresh);
+        tick = context.timers().every(options.tickIntervalMs(), duty, this::refresh);
         post(this::refresh);
     }
 
@@ -93,7 +93,7 @@
         post(() -> {
             sealed = true;
             states.values().forEach(OwnershipState::seal);
-            pump();
+            performActions();
         });
     }
 
@@ -130,7 +130,7 @@
             }
             stateOf(service).ifPresent(s -> s.applyTable(table));
         });
-        pump();
+        performActions();
     }
 
     private Optional<OwnershipState> stateOf(ServiceName service) {
@@ -144,10 +144,10 @@
         OwnershipState state = new OwnershipState(
                 context.self(),
                 service,
-                options.minRetryMs(),
-                options.maxRetryMs(),
-                options.lingerMs(),
-                options.maxKeptRecords());
+                options.minRetryDelayMs(),
+                options.maxRetryDelayMs(),
+                options.releaseGraceMs(),
+                options.maxRetainedRecords());
         if (sealed) {
             state.seal();
         }
@@ -156,25 +156,25 @@
         return Optional.of(state);
     }
 
-    private void pump() {
+    private void performActions() {
         RoutingSnapshot snapshot = context.view().current();
         Predicate<MemberId> isSealed =
                 m -> snapshot.member(m).map(Member::state).orElse(null) == MemberState.SEALED;
         states.forEach((service, state) -> {
             for (OwnershipAction action : state.poll(nowMs(), isSealed)) {
-                run(service, state, action);
+                perform(service, state, action);
             }
         });
-        answerWaiters();
+        answerWaitingRequests();
     }
 
-    private void run(ServiceName service, OwnershipState state, OwnershipAction action) {
+    private void perform(ServiceName service, OwnershipState state, OwnershipAction action) {
         if (action instanceof OwnershipAction.Acquire acquire) {
             acquire(service, state, acquire);
         } else if (action instanceof OwnershipAction.Release release) {
             release(service, state, release);
-        } else if (action instanceof OwnershipAction.Ask ask) {
-            ask(service, state, ask);
+        } else if (action instanceof OwnershipAction.RequestRelease ask) {
+            requestRelease(service, state, ask);
         }
     }
 
@@ -198,7 +198,7 @@
                         logFailure("acquire", service, failure);
                         state.acquireFailed(action, nowMs());
                     }
-                    pump();
+                    performActions();
                 }));
     }
 
@@ -207,7 +207,7 @@
                 .whenComplete((records, failure) -> post(() -> {
                     if (failure == null) {
                         releasedRanges.increment();
-                        state.released(action, records, nowMs());
+                        state.releasedRecords(action, records, nowMs());
                         context.log().log(() -> String.format(
                                 "event=range-released service=%s range=%s records=%d",
                                 service, action.range(), records.records().size()));
@@ -215,7 +215,7 @@
                         logFailure("release", service, failure);
                         state.releaseFailed(action, nowMs());
                     }
-                    pump();
+                    performActions();
                 }));
     }
 
@@ -227,54 +227,54 @@
                 call, service, cause.code(), cause.getMessage());
     }
 
-    private void ask(ServiceName service, OwnershipState state, OwnershipAction.Ask action) {
+    private void requestRelease(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action) {
         Optional<Member> known = context.view().current().member(action.previousOwner());
         if (known.isPresent()) {
-            call(service, state, action, known.get());
+            sendReleaseRequest(service, state, action, known.get());
             return;
         }
         context.store()
                 .get(ObjectNames.member(action.previousOwner()))
-                .whenComplete((found, failure) -> post(() -> afterLookup(service, state, action, found, failure)));
+                .whenComplete((found, failure) -> post(() -> lookupCompleted(service, state, action, found, failure)));
     }
 
-    private void afterLookup(
+    private void lookupCompleted(
             ServiceName service,
             OwnershipState state,
-            OwnershipAction.Ask action,
+            OwnershipAction.RequestRelease action,
             Optional<StoredObject> found,
             Throwable failure) {
         if (failure != null) {
-            askAgainLater(state, action);
+            retryLater(state, action);
             return;
         }
         Optional<Member> member =
                 found.map(o -> JsonCodec.decode(o.value(), Member.class)).filter(m -> m.state() != MemberState.SEALED);
         if (member.isPresent()) {
-            call(service, state, action, member.get());
+            sendReleaseRequest(service, state, action, member.get());
         } else {
-            state.memberGone(action.previousOwner());
-            pump();
+            state.memberRemoved(action.previousOwner());
+            performActions();
         }
     }
 
-    private void call(ServiceName service, OwnershipState state, OwnershipAction.Ask action, Member member) {
+    private void sendReleaseRequest(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action, Member member) {
         ReleaseRequest request = new ReleaseRequest(context.self(), service, action.range(), action.fence());
         context.peers()
                 .call(PeerTarget.of(member), request, ReleaseAnswer.class, options.releaseTimeoutMs())
                 .whenComplete((answer, failure) -> post(() -> {
                     if (failure != null || !answer.released()) {
-                        askAgainLater(state, action);
+                        retryLater(state, action);
                     } else {
-                        state.askAnswered(action, answer, nowMs());
-                        pump();
+                        state.releaseRequestAnswered(action, answer, nowMs());
+                        performActions();
                     }
                 }));
     }
 
-    private void askAgainLater(OwnershipState state, OwnershipAction.Ask action) {
-        long delayMs = state.askFailed(action, nowMs());
-        context.timers().once(delayMs, duty, this::pump);
+    private void retryLater(OwnershipState state, OwnershipAction.RequestRelease action) {
+        long delayMs = state.releaseRequestFailed(action, nowMs());
+        context.timers().once(delayMs, duty, this::performActions);
     }
 
     private CompletableFuture<ReleaseAnswer> onReleaseRequest(MemberId sender, ReleaseRequest request) {
@@ -284,15 +284,15 @@
         }
         CompletableFuture<ReleaseAnswer> answer = new CompletableFuture<>();
         boolean queued = duty.offer(() -> {
-            if (waiters.size() >= MAX_WAITERS || stateOf(request.service()).isEmpty()) {
+            if (waitingRequests.size() >= MAX_WAITING_REQUESTS || stateOf(request.service()).isEmpty()) {
                 answer.complete(ReleaseAnswer.notYet());
                 return;
             }
-            waiters.add(new Waiter(request, answer));
-            pump();
+            waitingRequests.add(new WaitingRequest(request, answer));
+            performActions();
             if (!answer.isDone()) {
-                pump();
-                context.timers().once(options.answerWaitMs(), duty, () -> giveUp(answer));
+                performActions();
+                context.timers().once(options.maxAnswerDelayMs(), duty, () -> answerNotYet(answer));
             }
         });
         if (!queued) {
@@ -301,23 +301,23 @@
         return answer;
     }
 
-    private void giveUp(CompletableFuture<ReleaseAnswer> answer) {
-        waiters.removeIf(w -> w.answer == answer);
+    private void answerNotYet(CompletableFuture<ReleaseAnswer> answer) {
+        waitingRequests.removeIf(w -> w.answer == answer);
         answer.complete(ReleaseAnswer.notYet());
     }
 
-    private void answerWaiters() {
-        waiters.removeIf(waiter -> {
+    private void answerWaitingRequests() {
+        waitingRequests.removeIf(waiter -> {
             OwnershipState state = states.get(waiter.request.service());
-            Optional<ReleaseAnswer> answer = state.requestRelease(waiter.request, nowMs())
-                    .filter(a -> !a.released() || !isLeftHeld(waiter.request.range()));
+            Optional<ReleaseAnswer> answer = state.handleReleaseRequest(waiter.request, nowMs())
+                    .filter(a -> !a.released() || !releaseStaleGrant(waiter.request.range()));
             answer.ifPresent(waiter.answer::complete);
             return answer.isPresent();
         });
     }
 
     /** Has a range revoked that a former process of this daemon granted and this one does not serve. */
-    private boolean isLeftHeld(KeyRange range) {
+    private boolean releaseStaleGrant(KeyRange range) {
         if (!gate.mayHold(range)) {
             return false;
         }
@@ -335,7 +335,7 @@
                     .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server yet"));
             OwnershipState state =
                     stateOf(service).orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many services"));
-            return new LoadReport(context.self(), service, state.settledGeneration(), gate.loads());
+            return new LoadReport(context.self(), service, state.appliedGeneration(), gate.loads());
         });
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/Holding.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
@@ -9,16 +9,16 @@
  *
  * @param inherited records for the next attempt to acquire; empty once the range is served
  * @param served whether the gate has served the range under this fence
- * @param callOutstanding whether the gate has not answered yet
+ * @param callPending whether the gate has not answered yet
  * @param retryAtMs monotonic time of the next call to the gate after a failure
  */
-record Holding(
+record HeldRange(
         KeyRange range,
         Generation fence,
         Phase phase,
         InheritedRecords inherited,
         boolean served,
-        boolean callOutstanding,
+        boolean callPending,
         long retryAtMs) {
     enum Phase {
         ACQUIRING,
@@ -26,23 +26,23 @@
         RELEASING
     }
 
-    Holding withRange(KeyRange part) {
-        return new Holding(part, fence, phase, inherited, served, callOutstanding, retryAtMs);
+    HeldRange withRange(KeyRange part) {
+        return new HeldRange(part, fence, phase, inherited, served, callPending, retryAtMs);
     }
 
-    Holding serving() {
-        return new Holding(range, fence, Phase.SERVING, InheritedRecords.NONE, true, false, 0);
+    HeldRange asServing() {
+        return new HeldRange(range, fence, Phase.SERVING, InheritedRecords.NONE, true, false, 0);
     }
 
-    Holding releasing(KeyRange part) {
-        return new Holding(part, fence, Phase.RELEASING, InheritedRecords.NONE, served, false, 0);
+    HeldRange asReleasing(KeyRange part) {
+        return new HeldRange(part, fence, Phase.RELEASING, InheritedRecords.NONE, served, false, 0);
     }
 
-    Holding called() {
-        return new Holding(range, fence, phase, inherited, served, true, 0);
+    HeldRange withCallPending() {
+        return new HeldRange(range, fence, phase, inherited, served, true, 0);
     }
 
-    Holding failed(long nextTryMs) {
-        return new Holding(range, fence, phase, inherited, served, false, nextTryMs);
+    HeldRange withRetryAt(long nextTryMs) {
+        return new HeldRange(range, fence, phase, inherited, served, false, nextTryMs);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
@@ -29,7 +29,7 @@
 public final class LoadCollector {
     private record Received(LoadReport report, long round) {}
 
-    private static final int ROUNDS_KEPT = 3;
+    private static final int MAX_REPORT_AGE_ROUNDS = 3;
 
     private final MemberId self;
     private final PeerClient peers;
@@ -51,7 +51,7 @@
     /** Asks every member that may own ranges. */
     public void query(RoutingSnapshot snapshot) {
         round++;
-        reports.values().removeIf(r -> round - r.round > ROUNDS_KEPT);
+        reports.values().removeIf(r -> round - r.round > MAX_REPORT_AGE_ROUNDS);
         for (KnownMember known : snapshot.members().values()) {
             Member member = known.member();
             boolean mayOwn = member.state() == MemberState.ACTIVE || member.state() == MemberState.LEAVING;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
@@ -17,29 +17,29 @@
  */
 public final class MemberCleaner {
     private final ObjectStore store;
-    private final long keepMs;
-    private final Map<MemberId, Long> unmentionedSinceMs = new HashMap<>();
+    private final long retentionMs;
+    private final Map<MemberId, Long> unreferencedSinceMs = new HashMap<>();
 
     public MemberCleaner(ObjectStore store, long keepMs) {
         this.store = store;
-        this.keepMs = keepMs;
+        this.retentionMs = keepMs;
     }
 
     /** Checks all members of a snapshot. */
-    public void step(RoutingSnapshot snapshot, long nowMs) {
-        unmentionedSinceMs.keySet().removeIf(m -> !snapshot.members().containsKey(m));
+    public void deleteExpired(RoutingSnapshot snapshot, long nowMs) {
+        unreferencedSinceMs.keySet().removeIf(m -> !snapshot.members().containsKey(m));
         snapshot.members().forEach((id, known) -> check(snapshot, id, known, nowMs));
     }
 
     private void check(RoutingSnapshot snapshot, MemberId id, KnownMember known, long nowMs) {
         boolean mentioned = snapshot.tables().values().stream().anyMatch(t -> t.mentions(id));
         if (known.member().state() != MemberState.SEALED || mentioned) {
-            unmentionedSinceMs.remove(id);
+            unreferencedSinceMs.remove(id);
             return;
         }
-        Long since = unmentionedSinceMs.putIfAbsent(id, nowMs);
-        if (since != null && nowMs - since >= keepMs) {
-            unmentionedSinceMs.put(id, nowMs);
+        Long since = unreferencedSinceMs.putIfAbsent(id, nowMs);
+        if (since != null && nowMs - since >= retentionMs) {
+            unreferencedSinceMs.put(id, nowMs);
             store.delete(ObjectNames.member(id), known.revision());
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
@@ -25,65 +25,65 @@
  * says that its record is sealed or does not exist.
  */
 public final class MemberLookup {
-    private static final int MAX_KNOWN = 10_000;
+    private static final int MAX_CACHED_MEMBERS = 10_000;
 
     private final ObjectStore store;
     private final Consumer<Runnable> post;
-    private final Set<MemberId> asked = new HashSet<>();
-    private final Set<MemberId> gone = new HashSet<>();
-    private final Map<MemberId, Member> found = new HashMap<>();
+    private final Set<MemberId> pendingLookups = new HashSet<>();
+    private final Set<MemberId> removedMembers = new HashSet<>();
+    private final Map<MemberId, Member> foundMembers = new HashMap<>();
 
     public MemberLookup(ObjectStore store, Consumer<Runnable> post) {
         this.store = store;
         this.post = post;
     }
 
-    public Set<MemberId> gone() {
-        return gone;
+    public Set<MemberId> removedMembers() {
+        return removedMembers;
     }
 
     /** Forgets the members found alive, which may have been sealed since. */
-    public void expireFound() {
-        found.clear();
+    public void clearFoundMembers() {
+        foundMembers.clear();
     }
 
-    public Map<MemberId, Member> found() {
-        return found;
+    public Map<MemberId, Member> foundMembers() {
+        return foundMembers;
     }
 
     /** Whether every member that a table mentions is known; starts the lookup of those that are not. */
-    public boolean resolveAbsent(RoutingSnapshot snapshot, AssignmentTable table) {
-        if (gone.size() + found.size() > MAX_KNOWN) {
-            gone.clear();
-            found.clear();
+    public boolean resolveMissing(RoutingSnapshot snapshot, AssignmentTable table) {
+        if (removedMembers.size() + foundMembers.size() > MAX_CACHED_MEMBERS) {
+            removedMembers.clear();
+            foundMembers.clear();
         }
         Set<MemberId> mentioned = new HashSet<>();
         table.assignments().forEach(a -> {
             mentioned.add(a.owner());
             mentioned.addAll(a.previousOwners());
         });
-        mentioned.removeIf(m -> snapshot.members().containsKey(m) || gone.contains(m) || found.containsKey(m));
-        mentioned.stream().filter(asked::add).forEach(this::ask);
+        mentioned.removeIf(m -> snapshot.members().containsKey(m) || removedMembers.contains(m) || foundMembers.containsKey(m));
+        mentioned.stream().filter(pendingLookups::add).forEach(this::lookUp);
         return mentioned.isEmpty();
     }
 
-    private void ask(MemberId member) {
+    private void lookUp(MemberId member) {
         store.get(ObjectNames.member(member))
                 .whenComplete((object, failure) -> post.accept(() -> {
-                    asked.remove(member);
+                    pendingLookups.remove(member);
                     if (failure == null) {
-                        answered(member, object);
+                        lookupCompleted(member, object);
                     }
                 }));
     }
 
-    private void answered(MemberId id, Optional<StoredObject> object) {
+    private void lookupCompleted(MemberId id, Optional<StoredObject> object) {
         Optional<Member> alive =
                 object.map(o -> JsonCodec.decode(o.value(), Member.class)).filter(m -> m.state() != MemberState.SEALED);
         if (alive.isPresent()) {
-            found.put(id, alive.get());
+            foundMembers.put(id, alive.get());
         } else {
-            gone.add(id);
+            removedMembers.add(id);
         }
     }
 
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -17,99 +17,99 @@
      *
      * @param score gain less cost, in units of load over fair load
      */
-    record Move(int slot, List<KeyRange> parts, int movedPart, MemberId target, double score, boolean isHotHash) {
+    record Move(int entryIndex, List<KeyRange> parts, int movedPartIndex, MemberId target, double score, boolean isHotHash) {
         Move {
             parts = List.copyOf(parts);
         }
     }
 
     private static final double MIN_GAIN = 0.03;
-    private static final double WHOLE_FRACTION = 0.9;
-    private static final double FILL_MAX_RATIO = 1.0;
+    private static final double MAX_SPLIT_FRACTION = 0.9;
+    private static final double MAX_FILLED_LOAD_RATIO = 1.0;
 
     private final WorkingTable table;
     private final MemberId source;
     private final MemberId target;
-    private final RebalanceRules rules;
+    private final RebalanceParameters parameters;
     private final boolean maySplit;
-    private final List<Move> found = new ArrayList<>();
+    private final List<Move> candidates = new ArrayList<>();
 
-    private MoveSearch(WorkingTable table, MemberId source, MemberId target, RebalanceRules rules) {
+    private MoveSearch(WorkingTable table, MemberId source, MemberId target, RebalanceParameters rules) {
         this.table = table;
         this.source = source;
         this.target = target;
-        this.rules = rules;
+        this.parameters = rules;
         this.maySplit = TableCompaction.maySplit(table);
     }
 
     /** The best move that takes load off a server. */
-    static Optional<Move> relieve(
-            WorkingTable table, MemberId source, RebalanceRules rules, Predicate<MemberId> mayMove) {
+    static Optional<Move> findMoveFrom(
+            WorkingTable table, MemberId source, RebalanceParameters rules, Predicate<MemberId> mayMove) {
         return table.weights().keySet().stream()
                 .filter(m -> !m.equals(source) && mayMove.test(m))
-                .min(Comparator.comparingDouble(table::ratio))
+                .min(Comparator.comparingDouble(table::loadRatio))
                 .flatMap(target -> new MoveSearch(table, source, target, rules).best());
     }
 
     private Optional<Move> best() {
-        for (int i = 0; i < table.slots().size(); i++) {
-            WorkingTable.Slot slot = table.slots().get(i);
-            if (slot.owner().equals(source) && slot.settled()) {
-                consider(i, slot);
+        for (int i = 0; i < table.entries().size(); i++) {
+            WorkingTable.Entry slot = table.entries().get(i);
+            if (slot.owner().equals(source) && slot.stable()) {
+                addMovesOf(i, slot);
             }
         }
-        return found.stream().max(Comparator.comparingDouble(Move::score));
+        return candidates.stream().max(Comparator.comparingDouble(Move::score));
     }
 
-    private void consider(int index, WorkingTable.Slot slot) {
-        offer(index, List.of(slot.range()), 0, slot.load().perSecond(), false);
+    private void addMovesOf(int index, WorkingTable.Entry slot) {
+        addIfWorthwhile(index, List.of(slot.range()), 0, slot.load().perSecond(), false);
         if (!maySplit || KeyRanges.isSingleHash(slot.range())) {
             return;
         }
         for (HotHash hot : slot.load().hot()) {
             List<KeyRange> parts = KeyRanges.splitAround(slot.range(), hot.hash());
             int moved = slot.range().first().equals(hot.hash()) ? 0 : 1;
-            offer(index, parts, moved, hot.requestsPerSecond(), true);
+            addIfWorthwhile(index, parts, moved, hot.requestsPerSecond(), true);
         }
         double even = slot.load().evenPerSecond();
-        double spare = table.load(source) - rules.lowMark() * table.fairLoad(source);
+        double spare = table.load(source) - parameters.lowWatermark() * table.fairLoad(source);
         double wanted = Math.min(spare, table.fairLoad(target) - table.load(target));
         if (wanted > 0 && even > 0) {
-            List<KeyRange> parts = KeyRanges.splitAt(slot.range(), Math.min(wanted / even, WHOLE_FRACTION));
+            List<KeyRange> parts = KeyRanges.splitAt(slot.range(), Math.min(wanted / even, MAX_SPLIT_FRACTION));
             for (int part = 0; part < parts.size(); part++) {
-                offer(
+                addIfWorthwhile(
                         index,
                         parts,
                         part,
-                        slot.load().part(slot.range(), parts.get(part)).perSecond(),
+                        slot.load().partOf(slot.range(), parts.get(part)).perSecond(),
                         false);
             }
         }
     }
 
-    private void offer(int index, List<KeyRange> parts, int moved, double load, boolean hot) {
-        double before = Math.max(table.ratio(source), table.ratio(target));
+    private void addIfWorthwhile(int index, List<KeyRange> parts, int moved, double load, boolean hot) {
+        double before = Math.max(table.loadRatio(source), table.loadRatio(target));
         double after = Math.max(
-                table.ratio(source, table.load(source) - load), table.ratio(target, table.load(target) + load));
+                table.loadRatio(source, table.load(source) - load), table.loadRatio(target, table.load(target) + load));
         double gain = before - after;
-        double cost = rules.moveCost() + rules.shareCost() * parts.get(moved).share() / table.fairShare(source);
-        double needed = table.ratio(source) - rules.lowMark();
-        if (gain >= Math.max(MIN_GAIN, needed * rules.minGainPart())) {
-            found.add(new Move(index, parts, moved, target, gain - cost, hot));
+        double cost = parameters.moveCost() + parameters.shareCost() * parts.get(moved).share() / table.fairShare(source);
+        double needed = table.loadRatio(source) - parameters.lowWatermark();
+        if (gain >= Math.max(MIN_GAIN, needed * parameters.minGainFraction())) {
+            candidates.add(new Move(index, parts, moved, target, gain - cost, hot));
         }
     }
 
     /** A piece of hash space for a server that has little, from the server that can best spare it. */
-    static Optional<Move> fill(WorkingTable table, MemberId target, Predicate<MemberId> mayMove) {
+    static Optional<Move> findMoveTo(WorkingTable table, MemberId target, Predicate<MemberId> mayMove) {
         double missing = table.fairShare(target) - table.share(target);
-        double room = table.fairLoad(target) * FILL_MAX_RATIO - table.load(target);
+        double room = table.fairLoad(target) * MAX_FILLED_LOAD_RATIO - table.load(target);
         boolean maySplit = TableCompaction.maySplit(table);
         Move best = null;
-        for (int i = 0; i < table.slots().size(); i++) {
-            WorkingTable.Slot slot = table.slots().get(i);
+        for (int i = 0; i < table.entries().size(); i++) {
+            WorkingTable.Entry slot = table.entries().get(i);
             MemberId owner = slot.owner();
             double spare = table.share(owner) - table.fairShare(owner);
-            if (owner.equals(target) || !slot.settled() || spare <= 0 || !mayMove.test(owner)) {
+            if (owner.equals(target) || !slot.stable() || spare <= 0 || !mayMove.test(owner)) {
                 continue;
             }
             double share = slot.range().share();
@@ -118,8 +118,8 @@
                     ? KeyRanges.splitAt(slot.range(), wanted / share)
                     : List.of(slot.range());
             double movedShare = parts.get(0).share();
-            double load = slot.load().part(slot.range(), parts.get(0)).perSecond();
-            double score = Math.min(movedShare, missing) + table.ratio(owner) * movedShare;
+            double load = slot.load().partOf(slot.range(), parts.get(0)).perSecond();
+            double score = Math.min(movedShare, missing) + table.loadRatio(owner) * movedShare;
             if (movedShare <= 2 * wanted && load <= room && (best == null || score > best.score)) {
                 best = new Move(i, parts, 0, target, score, false);
             }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
@@ -14,5 +14,5 @@
     record Release(KeyRange range) implements OwnershipAction {}
 
     /** Ask a previous owner to release a range and report the answer. */
-    record Ask(KeyRange range, Generation fence, MemberId previousOwner) implements OwnershipAction {}
+    record RequestRelease(KeyRange range, Generation fence, MemberId previousOwner) implements OwnershipAction {}
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -19,7 +19,7 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
 import org.coriandercrank.kernel.table.RangeAssignment;
-import org.coriandercrank.placement.internal.Holding.Phase;
+import org.coriandercrank.placement.internal.HeldRange.Phase;
 
 /**
  * State machine of the ranges of one service at one daemon.
@@ -45,25 +45,25 @@
      *
      * @param untilMs when it is released without being asked for; {@link #NOT_SET} before the first poll
      */
-    private record Lingering(KeyRange range, long untilMs) {
+    private record DeferredRelease(KeyRange range, long untilMs) {
         static final long NOT_SET = Long.MIN_VALUE;
     }
 
     private static final int MAX_BARRIERS = 1_024;
 
     private final MemberId self;
-    private final long minRetryMs;
-    private final long maxRetryMs;
-    private final long lingerMs;
-    private final ReleasedRecords released;
-    private final Set<MemberId> gone = new HashSet<>();
+    private final long minRetryDelayMs;
+    private final long maxRetryDelayMs;
+    private final long releaseGraceMs;
+    private final ReleasedRecords releasedRecords;
+    private final Set<MemberId> removedMembers = new HashSet<>();
     private AssignmentTable table;
     private List<RangeAssignment> owned = List.of();
     private boolean sealed;
-    private boolean dirty;
-    private List<Holding> holdings = new ArrayList<>();
+    private boolean reconcileNeeded;
+    private List<HeldRange> heldRanges = new ArrayList<>();
     private List<Barrier> barriers = new ArrayList<>();
-    private List<Lingering> lingering = new ArrayList<>();
+    private List<DeferredRelease> deferredReleases = new ArrayList<>();
     private Map<PendingRange.Id, PendingRange> pending = new LinkedHashMap<>();
 
     /**
@@ -74,11 +74,11 @@
      */
     public OwnershipState(
             MemberId self, ServiceName service, long minRetryMs, long maxRetryMs, long lingerMs, int maxKeptRecords) {
-        this.lingerMs = lingerMs;
+        this.releaseGraceMs = lingerMs;
         this.self = self;
-        this.minRetryMs = minRetryMs;
-        this.maxRetryMs = maxRetryMs;
-        this.released = new ReleasedRecords(maxKeptRecords);
+        this.minRetryDelayMs = minRetryMs;
+        this.maxRetryDelayMs = maxRetryMs;
+        this.releasedRecords = new ReleasedRecords(maxKeptRecords);
         this.table = AssignmentTable.empty(service);
     }
 
@@ -90,9 +90,9 @@
         table = newTable;
         owned = newTable.ownedBy(self);
         barriers.removeIf(b -> !b.generation.isNewerThan(table.generation()));
-        released.prune(table, self);
-        gone.removeIf(m -> !table.mentions(m));
-        lingerWhereNotAsked();
+        releasedRecords.prune(table, self);
+        removedMembers.removeIf(m -> !table.mentions(m));
+        deferReleases();
         reconcile();
     }
 
@@ -105,8 +105,8 @@
     }
 
     /** Notes that the record of a member is certainly sealed or deleted. */
-    public void memberGone(MemberId member) {
-        gone.add(member);
+    public void memberRemoved(MemberId member) {
+        removedMembers.add(member);
     }
 
     /**
@@ -114,9 +114,9 @@
      *
      * @return the answer, or empty while a release is still running
      */
-    public Optional<ReleaseAnswer> requestRelease(ReleaseRequest request, long nowMs) {
+    public Optional<ReleaseAnswer> handleReleaseRequest(ReleaseRequest request, long nowMs) {
         KeyRange range = request.range();
-        if (lingering.removeIf(l -> l.range.overlaps(range))) {
+        if (deferredReleases.removeIf(l -> l.range.overlaps(range))) {
             reconcile();
         }
         if (request.generation().isNewerThan(table.generation())) {
@@ -126,10 +126,10 @@
         } else if (!sealed && isAssigned(range)) {
             return Optional.of(ReleaseAnswer.notYet());
         }
-        if (holdings.stream().anyMatch(h -> h.range().overlaps(range))) {
+        if (heldRanges.stream().anyMatch(h -> h.range().overlaps(range))) {
             return Optional.empty();
         }
-        return Optional.of(released.handOver(range, request.requester(), request.generation(), nowMs));
+        return Optional.of(releasedRecords.handOver(range, request.requester(), request.generation(), nowMs));
     }
 
     private boolean isAssigned(KeyRange range) {
@@ -161,63 +161,63 @@
 
     /** What has to be done now; each action is returned once until its result is reported. */
     public List<OwnershipAction> poll(long nowMs, Predicate<MemberId> isSealed) {
-        Predicate<MemberId> lost = m -> gone.contains(m) || isSealed.test(m);
+        Predicate<MemberId> lost = m -> removedMembers.contains(m) || isSealed.test(m);
         List<OwnershipAction> actions = new ArrayList<>();
-        reconcileIfDirty();
-        expireLingering(nowMs);
+        reconcileIfNeeded();
+        expireDeferredReleases(nowMs);
         acquireReady(nowMs, lost);
-        for (int i = 0; i < holdings.size(); i++) {
-            Holding holding = holdings.get(i);
-            if (holding.phase() == Phase.SERVING || holding.callOutstanding() || nowMs < holding.retryAtMs()) {
+        for (int i = 0; i < heldRanges.size(); i++) {
+            HeldRange holding = heldRanges.get(i);
+            if (holding.phase() == Phase.SERVING || holding.callPending() || nowMs < holding.retryAtMs()) {
                 continue;
             }
-            holdings.set(i, holding.called());
+            heldRanges.set(i, holding.withCallPending());
             actions.add(
                     holding.phase() == Phase.RELEASING
                             ? new OwnershipAction.Release(holding.range())
                             : new OwnershipAction.Acquire(holding.range(), holding.fence(), holding.inherited()));
         }
         for (PendingRange range : pending.values()) {
-            for (MemberId member : range.due(nowMs, lost)) {
+            for (MemberId member : range.dueRequests(nowMs, lost)) {
                 actions.add(
-                        new OwnershipAction.Ask(range.id().range(), range.id().fence(), member));
+                        new OwnershipAction.RequestRelease(range.id().range(), range.id().fence(), member));
             }
         }
         return actions;
     }
 
     /** Serves what a planned move takes away until the new owner asks; the new owner cannot serve before that. */
-    private void lingerWhereNotAsked() {
-        List<Lingering> next = new ArrayList<>();
+    private void deferReleases() {
+        List<DeferredRelease> next = new ArrayList<>();
         List<RangeAssignment> taken = table.assignments().stream()
                 .filter(a -> a.previousOwners().contains(self))
                 .toList();
-        for (Holding holding : holdings) {
+        for (HeldRange holding : heldRanges) {
             if (holding.phase() != Phase.SERVING) {
                 continue;
             }
             for (RangeAssignment assignment : taken) {
                 if (assignment.range().overlaps(holding.range())) {
                     KeyRanges.intersect(assignment.range(), holding.range())
-                            .ifPresent(part -> next.add(new Lingering(part, lingerUntilMs(part))));
+                            .ifPresent(part -> next.add(new DeferredRelease(part, deferredUntilMs(part))));
                 }
             }
         }
-        lingering = next;
+        deferredReleases = next;
     }
 
     /** Keeps the time of a part that lingers already, so that a sequence of tables cannot extend it. */
-    private long lingerUntilMs(KeyRange part) {
-        return lingering.stream()
+    private long deferredUntilMs(KeyRange part) {
+        return deferredReleases.stream()
                 .filter(l -> l.range.overlaps(part))
-                .mapToLong(Lingering::untilMs)
+                .mapToLong(DeferredRelease::untilMs)
                 .min()
-                .orElse(Lingering.NOT_SET);
+                .orElse(DeferredRelease.NOT_SET);
     }
 
-    private void expireLingering(long nowMs) {
-        lingering.replaceAll(l -> l.untilMs == Lingering.NOT_SET ? new Lingering(l.range, nowMs + lingerMs) : l);
-        if (lingering.removeIf(l -> nowMs >= l.untilMs)) {
+    private void expireDeferredReleases(long nowMs) {
+        deferredReleases.replaceAll(l -> l.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(l.range, nowMs + releaseGraceMs) : l);
+        if (deferredReleases.removeIf(l -> nowMs >= l.untilMs)) {
             reconcile();
         }
     }
@@ -228,18 +228,18 @@
         for (PendingRange range : ready) {
             PendingRange.Id id = range.id();
             pending.remove(id);
-            ReleaseAnswer own = released.handOver(id.range(), self, id.fence(), nowMs);
-            holdings.add(new Holding(id.range(), id.fence(), Phase.ACQUIRING, range.inherited(own), false, false, 0));
+            ReleaseAnswer own = releasedRecords.handOver(id.range(), self, id.fence(), nowMs);
+            heldRanges.add(new HeldRange(id.range(), id.fence(), Phase.ACQUIRING, range.inheritedRecords(own), false, false, 0));
         }
     }
 
     /** Reports the answer of a previous owner. */
-    public void askAnswered(OwnershipAction.Ask ask, ReleaseAnswer answer, long nowMs) {
+    public void releaseRequestAnswered(OwnershipAction.RequestRelease ask, ReleaseAnswer answer, long nowMs) {
         if (!answer.released()) {
-            askFailed(ask, nowMs);
+            releaseRequestFailed(ask, nowMs);
             return;
         }
-        matching(ask).forEach(p -> p.answered(ask.previousOwner(), answer));
+        matching(ask).forEach(p -> p.addAnswer(ask.previousOwner(), answer));
     }
 
     /**
@@ -247,14 +247,14 @@
      *
      * @return delay until the next attempt, in milliseconds
      */
-    public long askFailed(OwnershipAction.Ask ask, long nowMs) {
+    public long releaseRequestFailed(OwnershipAction.RequestRelease ask, long nowMs) {
         return matching(ask).stream()
-                .mapToLong(p -> p.askAgain(ask.previousOwner(), nowMs, minRetryMs, maxRetryMs))
+                .mapToLong(p -> p.scheduleRetry(ask.previousOwner(), nowMs, minRetryDelayMs, maxRetryDelayMs))
                 .max()
-                .orElse(minRetryMs);
+                .orElse(minRetryDelayMs);
     }
 
-    private List<PendingRange> matching(OwnershipAction.Ask ask) {
+    private List<PendingRange> matching(OwnershipAction.RequestRelease ask) {
         return pending.values().stream()
                 .filter(p ->
                         p.id().range().equals(ask.range()) && p.id().fence().equals(ask.fence()))
@@ -262,30 +262,30 @@
     }
 
     public void acquired(OwnershipAction.Acquire action) {
-        released.forget(action.range());
-        replace(action.range(), Holding::serving);
-        dirty = true;
+        releasedRecords.remove(action.range());
+        replace(action.range(), HeldRange::asServing);
+        reconcileNeeded = true;
     }
 
     public void acquireFailed(OwnershipAction.Acquire action, long nowMs) {
-        replace(action.range(), h -> h.failed(nowMs + maxRetryMs));
-        dirty = true;
+        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
+        reconcileNeeded = true;
     }
 
-    public void released(OwnershipAction.Release action, InheritedRecords records, long nowMs) {
-        for (Holding holding : List.copyOf(holdings)) {
+    public void releasedRecords(OwnershipAction.Release action, InheritedRecords records, long nowMs) {
+        for (HeldRange holding : List.copyOf(heldRanges)) {
             if (holding.range().equals(action.range())) {
-                holdings.remove(holding);
+                heldRanges.remove(holding);
                 if (holding.served()) {
-                    released.add(action.range(), newestGeneration(action.range()), records, nowMs);
+                    releasedRecords.add(action.range(), newestGeneration(action.range()), records, nowMs);
                 }
             }
         }
-        dirty = true;
+        reconcileNeeded = true;
     }
 
     public void releaseFailed(OwnershipAction.Release action, long nowMs) {
-        replace(action.range(), h -> h.failed(nowMs + maxRetryMs));
+        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
     }
 
     private Generation newestGeneration(KeyRange range) {
@@ -297,40 +297,40 @@
                 .orElse(table.generation());
     }
 
-    private void replace(KeyRange range, UnaryOperator<Holding> change) {
-        holdings.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
+    private void replace(KeyRange range, UnaryOperator<HeldRange> change) {
+        heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
     /** Results come in groups; what follows from them is worked out once before the next actions. */
-    private void reconcileIfDirty() {
-        if (dirty) {
+    private void reconcileIfNeeded() {
+        if (reconcileNeeded) {
             reconcile();
         }
     }
 
     private void reconcile() {
-        dirty = false;
-        List<Holding> next = new ArrayList<>();
-        for (Holding holding : holdings) {
-            if (holding.phase() == Phase.RELEASING || holding.callOutstanding()) {
+        reconcileNeeded = false;
+        List<HeldRange> next = new ArrayList<>();
+        for (HeldRange holding : heldRanges) {
+            if (holding.phase() == Phase.RELEASING || holding.callPending()) {
                 next.add(holding);
                 continue;
             }
-            List<KeyRange> allowed = keptParts(holding);
+            List<KeyRange> allowed = retainedParts(holding);
             allowed.forEach(part -> next.add(holding.withRange(part)));
-            KeyRanges.subtract(holding.range(), allowed).forEach(part -> next.add(holding.releasing(part)));
+            KeyRanges.subtract(holding.range(), allowed).forEach(part -> next.add(holding.asReleasing(part)));
         }
-        holdings = next;
+        heldRanges = next;
         pending = findPending();
     }
 
     /** What the table allows, and what lingers. */
-    private List<KeyRange> keptParts(Holding holding) {
+    private List<KeyRange> retainedParts(HeldRange holding) {
         List<KeyRange> parts = new ArrayList<>(allowedParts(holding));
         if (sealed || holding.phase() != Phase.SERVING) {
             return parts;
         }
-        for (Lingering part : lingering) {
+        for (DeferredRelease part : deferredReleases) {
             KeyRanges.intersect(part.range, holding.range()).ifPresent(common -> {
                 List<KeyRange> taken = new ArrayList<>(parts);
                 taken.addAll(barriersIn(common));
@@ -342,7 +342,7 @@
     }
 
     /** Only what overlaps is looked at closely: a service may have hundreds of ranges, and each event comes here. */
-    private List<KeyRange> allowedParts(Holding holding) {
+    private List<KeyRange> allowedParts(HeldRange holding) {
         if (sealed) {
             return List.of();
         }
@@ -378,7 +378,7 @@
             return next;
         }
         for (RangeAssignment assignment : owned) {
-            List<Holding> held = holdings.stream()
+            List<HeldRange> held = heldRanges.stream()
                     .filter(h -> h.range().overlaps(assignment.range()))
                     .toList();
             if (held.stream().anyMatch(h -> h.phase() != Phase.SERVING)) {
@@ -399,9 +399,9 @@
      * The generation of the table if nothing that it takes from this daemon is still held, else {@link
      * Generation#NONE}.
      */
-    public Generation settledGeneration() {
-        reconcileIfDirty();
-        boolean unsettled = holdings.stream()
+    public Generation appliedGeneration() {
+        reconcileIfNeeded();
+        boolean unsettled = heldRanges.stream()
                 .anyMatch(h -> h.phase() == Phase.RELEASING
                         || !KeyRanges.subtract(h.range(), allowedParts(h)).isEmpty());
         return unsettled ? Generation.NONE : table.generation();
@@ -413,7 +413,7 @@
 
     /** Whether the gate may hold, get or lose any range. */
     public boolean isIdle() {
-        reconcileIfDirty();
-        return holdings.isEmpty() && pending.isEmpty();
+        reconcileIfNeeded();
+        return heldRanges.isEmpty() && pending.isEmpty();
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
@@ -31,7 +31,7 @@
     private final Id id;
     private final Map<MemberId, ReleaseAnswer> answers = new HashMap<>();
     private final Map<MemberId, Integer> attempts = new HashMap<>();
-    private final Map<MemberId, Long> nextAskMs = new HashMap<>();
+    private final Map<MemberId, Long> nextRequestAtMs = new HashMap<>();
 
     PendingRange(Id id) {
         this.id = id;
@@ -42,25 +42,25 @@
     }
 
     /** The previous owners to ask now; marks them as asked until an answer or failure is reported. */
-    List<MemberId> due(long nowMs, Predicate<MemberId> sealed) {
+    List<MemberId> dueRequests(long nowMs, Predicate<MemberId> sealed) {
         List<MemberId> due = new ArrayList<>();
         for (MemberId member : id.previousOwners()) {
-            if (!answers.containsKey(member) && !sealed.test(member) && nowMs >= nextAskMs.getOrDefault(member, 0L)) {
-                nextAskMs.put(member, Long.MAX_VALUE);
+            if (!answers.containsKey(member) && !sealed.test(member) && nowMs >= nextRequestAtMs.getOrDefault(member, 0L)) {
+                nextRequestAtMs.put(member, Long.MAX_VALUE);
                 due.add(member);
             }
         }
         return due;
     }
 
-    void answered(MemberId member, ReleaseAnswer answer) {
+    void addAnswer(MemberId member, ReleaseAnswer answer) {
         answers.putIfAbsent(member, answer);
     }
 
-    long askAgain(MemberId member, long nowMs, long minRetryMs, long maxRetryMs) {
+    long scheduleRetry(MemberId member, long nowMs, long minRetryMs, long maxRetryMs) {
         int attempt = attempts.merge(member, 1, Integer::sum);
         long delayMs = Math.min(maxRetryMs, minRetryMs << Math.min(attempt - 1, 16));
-        nextAskMs.put(member, nowMs + delayMs);
+        nextRequestAtMs.put(member, nowMs + delayMs);
         return delayMs;
     }
 
@@ -74,7 +74,7 @@
      *
      * @param own records that this daemon itself kept of the range
      */
-    InheritedRecords inherited(ReleaseAnswer own) {
+    InheritedRecords inheritedRecords(ReleaseAnswer own) {
         boolean nobodyBefore = id.previousOwners().isEmpty() && own.recordsCompleteForMs() == ReleaseAnswer.NOT_SERVED;
         if (nobodyBefore && id.fence().equals(FIRST_GENERATION)) {
             return InheritedRecords.NEVER_OWNED;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlacementMeters.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlacementMeters.java
@@ -24,11 +24,11 @@
         this.registry = registry;
     }
 
-    public void role(boolean holder) {
+    public void setRoleHeld(boolean holder) {
         set("crank.planner.holder", Tags.empty(), holder ? 1 : 0);
     }
 
-    public void changes(ServiceName service, List<TableBuilder.Change> changes) {
+    public void countChanges(ServiceName service, List<TableBuilder.Change> changes) {
         for (TableBuilder.Change change : changes) {
             Tags tags = Tags.of("service", service.value(), "reason", change.reason());
             registry.counter("crank.placement.moves", tags).increment();
@@ -37,7 +37,7 @@
         }
     }
 
-    public void table(ServiceName service, AssignmentTable table, double imbalance) {
+    public void setTable(ServiceName service, AssignmentTable table, double imbalance) {
         Tags tags = Tags.of("service", service.value());
         set("crank.placement.ranges", tags, table.assignments().size());
         set("crank.placement.imbalance", tags, imbalance);
@@ -48,7 +48,7 @@
      *
      * @param elapsedSeconds time since the last call
      */
-    public void unserved(
+    public void recordUnserved(
             ServiceName service, AssignmentTable table, Map<MemberId, LoadReport> reports, double elapsedSeconds) {
         double unserved = unservedShare(table, reports);
         Tags tags = Tags.of("service", service.value());
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -22,36 +22,36 @@
     /**
      * Delays in milliseconds. Immutable.
      *
-     * @param renewMs period of renewal
-     * @param takeAfterMs time without renewal after which the role may be taken
+     * @param renewIntervalMs period of renewal
+     * @param roleTimeoutMs time without renewal after which the role may be taken
      * @param rankDelayMs additional time per rank
-     * @param idleReadMs period of reads by daemons whose rank is not below {@code readers}
-     * @param readers number of daemons that read at the period of renewal
+     * @param slowReadIntervalMs period of reads by daemons whose rank is not below {@code readers}
+     * @param fastReaders number of daemons that read at the period of renewal
      */
-    public record Delays(long renewMs, long takeAfterMs, long rankDelayMs, long idleReadMs, int readers) {
-        public Delays {
-            if (renewMs < 1 || takeAfterMs <= renewMs || rankDelayMs < 0 || idleReadMs < renewMs || readers < 1) {
+    public record Options(long renewIntervalMs, long roleTimeoutMs, long rankDelayMs, long slowReadIntervalMs, int fastReaders) {
+        public Options {
+            if (renewIntervalMs < 1 || roleTimeoutMs <= renewIntervalMs || rankDelayMs < 0 || slowReadIntervalMs < renewIntervalMs || fastReaders < 1) {
                 throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
             }
         }
     }
 
     private final MemberId self;
-    private final Delays delays;
-    private boolean callOutstanding;
-    private boolean held;
-    private boolean known;
-    private boolean read;
+    private final Options options;
+    private boolean callPending;
+    private boolean holdsRole;
+    private boolean recordKnown;
+    private boolean readAttempted;
     private Optional<PlannerRecord> record = Optional.empty();
     private Revision revision = Revision.NONE;
     private long unchangedSinceMs;
-    private long lastReadMs;
-    private long writeSentMs;
-    private long renewedMs;
+    private long lastReadAtMs;
+    private long writeStartedAtMs;
+    private long renewedAtMs;
 
-    public PlannerElection(MemberId self, Delays delays) {
+    public PlannerElection(MemberId self, Options delays) {
         this.self = self;
-        this.delays = delays;
+        this.options = delays;
     }
 
     /**
@@ -59,29 +59,29 @@
      * @param rank position of this daemon among the candidates, 0 first
      * @param holderLost whether the holder is known to be sealed or leaving
      */
-    public Step next(long nowMs, boolean eligible, int rank, boolean holderLost) {
-        if (callOutstanding || !eligible) {
+    public Step nextStep(long nowMs, boolean eligible, int rank, boolean holderLost) {
+        if (callPending || !eligible) {
             return Step.NONE;
         }
-        if (held) {
-            return nowMs - writeSentMs >= delays.renewMs ? Step.WRITE : Step.NONE;
+        if (holdsRole) {
+            return nowMs - writeStartedAtMs >= options.renewIntervalMs ? Step.WRITE : Step.NONE;
         }
-        if (known && mayTake(nowMs, rank, holderLost)) {
+        if (recordKnown && mayTakeRole(nowMs, rank, holderLost)) {
             return Step.WRITE;
         }
-        long readPeriodMs = rank < delays.readers ? delays.renewMs : delays.idleReadMs;
-        return read && nowMs - lastReadMs < readPeriodMs ? Step.NONE : Step.READ;
+        long readPeriodMs = rank < options.fastReaders ? options.renewIntervalMs : options.slowReadIntervalMs;
+        return readAttempted && nowMs - lastReadAtMs < readPeriodMs ? Step.NONE : Step.READ;
     }
 
     /** The read must be as fresh as a reader's, so that a change since then is rarely missed. */
-    private boolean mayTake(long nowMs, int rank, boolean holderLost) {
-        if (nowMs - lastReadMs > delays.renewMs) {
+    private boolean mayTakeRole(long nowMs, int rank, boolean holderLost) {
+        if (nowMs - lastReadAtMs > options.renewIntervalMs) {
             return false;
         }
-        int delayedRank = Math.min(rank, delays.readers);
+        int delayedRank = Math.min(rank, options.fastReaders);
         return record.isEmpty()
                 || holderLost
-                || nowMs - unchangedSinceMs >= delays.takeAfterMs + delayedRank * delays.rankDelayMs;
+                || nowMs - unchangedSinceMs >= options.roleTimeoutMs + delayedRank * options.rankDelayMs;
     }
 
     public Optional<MemberId> holder() {
@@ -89,38 +89,38 @@
     }
 
     public void readStarted() {
-        callOutstanding = true;
+        callPending = true;
     }
 
     public void readDone(Optional<PlannerRecord> found, Revision foundRevision, long nowMs) {
-        callOutstanding = false;
-        read = true;
-        lastReadMs = nowMs;
-        if (!known || !found.equals(record)) {
+        callPending = false;
+        readAttempted = true;
+        lastReadAtMs = nowMs;
+        if (!recordKnown || !found.equals(record)) {
             unchangedSinceMs = nowMs;
         }
-        known = true;
+        recordKnown = true;
         record = found;
         revision = foundRevision;
-        held = found.isPresent() && found.get().holder().equals(self);
-        if (held) {
-            renewedMs = Math.max(renewedMs, writeSentMs);
+        holdsRole = found.isPresent() && found.get().holder().equals(self);
+        if (holdsRole) {
+            renewedAtMs = Math.max(renewedAtMs, writeStartedAtMs);
         }
     }
 
     /** The next read keeps its period, so that an outage of the store does not multiply the reads. */
     public void callFailed(long nowMs) {
-        callOutstanding = false;
-        read = true;
-        lastReadMs = nowMs;
-        held = false;
-        known = false;
+        callPending = false;
+        readAttempted = true;
+        lastReadAtMs = nowMs;
+        holdsRole = false;
+        recordKnown = false;
     }
 
     /** Starts a write; the caller writes the record if the object still has {@link #revision()}. */
     public PlannerRecord writeStarted(long nowMs) {
-        callOutstanding = true;
-        writeSentMs = nowMs;
+        callPending = true;
+        writeStartedAtMs = nowMs;
         return new PlannerRecord(self, record.map(PlannerRecord::counter).orElse(0L) + 1);
     }
 
@@ -129,15 +129,15 @@
     }
 
     public void writeDone(PlannerRecord written, Revision newRevision) {
-        callOutstanding = false;
-        held = true;
+        callPending = false;
+        holdsRole = true;
         record = Optional.of(written);
         revision = newRevision;
-        renewedMs = writeSentMs;
+        renewedAtMs = writeStartedAtMs;
     }
 
     /** Whether this daemon holds the role; false once the last renewal is so old that another may have taken it. */
     public boolean isHolder(long nowMs) {
-        return held && nowMs - renewedMs < delays.takeAfterMs;
+        return holdsRole && nowMs - renewedAtMs < options.roleTimeoutMs;
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -29,19 +29,19 @@
     private final MonotonicClock clock;
     private final Consumer<Runnable> post;
     private final PlannerElection election;
-    private final long ownOrder;
+    private final long ownRankHash;
 
     public PlannerRole(
             MemberId self,
             ObjectStore store,
             MonotonicClock clock,
             Consumer<Runnable> post,
-            PlannerElection.Delays delays) {
+            PlannerElection.Options delays) {
         this.self = self;
         this.store = store;
         this.clock = clock;
         this.post = post;
-        this.ownOrder = order(self);
+        this.ownRankHash = rankHash(self);
         this.election = new PlannerElection(self, delays);
     }
 
@@ -56,7 +56,7 @@
                 .flatMap(snapshot::member)
                 .map(m -> m.state() == MemberState.SEALED || m.state() == MemberState.LEAVING)
                 .orElse(false);
-        switch (election.next(clock.nowMs(), eligible, rank(snapshot), holderLost)) {
+        switch (election.nextStep(clock.nowMs(), eligible, rank(snapshot), holderLost)) {
             case READ -> read();
             case WRITE -> write();
             case NONE -> {}
@@ -67,11 +67,11 @@
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
                 .map(KnownMember::member)
-                .filter(m -> m.state() == MemberState.ACTIVE && order(m.id()) < ownOrder)
+                .filter(m -> m.state() == MemberState.ACTIVE && rankHash(m.id()) < ownRankHash)
                 .count();
     }
 
-    private static long order(MemberId id) {
+    private static long rankHash(MemberId id) {
         return Hashing.murmur3_128()
                 .hashString(id.value(), StandardCharsets.UTF_8)
                 .asLong();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PolicyPlugin.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PolicyPlugin.java
@@ -8,10 +8,10 @@
 public final class PolicyPlugin implements Plugin {
     @Override
     public void register(PluginRegistry registry) {
-        registry.register(Kind.PLACEMENT, "availability", new RebalancePolicy(RebalanceRules.AVAILABILITY));
-        registry.register(Kind.PLACEMENT, "low-churn", new RebalancePolicy(RebalanceRules.LOW_CHURN));
+        registry.register(Kind.PLACEMENT, "availability", new RebalancePolicy(RebalanceParameters.AVAILABILITY));
+        registry.register(Kind.PLACEMENT, "low-churn", new RebalancePolicy(RebalanceParameters.LOW_CHURN));
         registry.register(Kind.PLACEMENT, "striped", new StripePolicy());
         registry.register(Kind.PLACEMENT, "static", new StaticPolicy());
-        registry.register(Kind.PLACEMENT, "greedy", new RebalancePolicy(RebalanceRules.GREEDY));
+        registry.register(Kind.PLACEMENT, "greedy", new RebalancePolicy(RebalanceParameters.GREEDY));
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -37,7 +37,7 @@
         }
 
         /** The load of a part of the range that has this load. */
-        Load part(KeyRange whole, KeyRange part) {
+        Load partOf(KeyRange whole, KeyRange part) {
             double fraction = Math.min(1, part.share() / whole.share());
             return new Load(
                     evenPerSecond * fraction,
@@ -68,7 +68,7 @@
         for (RangeLoad load : reported) {
             KeyRange common = KeyRanges.intersect(load.range(), range).orElse(null);
             if (common != null) {
-                sum = sum.plus(toLoad(load).part(load.range(), common));
+                sum = sum.plus(toLoad(load).partOf(load.range(), common));
             }
         }
         return sum;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
@@ -13,16 +13,16 @@
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 
 /**
- * Moves load from the most to the least loaded server by the cheapest moves, within {@link RebalanceRules}.
+ * Moves load from the most to the least loaded server by the cheapest moves, within {@link RebalanceParameters}.
  *
  * <p>Stateless and thread safe. The table stays within {@link TableCompaction#MAX_RANGES_PER_MEMBER} ranges per
  * candidate on average, provided that it was within it.
  */
 public final class RebalancePolicy implements PlacementPolicy {
-    private final RebalanceRules rules;
+    private final RebalanceParameters parameters;
 
-    public RebalancePolicy(RebalanceRules rules) {
-        this.rules = rules;
+    public RebalancePolicy(RebalanceParameters rules) {
+        this.parameters = rules;
     }
 
     @Override
@@ -32,33 +32,33 @@
             return List.of();
         }
         if (input.table().assignments().isEmpty()) {
-            return EvenSplit.place(weights);
+            return WeightedPlacement.place(weights);
         }
         WorkingTable table = new WorkingTable(input);
-        EvenSplit.reassignOrphans(table, "owner-leaves");
-        if (input.nowMs() - input.lastChangeMs() >= rules.minIntervalMs()) {
+        WeightedPlacement.reassignOrphans(table, "owner-leaves");
+        if (input.nowMs() - input.lastChangeMs() >= parameters.minIntervalMs()) {
             Set<MemberId> busy = new HashSet<>();
             Map<MemberId, Integer> moves = new HashMap<>();
-            fill(table, moves, busy);
-            if (input.nowMs() - input.imbalancedSinceMs() >= rules.lastingMs()) {
+            fillUnderloaded(table, moves, busy);
+            if (input.nowMs() - input.imbalancedSinceMs() >= parameters.minImbalanceDurationMs()) {
                 rebalance(table, moves);
             }
         }
         TableCompaction.compact(table);
-        return table.toPlaced();
+        return table.toPlacedRanges();
     }
 
     /** Gives hash space to servers that have far less than their share, as after a join. */
-    private void fill(WorkingTable table, Map<MemberId, Integer> moves, Set<MemberId> full) {
-        for (int i = 0; i < rules.maxMoves(); i++) {
+    private void fillUnderloaded(WorkingTable table, Map<MemberId, Integer> moves, Set<MemberId> full) {
+        for (int i = 0; i < parameters.maxMoves(); i++) {
             Optional<MemberId> poorest = table.weights().keySet().stream()
-                    .filter(m -> !full.contains(m) && shareRatio(table, m) < rules.fillBelow())
-                    .filter(m -> moves.getOrDefault(m, 0) < rules.maxMovesPerServer())
+                    .filter(m -> !full.contains(m) && shareRatio(table, m) < parameters.fillThreshold())
+                    .filter(m -> moves.getOrDefault(m, 0) < parameters.maxMovesPerServer())
                     .min(Comparator.comparingDouble(m -> shareRatio(table, m)));
             if (poorest.isEmpty()) {
                 return;
             }
-            Optional<MoveSearch.Move> move = MoveSearch.fill(table, poorest.get(), m -> mayMove(moves, m));
+            Optional<MoveSearch.Move> move = MoveSearch.findMoveTo(table, poorest.get(), m -> mayMove(moves, m));
             if (move.isEmpty()) {
                 full.add(poorest.get());
                 continue;
@@ -73,21 +73,21 @@
 
     private void rebalance(WorkingTable table, Map<MemberId, Integer> moves) {
         double highest = table.weights().keySet().stream()
-                .mapToDouble(table::ratio)
+                .mapToDouble(table::loadRatio)
                 .max()
                 .orElse(0);
-        if (highest <= rules.highMark() || !table.isLoadSignificant()) {
+        if (highest <= parameters.highWatermark() || !table.isLoadSignificant()) {
             return;
         }
         Set<MemberId> stuck = new HashSet<>();
-        for (int i = 0; i < rules.maxMoves(); i++) {
+        for (int i = 0; i < parameters.maxMoves(); i++) {
             Optional<MemberId> source = table.weights().keySet().stream()
                     .filter(m -> !stuck.contains(m) && mayMove(moves, m))
-                    .max(Comparator.comparingDouble(table::ratio));
-            if (source.isEmpty() || table.ratio(source.get()) <= rules.lowMark()) {
+                    .max(Comparator.comparingDouble(table::loadRatio));
+            if (source.isEmpty() || table.loadRatio(source.get()) <= parameters.lowWatermark()) {
                 return;
             }
-            Optional<MoveSearch.Move> move = MoveSearch.relieve(table, source.get(), rules, m -> mayMove(moves, m));
+            Optional<MoveSearch.Move> move = MoveSearch.findMoveFrom(table, source.get(), parameters, m -> mayMove(moves, m));
             if (move.isEmpty()) {
                 stuck.add(source.get());
                 continue;
@@ -97,14 +97,14 @@
     }
 
     private boolean mayMove(Map<MemberId, Integer> moves, MemberId member) {
-        return moves.getOrDefault(member, 0) < rules.maxMovesPerServer();
+        return moves.getOrDefault(member, 0) < parameters.maxMovesPerServer();
     }
 
     private static void apply(WorkingTable table, MoveSearch.Move move, String reason, Map<MemberId, Integer> moves) {
-        MemberId source = table.slots().get(move.slot()).owner();
+        MemberId source = table.entries().get(move.entryIndex()).owner();
         moves.merge(source, 1, Integer::sum);
         moves.merge(move.target(), 1, Integer::sum);
-        int index = table.split(move.slot(), move.parts());
-        table.assign(index + move.movedPart(), move.target(), reason);
+        int index = table.split(move.entryIndex(), move.parts());
+        table.assign(index + move.movedPartIndex(), move.target(), reason);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -41,7 +41,7 @@
     }
 
     void add(KeyRange range, Generation generation, InheritedRecords records, long nowMs) {
-        forget(range);
+        remove(range);
         entries.addLast(new Entry(range, generation, records, nowMs, null));
         long total = entries.stream().mapToLong(e -> e.records.records().size()).sum();
         while (!entries.isEmpty() && (total > maxRecords || entries.size() > MAX_ENTRIES)) {
@@ -96,7 +96,7 @@
     }
 
     /** Drops what is known of a range, because this daemon serves it again. */
-    void forget(KeyRange range) {
+    void remove(KeyRange range) {
         Deque<Entry> next = new ArrayDeque<>();
         for (Entry entry : entries) {
             KeyRanges.subtract(entry.range, List.of(range))
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServiceTrack.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
@@ -11,10 +11,10 @@
  *
  * <p>The table never gets older.
  */
-public final class ServiceTrack {
+public final class ServicePlanningState {
     private final long imbalanceTargetPercent;
     private AssignmentTable table;
-    private boolean busy;
+    private boolean writePending;
     private long lastChangeMs;
     private boolean imbalanced;
     private long imbalancedSinceMs;
@@ -23,7 +23,7 @@
     private List<MemberId> candidates = List.of();
     private long decidedInput = -1;
 
-    public ServiceTrack(ServiceName service, long imbalanceTargetPercent, long nowMs) {
+    public ServicePlanningState(ServiceName service, long imbalanceTargetPercent, long nowMs) {
         this.imbalanceTargetPercent = imbalanceTargetPercent;
         table = AssignmentTable.empty(service);
         lastChangeMs = nowMs;
@@ -34,13 +34,13 @@
         return table;
     }
 
-    public void learn(AssignmentTable known) {
+    public void updateTable(AssignmentTable known) {
         if (known.generation().isNewerThan(table.generation())) {
             table = known;
         }
     }
 
-    public void noteCandidates(List<Member> current, long nowMs) {
+    public void updateCandidates(List<Member> current, long nowMs) {
         List<MemberId> ids = current.stream().map(Member::id).toList();
         if (!ids.equals(candidates)) {
             candidates = ids;
@@ -48,7 +48,7 @@
         }
     }
 
-    public void noteImbalance(double imbalance, long nowMs) {
+    public void updateImbalance(double imbalance, long nowMs) {
         boolean above = imbalance * 100 > imbalanceTargetPercent;
         if (above && !imbalanced) {
             imbalancedSinceMs = nowMs;
@@ -56,7 +56,7 @@
         imbalanced = above;
     }
 
-    public void noteChange(long nowMs) {
+    public void recordPolicyChange(long nowMs) {
         lastChangeMs = nowMs;
     }
 
@@ -65,22 +65,22 @@
      *
      * @param input number of the input, which grows with each snapshot and each round of load reports
      */
-    public boolean isReady(long input, long nowMs) {
+    public boolean shouldDecide(long input, long nowMs) {
         boolean newInput = input != decidedInput || table.assignments().isEmpty();
-        return !busy && nowMs >= retryAtMs && newInput;
+        return !writePending && nowMs >= retryAtMs && newInput;
     }
 
     /** Notes that the table stands for an input. */
-    public void noteDecided(long input) {
+    public void recordDecided(long input) {
         decidedInput = input;
     }
 
-    public void begin() {
-        busy = true;
+    public void beginWrite() {
+        writePending = true;
     }
 
-    public void end(long nextTryMs) {
-        busy = false;
+    public void endWrite(long nextTryMs) {
+        writePending = false;
         retryAtMs = nextTryMs;
     }
 
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -43,8 +43,8 @@
     private static final String KEPT = "kept";
 
     /** A range and its owner in the wanted table. */
-    private record Stripe(KeyRange range, MemberId owner, boolean settled, String reason) {
-        Stripe to(MemberId newOwner, String newReason) {
+    private record Stripe(KeyRange range, MemberId owner, boolean stable, String reason) {
+        Stripe withOwner(MemberId newOwner, String newReason) {
             return new Stripe(range, newOwner, false, newReason);
         }
     }
@@ -56,7 +56,7 @@
             return List.of();
         }
         if (input.table().assignments().isEmpty()) {
-            return layOut(weights);
+            return initialLayout(weights);
         }
         List<Stripe> stripes = new ArrayList<>();
         for (RangeAssignment a : input.table().assignments()) {
@@ -70,7 +70,7 @@
     }
 
     /** Stripes of equal width; servers take turns in proportion to their weights. */
-    private static List<PlacedRange> layOut(Map<MemberId, Double> weights) {
+    private static List<PlacedRange> initialLayout(Map<MemberId, Double> weights) {
         int count = Math.min(MAX_STRIPES, STRIPES_PER_MEMBER * weights.size());
         List<Double> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -115,7 +115,7 @@
                             .thenComparing(Comparator.naturalOrder()))
                     .orElseThrow();
             shares.merge(owner, stripe.range().share(), Double::sum);
-            stripes.set(i, stripe.to(owner, "owner-leaves"));
+            stripes.set(i, stripe.withOwner(owner, "owner-leaves"));
         }
     }
 
@@ -147,10 +147,10 @@
                 double passed = (double) (i + 1) / stripes.size();
                 boolean behind = shares.getOrDefault(joiner, 0.0) + width <= fair * passed + width;
                 boolean spares = shares.get(stripe.owner()) - width >= donorFair;
-                if (stripe.settled() && spares && behind && !stripe.owner().equals(joiner)) {
+                if (stripe.stable() && spares && behind && !stripe.owner().equals(joiner)) {
                     shares.merge(stripe.owner(), -width, Double::sum);
                     shares.merge(joiner, width, Double::sum);
-                    stripes.set(i, stripe.to(joiner, "server-joins"));
+                    stripes.set(i, stripe.withOwner(joiner, "server-joins"));
                 }
             }
         }
@@ -171,8 +171,8 @@
             Optional<Stripe> last = result.isEmpty() ? Optional.empty() : Optional.of(result.get(result.size() - 1));
             boolean joins = last.isPresent()
                     && last.get().owner().equals(stripe.owner())
-                    && last.get().settled()
-                    && stripe.settled()
+                    && last.get().stable()
+                    && stripe.stable()
                     && counts.get(stripe.owner()) > MERGE_ABOVE_PER_MEMBER;
             if (joins) {
                 counts.merge(stripe.owner(), -1, Integer::sum);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -35,7 +35,7 @@
         }
     }
 
-    private record Piece(RangeAssignment assignment, boolean kept) {}
+    private record Segment(RangeAssignment assignment, boolean unchanged) {}
 
     private TableBuilder() {}
 
@@ -91,13 +91,13 @@
                     && current.get(from).range().last().compareTo(want.range().first()) < 0) {
                 from++;
             }
-            List<Piece> pieces = pieces(current, from, want, next, gone, mayHold, changes);
-            joinKept(pieces).forEach(assignments::add);
+            List<Segment> pieces = segments(current, from, want, next, gone, mayHold, changes);
+            mergeUnchanged(pieces).forEach(assignments::add);
         }
         return new Result(new AssignmentTable(table.service(), next, assignments), changes);
     }
 
-    private static List<Piece> pieces(
+    private static List<Segment> segments(
             List<RangeAssignment> current,
             int from,
             PlacedRange want,
@@ -105,7 +105,7 @@
             Predicate<MemberId> gone,
             Set<MemberId> mayHold,
             List<Change> changes) {
-        List<Piece> pieces = new ArrayList<>();
+        List<Segment> pieces = new ArrayList<>();
         List<KeyRange> covered = new ArrayList<>();
         for (int i = from; i < current.size(); i++) {
             RangeAssignment old = current.get(i);
@@ -116,36 +116,36 @@
             covered.add(common);
             if (old.owner().equals(want.owner())) {
                 pieces.add(
-                        new Piece(new RangeAssignment(common, old.owner(), old.fence(), old.previousOwners()), true));
+                        new Segment(new RangeAssignment(common, old.owner(), old.fence(), old.previousOwners()), true));
                 continue;
             }
             Set<MemberId> previous = new LinkedHashSet<>();
             previous.add(old.owner());
             previous.addAll(old.previousOwners());
-            pieces.add(changed(common, want.owner(), next, previous, gone));
+            pieces.add(reassigned(common, want.owner(), next, previous, gone));
             changes.add(new Change(common, Optional.of(old.owner()), want.owner(), next, want.reason()));
         }
         for (KeyRange hole : KeyRanges.subtract(want.range(), covered)) {
-            pieces.add(changed(hole, want.owner(), next, mayHold, gone));
+            pieces.add(reassigned(hole, want.owner(), next, mayHold, gone));
             changes.add(new Change(hole, Optional.empty(), want.owner(), next, want.reason()));
         }
         pieces.sort((a, b) -> a.assignment.range().compareTo(b.assignment.range()));
         return pieces;
     }
 
-    private static Piece changed(
+    private static Segment reassigned(
             KeyRange range, MemberId owner, Generation fence, Set<MemberId> previous, Predicate<MemberId> gone) {
         List<MemberId> remaining =
                 previous.stream().filter(m -> !m.equals(owner) && !gone.test(m)).toList();
-        return new Piece(new RangeAssignment(range, owner, fence, remaining), false);
+        return new Segment(new RangeAssignment(range, owner, fence, remaining), false);
     }
 
-    private static List<RangeAssignment> joinKept(List<Piece> pieces) {
+    private static List<RangeAssignment> mergeUnchanged(List<Segment> pieces) {
         List<RangeAssignment> joined = new ArrayList<>();
         boolean lastMayJoin = false;
-        for (Piece piece : pieces) {
+        for (Segment piece : pieces) {
             RangeAssignment a = piece.assignment;
-            boolean mayJoin = piece.kept && a.previousOwners().isEmpty();
+            boolean mayJoin = piece.unchanged && a.previousOwners().isEmpty();
             if (mayJoin && lastMayJoin) {
                 RangeAssignment last = joined.remove(joined.size() - 1);
                 Generation fence = last.fence().isNewerThan(a.fence()) ? last.fence() : a.fence();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
@@ -20,7 +20,7 @@
     private TableCompaction() {}
 
     static boolean maySplit(WorkingTable table) {
-        return table.slots().size() + RANGES_ADDED_BY_SPLIT
+        return table.entries().size() + RANGES_ADDED_BY_SPLIT
                 <= MAX_RANGES_PER_MEMBER * table.weights().size();
     }
 
@@ -31,18 +31,18 @@
      */
     static void compact(WorkingTable table) {
         int servers = table.weights().size();
-        int toMerge = table.slots().size() - MERGE_ABOVE_PER_MEMBER * servers;
+        int toMerge = table.entries().size() - MERGE_ABOVE_PER_MEMBER * servers;
         if (toMerge > 0) {
             mergeNeighbours(table, toMerge);
         }
-        int toReturn = table.slots().size() - RETURN_ABOVE_PER_MEMBER * servers;
+        int toReturn = table.entries().size() - RETURN_ABOVE_PER_MEMBER * servers;
         if (toReturn > 0) {
             returnFragments(table, Math.min(MAX_RETURNS, toReturn));
         }
     }
 
     private static void returnFragments(WorkingTable table, int limit) {
-        List<WorkingTable.Slot> slots = table.slots();
+        List<WorkingTable.Entry> slots = table.entries();
         IntStream.range(1, slots.size() - 1)
                 .filter(i -> isColdFragment(table, i))
                 .boxed()
@@ -51,24 +51,24 @@
                 .forEach(i -> {
                     MemberId left = slots.get(i - 1).owner();
                     MemberId right = slots.get(i + 1).owner();
-                    boolean toLeft = left.equals(right) || table.ratio(left) <= table.ratio(right);
+                    boolean toLeft = left.equals(right) || table.loadRatio(left) <= table.loadRatio(right);
                     table.assign(i, toLeft ? left : right, "rejoin");
                 });
     }
 
     private static boolean isColdFragment(WorkingTable table, int index) {
-        WorkingTable.Slot slot = table.slots().get(index);
-        return slot.settled()
+        WorkingTable.Entry slot = table.entries().get(index);
+        return slot.stable()
                 && !slot.moved()
                 && slot.range().share() <= FRAGMENT_RATIO / table.weights().size()
                 && !isHot(table, slot)
-                && !table.slots().get(index - 1).owner().equals(slot.owner())
-                && !table.slots().get(index + 1).owner().equals(slot.owner());
+                && !table.entries().get(index - 1).owner().equals(slot.owner())
+                && !table.entries().get(index + 1).owner().equals(slot.owner());
     }
 
     private static void mergeNeighbours(WorkingTable table, int excess) {
         List<Integer> mergeable = new ArrayList<>();
-        List<WorkingTable.Slot> slots = table.slots();
+        List<WorkingTable.Entry> slots = table.entries();
         for (int i = 0; i + 1 < slots.size(); i++) {
             if (mayMerge(table, slots.get(i), slots.get(i + 1))) {
                 mergeable.add(i);
@@ -78,13 +78,13 @@
                 i -> slots.get(i).range().share() + slots.get(i + 1).range().share()));
         mergeable.subList(0, Math.min(excess, mergeable.size())).stream()
                 .sorted(Comparator.reverseOrder())
-                .forEach(table::joinWithNext);
+                .forEach(table::mergeWithNext);
     }
 
-    private static boolean mayMerge(WorkingTable table, WorkingTable.Slot a, WorkingTable.Slot b) {
+    private static boolean mayMerge(WorkingTable table, WorkingTable.Entry a, WorkingTable.Entry b) {
         return a.owner().equals(b.owner())
-                && a.settled()
-                && b.settled()
+                && a.stable()
+                && b.stable()
                 && !a.moved()
                 && !b.moved()
                 && KeyRanges.adjacent(a.range(), b.range())
@@ -92,7 +92,7 @@
                 && !(KeyRanges.isSingleHash(b.range()) && isHot(table, b));
     }
 
-    private static boolean isHot(WorkingTable table, WorkingTable.Slot slot) {
+    private static boolean isHot(WorkingTable table, WorkingTable.Entry slot) {
         return slot.load().perSecond()
                 > HOT_RATIO * table.totalLoad() / table.weights().size();
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlan.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -31,19 +31,19 @@
  * clearing of previous owners. A takeover changes only ranges of lost owners. The ranges of a lost owner whose host has
  * joined again go back to it.
  */
-public final class ServicePlan {
+public final class TablePlanner {
     /**
      * What is known of a service. Immutable.
      *
      * @param members all known members
-     * @param gone members that are certainly sealed or deleted
+     * @param removed members that are certainly sealed or deleted
      * @param reports latest load report by member
      * @param candidatesSinceMs monotonic time since which the candidates are the same
      */
     public record View(
             Configuration configuration,
             Map<MemberId, Member> members,
-            Set<MemberId> gone,
+            Set<MemberId> removed,
             AssignmentTable table,
             Map<MemberId, LoadReport> reports,
             long nowMs,
@@ -52,7 +52,7 @@
             long candidatesSinceMs) {
         public View {
             members = Map.copyOf(members);
-            gone = Set.copyOf(gone);
+            removed = Set.copyOf(removed);
             reports = Map.copyOf(reports);
         }
     }
@@ -73,21 +73,21 @@
         }
     }
 
-    private static final String TAKEOVER_REASON = "owner-lost";
-    private static final String SUCCESSOR_REASON = "owner-restarted";
+    private static final String OWNER_LOST_REASON = "owner-lost";
+    private static final String OWNER_RESTARTED_REASON = "owner-restarted";
 
     private final PlacementPolicy policy;
-    private final long settleMs;
+    private final long firstTableDelayMs;
 
-    public ServicePlan(PlacementPolicy policy, long settleMs) {
+    public TablePlanner(PlacementPolicy policy, long settleMs) {
         this.policy = policy;
-        this.settleMs = settleMs;
+        this.firstTableDelayMs = settleMs;
     }
 
     /** The members that may get ranges of a service, sorted by id. */
     public static List<Member> candidates(View view) {
         return view.members().values().stream()
-                .filter(m -> m.state() == MemberState.ACTIVE && !view.gone().contains(m.id()))
+                .filter(m -> m.state() == MemberState.ACTIVE && !view.removed().contains(m.id()))
                 .filter(m -> serves(m, view.table())
                         && !view.configuration()
                                 .isDraining(m.backend().orElseThrow().name())
@@ -112,22 +112,22 @@
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        if (table.assignments().isEmpty() && view.nowMs() - view.candidatesSinceMs() < settleMs) {
+        if (table.assignments().isEmpty() && view.nowMs() - view.candidatesSinceMs() < firstTableDelayMs) {
             return Optional.empty();
         }
-        List<RangeAssignment> current = TableBuilder.clearPreviousOwners(table, view.gone()::contains, view.reports());
-        List<PlacedRange> wanted = checked(
+        List<RangeAssignment> current = TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
+        List<PlacedRange> wanted = validated(
                 RangeAlignment.align(
                         policy.place(input(view, candidates, current)),
                         rules.get().keySpaceBits()),
                 candidates);
         boolean ownerLost =
-                table.assignments().stream().anyMatch(a -> view.gone().contains(a.owner()));
+                table.assignments().stream().anyMatch(a -> view.removed().contains(a.owner()));
         if (ownerLost) {
-            return changed(view, Kind.TAKEOVER, current, takeover(view, current, wanted));
+            return decisionIfChanged(view, Kind.TAKEOVER, current, takeover(view, current, wanted));
         }
         Kind kind = table.assignments().isEmpty() ? Kind.FIRST_TABLE : Kind.POLICY;
-        return changed(view, kind, current, wanted);
+        return decisionIfChanged(view, kind, current, wanted);
     }
 
     private static Decision withdraw(AssignmentTable table) {
@@ -149,7 +149,7 @@
     }
 
     /** Policies are plug-ins, so their output is checked before it can reach the store. */
-    private static List<PlacedRange> checked(List<PlacedRange> placed, List<Member> candidates) {
+    private static List<PlacedRange> validated(List<PlacedRange> placed, List<Member> candidates) {
         Set<MemberId> allowed = new HashSet<>();
         candidates.forEach(m -> allowed.add(m.id()));
         KeyHash expected = KeyHash.MIN;
@@ -172,18 +172,18 @@
     private static List<PlacedRange> takeover(View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
         List<PlacedRange> taken = new ArrayList<>();
         for (RangeAssignment a : current) {
-            if (!view.gone().contains(a.owner())) {
+            if (!view.removed().contains(a.owner())) {
                 taken.add(new PlacedRange(a.range(), a.owner(), WorkingTable.KEPT));
                 continue;
             }
             Optional<MemberId> successor = successor(view, a.owner());
             if (successor.isPresent()) {
-                taken.add(new PlacedRange(a.range(), successor.get(), SUCCESSOR_REASON));
+                taken.add(new PlacedRange(a.range(), successor.get(), OWNER_RESTARTED_REASON));
                 continue;
             }
             for (PlacedRange p : wanted) {
                 Optional<KeyRange> common = KeyRanges.intersect(p.range(), a.range());
-                common.ifPresent(range -> taken.add(new PlacedRange(range, p.owner(), TAKEOVER_REASON)));
+                common.ifPresent(range -> taken.add(new PlacedRange(range, p.owner(), OWNER_LOST_REASON)));
             }
         }
         return taken;
@@ -201,10 +201,10 @@
                 .findFirst();
     }
 
-    private static Optional<Decision> changed(
+    private static Optional<Decision> decisionIfChanged(
             View view, Kind kind, List<RangeAssignment> current, List<PlacedRange> wanted) {
         AssignmentTable table = view.table();
-        TableBuilder.Result result = TableBuilder.build(table, current, wanted, view.gone()::contains, mayHold(view));
+        TableBuilder.Result result = TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
         if (result.table().assignments().equals(table.assignments())) {
             return Optional.empty();
         }
@@ -216,7 +216,7 @@
      * Members that may still serve hashes which the table assigns to nobody, as after a withdrawal: all of the service
      * that have not reported that they gave up everything.
      */
-    private static Set<MemberId> mayHold(View view) {
+    private static Set<MemberId> potentialHolders(View view) {
         Set<MemberId> holders = new HashSet<>();
         if (view.table().generation().equals(Generation.NONE)) {
             return holders;
@@ -241,6 +241,6 @@
         }
         WorkingTable table =
                 new WorkingTable(input(view, candidates, view.table().assignments()));
-        return table.weights().keySet().stream().mapToDouble(table::ratio).max().orElse(0);
+        return table.weights().keySet().stream().mapToDouble(table::loadRatio).max().orElse(0);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
@@ -23,10 +23,10 @@
  */
 public final class TableWriter {
     /** What was decided, and the table that is in the store as far as known. Immutable. */
-    public record Outcome(AssignmentTable table, Optional<ServicePlan.Decision> written) {}
+    public record Outcome(AssignmentTable table, Optional<TablePlanner.Decision> written) {}
 
     private final ObjectStore store;
-    private final BiConsumer<AssignmentTable, StoredObject> whenWritten;
+    private final BiConsumer<AssignmentTable, StoredObject> onWritten;
 
     /**
      * A writer.
@@ -35,7 +35,7 @@
      */
     public TableWriter(ObjectStore store, BiConsumer<AssignmentTable, StoredObject> whenWritten) {
         this.store = store;
-        this.whenWritten = whenWritten;
+        this.onWritten = whenWritten;
     }
 
     /**
@@ -47,7 +47,7 @@
     public CompletableFuture<Outcome> write(
             ServiceName service,
             Executor executor,
-            Function<AssignmentTable, CompletableFuture<Optional<ServicePlan.Decision>>> decide) {
+            Function<AssignmentTable, CompletableFuture<Optional<TablePlanner.Decision>>> decide) {
         String name = ObjectNames.assignments(service);
         return store.get(name)
                 .thenComposeAsync(
@@ -70,13 +70,13 @@
     }
 
     private CompletableFuture<Outcome> put(
-            String name, ServiceName service, Revision revision, ServicePlan.Decision decision) {
+            String name, ServiceName service, Revision revision, TablePlanner.Decision decision) {
         Outcome written = new Outcome(decision.table(), Optional.of(decision));
         byte[] value = TableCodec.encode(decision.table());
         return store.put(name, value, revision)
                 .handle((newRevision, failure) -> {
                     if (failure == null) {
-                        whenWritten.accept(decision.table(), StoredObject.of(name, newRevision, value));
+                        onWritten.accept(decision.table(), StoredObject.of(name, newRevision, value));
                         return CompletableFuture.completedFuture(written);
                     }
                     CrankException cause = CrankException.of(failure);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/EvenSplit.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
@@ -11,10 +11,10 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /** First placement of a service: the hash space is split in proportion to weight. Stateless and thread safe. */
-final class EvenSplit {
+final class WeightedPlacement {
     static final int RANGES_PER_MEMBER = 8;
 
-    private EvenSplit() {}
+    private WeightedPlacement() {}
 
     /** Ranges of a member are spread over the hash space, so that its loss loads no single neighbour. */
     static List<PlacedRange> place(Map<MemberId, Double> weights) {
@@ -38,11 +38,11 @@
     static void reassignOrphans(WorkingTable table, String reason) {
         Map<MemberId, Double> charge = new TreeMap<>();
         for (MemberId m : table.weights().keySet()) {
-            charge.put(m, table.ratio(m) + table.share(m) / table.fairShare(m));
+            charge.put(m, table.loadRatio(m) + table.share(m) / table.fairShare(m));
         }
         List<Integer> orphans = new ArrayList<>();
-        for (int i = 0; i < table.slots().size(); i++) {
-            if (!table.weights().containsKey(table.slots().get(i).owner())) {
+        for (int i = 0; i < table.entries().size(); i++) {
+            if (!table.weights().containsKey(table.entries().get(i).owner())) {
                 orphans.add(i);
             }
         }
@@ -54,13 +54,13 @@
                 table.assign(index, owner.get(), reason);
                 charge.put(
                         owner.get(),
-                        table.ratio(owner.get()) + table.share(owner.get()) / table.fairShare(owner.get()));
+                        table.loadRatio(owner.get()) + table.share(owner.get()) / table.fairShare(owner.get()));
             }
         }
     }
 
     private static double cost(WorkingTable table, int index) {
-        WorkingTable.Slot slot = table.slots().get(index);
+        WorkingTable.Entry slot = table.entries().get(index);
         double loadPart = table.totalLoad() > 0 ? slot.load().perSecond() / table.totalLoad() : 0;
         return loadPart + slot.range().share();
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
@@ -24,9 +24,9 @@
     /**
      * A range and its owner in the wanted table. Immutable.
      *
-     * @param settled whether nobody else may still serve the range
+     * @param stable whether nobody else may still serve the range
      */
-    record Slot(KeyRange range, MemberId owner, RangeLoads.Load load, boolean settled, String reason) {
+    record Entry(KeyRange range, MemberId owner, RangeLoads.Load load, boolean stable, String reason) {
         boolean moved() {
             return !reason.equals(KEPT);
         }
@@ -38,7 +38,7 @@
     private static final double MIN_MEAN_LOAD_PER_SECOND = 20;
 
     private final Map<MemberId, Double> weights;
-    private final List<Slot> slots = new ArrayList<>();
+    private final List<Entry> entries = new ArrayList<>();
     private final Map<MemberId, Double> loads = new HashMap<>();
     private final Map<MemberId, Double> shares = new HashMap<>();
     private double totalLoad;
@@ -57,9 +57,9 @@
             RangeLoads.Load load = sum >= IDLE_TOTAL_PER_SECOND
                     ? reported.get(i)
                     : new RangeLoads.Load(a.range().share(), List.of());
-            Slot slot = new Slot(a.range(), a.owner(), load, a.previousOwners().isEmpty(), KEPT);
-            slots.add(slot);
-            count(slot, 1);
+            Entry slot = new Entry(a.range(), a.owner(), load, a.previousOwners().isEmpty(), KEPT);
+            entries.add(slot);
+            addToTotals(slot, 1);
             totalLoad += load.perSecond();
         }
     }
@@ -68,8 +68,8 @@
         return weights;
     }
 
-    List<Slot> slots() {
-        return slots;
+    List<Entry> entries() {
+        return entries;
     }
 
     double load(MemberId member) {
@@ -99,41 +99,41 @@
     }
 
     /** Load over fair load. */
-    double ratio(MemberId member) {
-        return ratio(member, load(member));
+    double loadRatio(MemberId member) {
+        return loadRatio(member, load(member));
     }
 
-    double ratio(MemberId member, double load) {
+    double loadRatio(MemberId member, double load) {
         double fair = fairLoad(member);
         return fair <= 0 ? 0 : load / fair;
     }
 
     void assign(int index, MemberId owner, String reason) {
-        Slot old = slots.get(index);
-        count(old, -1);
-        Slot slot = new Slot(old.range(), owner, old.load(), false, reason);
-        slots.set(index, slot);
-        count(slot, 1);
+        Entry old = entries.get(index);
+        addToTotals(old, -1);
+        Entry slot = new Entry(old.range(), owner, old.load(), false, reason);
+        entries.set(index, slot);
+        addToTotals(slot, 1);
     }
 
     /** Replaces a slot by parts of it with the same owner; returns the index of the first part. */
     int split(int index, List<KeyRange> parts) {
-        Slot old = slots.remove(index);
+        Entry old = entries.remove(index);
         int at = index;
         for (KeyRange part : parts) {
-            slots.add(
-                    at++, new Slot(part, old.owner(), old.load().part(old.range(), part), old.settled(), old.reason()));
+            entries.add(
+                    at++, new Entry(part, old.owner(), old.load().partOf(old.range(), part), old.stable(), old.reason()));
         }
         return index;
     }
 
     /** Joins a slot with the next one, which has the same owner. */
-    void joinWithNext(int index) {
-        Slot a = slots.get(index);
-        Slot b = slots.remove(index + 1);
-        slots.set(
+    void mergeWithNext(int index) {
+        Entry a = entries.get(index);
+        Entry b = entries.remove(index + 1);
+        entries.set(
                 index,
-                new Slot(
+                new Entry(
                         KeyRanges.join(a.range(), b.range()),
                         a.owner(),
                         a.load().plus(b.load()),
@@ -141,13 +141,13 @@
                         a.reason()));
     }
 
-    List<PlacedRange> toPlaced() {
-        return slots.stream()
+    List<PlacedRange> toPlacedRanges() {
+        return entries.stream()
                 .map(s -> new PlacedRange(s.range(), s.owner(), s.reason()))
                 .toList();
     }
 
-    private void count(Slot slot, int sign) {
+    private void addToTotals(Entry slot, int sign) {
         loads.merge(slot.owner(), sign * slot.load().perSecond(), Double::sum);
         shares.merge(slot.owner(), sign * slot.range().share(), Double::sum);
     }
