--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.backend.BackendHealth;
@@ -108,9 +108,9 @@
         admin = new HttpClient(group, program.info().address(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
     }
 
-    private HttpReply admin(String method, String path, String json) {
-        HttpReply reply =
-                admin.call(HttpCall.of(method, path, json), TIMEOUT_MS).join();
+    private HttpResponse admin(String method, String path, String json) {
+        HttpResponse reply =
+                admin.send(HttpRequest.of(method, path, json), TIMEOUT_MS).join();
         assertThat(reply.status()).isEqualTo(200);
         return reply;
     }
@@ -156,12 +156,12 @@
         String clock = admin("GET", "/control/clock", "").header("crank-clock").orElseThrow();
         int colon = clock.indexOf(':');
         long sentAtNanos = Long.parseLong(clock.substring(colon + 1)) - TimeUnit.MILLISECONDS.toNanos(ageMs);
-        HttpCall call = new HttpCall(
+        HttpRequest call = new HttpRequest(
                 "PUT",
                 "/control/grant",
                 List.of(new Header("crank-sent-at", clock.substring(0, colon + 1) + sentAtNanos)),
                 JsonCodec.encode(grant(1, 5, 1_000)));
-        assertThat(admin.call(call, TIMEOUT_MS).join().status()).isEqualTo(200);
+        assertThat(admin.send(call, TIMEOUT_MS).join().status()).isEqualTo(200);
         assertThat(Outcomes.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
     }
 
@@ -198,7 +198,7 @@
         List<Header> headers = notRunReason == null
                 ? List.of()
                 : List.of(new Header("crank-not-run", "true"), new Header("crank-reason", notRunReason));
-        HttpReply reply = new HttpReply(status, headers, new byte[0]);
+        HttpResponse reply = new HttpResponse(status, headers, new byte[0]);
         try (HttpServer other = HttpServer.listen(
                 group,
                 ANY_PORT,
@@ -230,7 +230,7 @@
         try (HttpServer daemon = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (call, closed) -> {
             seen.add(JsonCodec.decode(call.body(), BackendInfo.class));
             int status = announcements.incrementAndGet() == 1 ? 503 : 200;
-            return CompletableFuture.completedFuture(HttpReply.text(status, call.path()));
+            return CompletableFuture.completedFuture(HttpResponse.text(status, call.path()));
         })) {
             startProgram("--daemon=" + daemon.address(), "--capabilities=fence");
             connect(program.info());
@@ -243,8 +243,8 @@
     @Test
     void grantStatesItsSendingOnTheServersClock() throws Exception {
         startProgram();
-        List<HttpCall> calls = new CopyOnWriteArrayList<>();
-        HttpReply reply = new HttpReply(
+        List<HttpRequest> calls = new CopyOnWriteArrayList<>();
+        HttpResponse reply = new HttpResponse(
                 200, List.of(new Header("crank-clock", "i:1000")), JsonCodec.encode(Map.of("sequence", 4)));
         try (HttpServer other = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (call, closed) -> {
             calls.add(call);
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -95,12 +95,12 @@
     }
 
     private void inject(String json) throws Exception {
-        HttpReply reply = Outcomes.value(admin.call(HttpCall.of("POST", "/admin/faults", json), ADMIN_LIMIT_MS));
+        HttpResponse reply = Outcomes.value(admin.send(HttpRequest.of("POST", "/admin/faults", json), ADMIN_LIMIT_MS));
         assertThat(reply.status()).isEqualTo(200);
     }
 
     private String stats() {
-        return admin.call(HttpCall.of("GET", "/admin/stats"), ADMIN_LIMIT_MS)
+        return admin.send(HttpRequest.of("GET", "/admin/stats"), ADMIN_LIMIT_MS)
                 .join()
                 .bodyText();
     }
@@ -157,7 +157,7 @@
     void mapsMalformedAnswers(int status, String revision, String body, ResultCode get, ResultCode list, ResultCode put)
             throws Exception {
         List<Header> headers = revision == null ? List.of() : List.of(new Header("crank-revision", revision));
-        HttpReply reply = new HttpReply(status, headers, bytes(body));
+        HttpResponse reply = new HttpResponse(status, headers, bytes(body));
         try (HttpServer server = HttpServer.listen(
                         group,
                         new HostAddress("127.0.0.1", 0),
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -8,11 +8,11 @@
 import org.coriandercrank.adapters.internal.BackendReplies;
 import org.coriandercrank.adapters.internal.ServerClock;
 import org.coriandercrank.adapters.internal.UrlNames;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpCallException;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpClientException;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.BackendCall;
 import org.coriandercrank.kernel.backend.BackendHealth;
 import org.coriandercrank.kernel.backend.BackendServer;
@@ -76,8 +76,8 @@
                 ? requests
                 : new HttpClient(group, info.address(), options(controlConnections, MAX_WAITING_CONTROL_CALLS));
         serverClock = new ServerClock(timers.clock());
-        requests.warm(warmConnections);
-        warming = timers.every(WARM_PERIOD_MS, Runnable::run, () -> requests.warm(warmConnections));
+        requests.warmUp(warmConnections);
+        warming = timers.every(WARM_PERIOD_MS, Runnable::run, () -> requests.warmUp(warmConnections));
     }
 
     private static HttpClientOptions options(int maxConnections, int maxWaiting) {
@@ -87,9 +87,9 @@
     @Override
     public CompletableFuture<CallerAnswer> execute(BackendCall call) {
         CallerRequest request = call.request();
-        HttpCall httpCall = new HttpCall(request.method(), request.path(), headers(call), request.body());
+        HttpRequest httpCall = new HttpRequest(request.method(), request.path(), headers(call), request.body());
         long timeoutMs = Math.min(request.remainingMs(), MAX_DEADLINE_MS) + DEADLINE_GRACE_MS;
-        return BackendReplies.execution(request.id(), requests.call(httpCall, timeoutMs));
+        return BackendReplies.execution(request.id(), requests.send(httpCall, timeoutMs));
     }
 
     /** Headers of the protocol replace those of the caller with the same names. */
@@ -112,32 +112,32 @@
 
     @Override
     public void cancel(RequestId requestId) {
-        controlCall(HttpCall.of("POST", "/control/cancel/" + requestId));
+        controlCall(HttpRequest.of("POST", "/control/cancel/" + requestId));
     }
 
     @Override
     public CompletableFuture<Long> grant(Grant grant) {
-        CompletableFuture<HttpReply> answer = serverClock.isKnown()
+        CompletableFuture<HttpResponse> answer = serverClock.isKnown()
                 ? sendGrant(grant)
-                : controlCall(HttpCall.of("GET", "/control/clock")).thenCompose(reply -> sendGrant(grant));
+                : controlCall(HttpRequest.of("GET", "/control/clock")).thenCompose(reply -> sendGrant(grant));
         return answer.thenCompose(reply -> reply.status() == STATUS_OTHER_CLOCK
                         ? sendGrant(grant)
                         : CompletableFuture.completedFuture(reply))
                 .thenApply(BackendReplies::sequence);
     }
 
-    private CompletableFuture<HttpReply> sendGrant(Grant grant) {
-        return controlCall(new HttpCall("PUT", "/control/grant", serverClock.sentAtHeader(), JsonCodec.encode(grant)));
+    private CompletableFuture<HttpResponse> sendGrant(Grant grant) {
+        return controlCall(new HttpRequest("PUT", "/control/grant", serverClock.sentAtHeader(), JsonCodec.encode(grant)));
     }
 
     @Override
     public CompletableFuture<Void> drain() {
-        return controlCall(HttpCall.of("POST", "/control/drain")).thenAccept(BackendReplies::requireOk);
+        return controlCall(HttpRequest.of("POST", "/control/drain")).thenAccept(BackendReplies::requireOk);
     }
 
     @Override
     public CompletableFuture<BackendHealth> health() {
-        return controlCall(HttpCall.of("GET", "/health")).thenApply(reply -> {
+        return controlCall(HttpRequest.of("GET", "/health")).thenApply(reply -> {
             BackendReplies.requireOk(reply);
             JsonNode node = JsonCodec.decode(reply.body(), JsonNode.class);
             return new BackendHealth(
@@ -149,16 +149,16 @@
 
     @Override
     public CompletableFuture<Presence> presence() {
-        return control.call(HttpCall.of("GET", "/health"), CONTROL_TIMEOUT_MS).handle((reply, failure) -> {
+        return control.send(HttpRequest.of("GET", "/health"), CONTROL_TIMEOUT_MS).handle((reply, failure) -> {
             if (failure == null) {
                 return Presence.ANSWERED;
             }
-            return HttpCallException.isRefused(failure) ? Presence.REFUSED : Presence.SILENT;
+            return HttpClientException.isConnectionRefused(failure) ? Presence.REFUSED : Presence.SILENT;
         });
     }
 
-    private CompletableFuture<HttpReply> controlCall(HttpCall call) {
-        return BackendReplies.control(control.call(call, CONTROL_TIMEOUT_MS)).whenComplete((reply, failure) -> {
+    private CompletableFuture<HttpResponse> controlCall(HttpRequest call) {
+        return BackendReplies.control(control.send(call, CONTROL_TIMEOUT_MS)).whenComplete((reply, failure) -> {
             if (failure == null) {
                 serverClock.observe(reply);
             }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.coriandercrank.adapters.internal.StoreReplies;
 import org.coriandercrank.adapters.internal.UrlNames;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
 import org.coriandercrank.kernel.code.CrankException;
@@ -60,7 +60,7 @@
     @Override
     public CompletableFuture<Optional<StoredObject>> get(String name) {
         return StoreReplies.read(
-                calls.call(HttpCall.of("GET", objectTarget(name)), callTimeoutMs),
+                calls.send(HttpRequest.of("GET", objectTarget(name)), callTimeoutMs),
                 reply -> StoreReplies.object(name, reply));
     }
 
@@ -68,7 +68,7 @@
     public CompletableFuture<WatchBatch> list(String prefix) {
         QueryStringEncoder target = new QueryStringEncoder("/v1/list");
         target.addParam("prefix", prefix);
-        return StoreReplies.read(calls.call(HttpCall.of("GET", target.toString()), callTimeoutMs), StoreReplies::batch);
+        return StoreReplies.read(calls.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreReplies::batch);
     }
 
     @Override
@@ -78,12 +78,12 @@
                     ResultCode.STORE_UNAVAILABLE,
                     "value of " + name + " has " + value.length + " bytes, limit " + MAX_VALUE_BYTES));
         }
-        return StoreReplies.write(name, calls.call(write("PUT", name, value, expected), callTimeoutMs));
+        return StoreReplies.write(name, calls.send(write("PUT", name, value, expected), callTimeoutMs));
     }
 
     @Override
     public CompletableFuture<Void> delete(String name, Revision expected) {
-        return StoreReplies.write(name, calls.call(write("DELETE", name, new byte[0], expected), callTimeoutMs))
+        return StoreReplies.write(name, calls.send(write("DELETE", name, new byte[0], expected), callTimeoutMs))
                 .thenApply(revision -> null);
     }
 
@@ -94,7 +94,7 @@
         target.addParam("after", after.toString());
         target.addParam("wait-ms", Long.toString(waitMs));
         return StoreReplies.read(
-                watches.call(HttpCall.of("GET", target.toString()), waitMs + callTimeoutMs), StoreReplies::batch);
+                watches.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs), StoreReplies::batch);
     }
 
     @Override
@@ -103,8 +103,8 @@
         watches.close();
     }
 
-    private static HttpCall write(String method, String name, byte[] value, Revision expected) {
-        return new HttpCall(
+    private static HttpRequest write(String method, String name, byte[] value, Revision expected) {
+        return new HttpRequest(
                 method,
                 objectTarget(name),
                 List.of(
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendReplies.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendReplies.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.http.HttpCallException;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpClientException;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.RequestId;
@@ -37,7 +37,7 @@
     private BackendReplies() {}
 
     /** Outcome of an execution. */
-    public static CompletableFuture<CallerAnswer> execution(RequestId id, CompletableFuture<HttpReply> call) {
+    public static CompletableFuture<CallerAnswer> execution(RequestId id, CompletableFuture<HttpResponse> call) {
         return call.handle((reply, failure) -> {
             if (failure != null) {
                 throw failure(id.value(), failure);
@@ -55,7 +55,7 @@
         });
     }
 
-    private static CrankException refusal(RequestId id, HttpReply reply) {
+    private static CrankException refusal(RequestId id, HttpResponse reply) {
         String reason = reply.header(REASON).orElse("none");
         ResultCode code = switch (reason) {
             case "fence", "range", "validity" -> ResultCode.FENCE_REJECTED;
@@ -67,7 +67,7 @@
     }
 
     /** Answer of a control call; its failures tell whether the call was sent. */
-    public static CompletableFuture<HttpReply> control(CompletableFuture<HttpReply> call) {
+    public static CompletableFuture<HttpResponse> control(CompletableFuture<HttpResponse> call) {
         return call.handle((reply, failure) -> {
             if (failure != null) {
                 throw failure("control call", failure);
@@ -77,7 +77,7 @@
     }
 
     private static CrankException failure(String subject, Throwable failure) {
-        boolean notSent = HttpCallException.isNotSent(failure);
+        boolean notSent = HttpClientException.isNotSent(failure);
         return new CrankException(
                 notSent ? ResultCode.BACKEND_UNAVAILABLE : ResultCode.OUTCOME_UNKNOWN,
                 subject + ": " + failure.getMessage(),
@@ -85,7 +85,7 @@
     }
 
     /** Sequence in the answer to a grant, accepted (200) or rejected as old (409). */
-    public static long sequence(HttpReply reply) {
+    public static long sequence(HttpResponse reply) {
         if (reply.status() != 409) {
             requireOk(reply);
         }
@@ -97,7 +97,7 @@
     }
 
     /** Fails unless the server accepted a control call. */
-    public static void requireOk(HttpReply reply) {
+    public static void requireOk(HttpResponse reply) {
         if (reply.status() != 200) {
             boolean notRun = reply.header(NOT_RUN).filter("true"::equals).isPresent();
             throw new CrankException(
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClock.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClock.java
@@ -1,7 +1,7 @@
 package org.coriandercrank.adapters.internal;
 
 import java.util.List;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.time.MonotonicClock;
 
@@ -32,7 +32,7 @@
     }
 
     /** Takes over the clock of an answer, if the server states one as {@code instance:nanos}. */
-    public void observe(HttpReply reply) {
+    public void observe(HttpResponse reply) {
         String value = reply.header(CLOCK_HEADER).orElse("");
         int colon = value.indexOf(':');
         if (colon < 0) {
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreReplies.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreReplies.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.coriandercrank.http.HttpCallException;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpClientException;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.Revision;
@@ -28,7 +28,7 @@
 
     /** Outcome of a read; a read has no effect, so every lost answer is {@code STORE_UNAVAILABLE}. */
     public static <T> CompletableFuture<T> read(
-            CompletableFuture<HttpReply> call, Function<HttpReply, T> successReader) {
+            CompletableFuture<HttpResponse> call, Function<HttpResponse, T> successReader) {
         return call.handle((reply, failure) -> {
             if (failure != null) {
                 throw new CrankException(ResultCode.STORE_UNAVAILABLE, "read failed: " + failure.getMessage(), failure);
@@ -41,7 +41,7 @@
     }
 
     /** Outcome of a conditional write: the new revision. */
-    public static CompletableFuture<Revision> write(String name, CompletableFuture<HttpReply> call) {
+    public static CompletableFuture<Revision> write(String name, CompletableFuture<HttpResponse> call) {
         return call.handle((reply, failure) -> {
             if (failure != null) {
                 throw writeFailure(name, failure);
@@ -56,14 +56,14 @@
     }
 
     private static CrankException writeFailure(String name, Throwable failure) {
-        boolean notSent = HttpCallException.isNotSent(failure);
+        boolean notSent = HttpClientException.isNotSent(failure);
         return new CrankException(
                 notSent ? ResultCode.STORE_UNAVAILABLE : ResultCode.WRITE_UNANSWERED,
                 "write of " + name + ": " + failure.getMessage(),
                 failure);
     }
 
-    private static CrankException refusal(String name, HttpReply reply) {
+    private static CrankException refusal(String name, HttpResponse reply) {
         int status = reply.status();
         if (status == 409) {
             return new CrankException(
@@ -78,7 +78,7 @@
     }
 
     /** The object of a get, or empty for status 404. */
-    public static Optional<StoredObject> object(String name, HttpReply reply) {
+    public static Optional<StoredObject> object(String name, HttpResponse reply) {
         if (reply.status() == 404 && reply.header(REVISION_HEADER).isPresent()) {
             return Optional.empty();
         }
@@ -89,7 +89,7 @@
     }
 
     /** The batch of a listing or watch. */
-    public static WatchBatch batch(HttpReply reply) {
+    public static WatchBatch batch(HttpResponse reply) {
         requireOk(reply);
         WatchBatch batch = JsonCodec.decode(reply.body(), WatchBatch.class);
         boolean incomplete = batch.upTo() == null
@@ -102,13 +102,13 @@
         return batch;
     }
 
-    private static void requireOk(HttpReply reply) {
+    private static void requireOk(HttpResponse reply) {
         if (reply.status() != 200) {
             throw new CrankException(ResultCode.STORE_MALFORMED, "unexpected status " + reply.status());
         }
     }
 
-    private static Optional<Revision> revision(HttpReply reply) {
+    private static Optional<Revision> revision(HttpResponse reply) {
         try {
             return reply.header(REVISION_HEADER).map(Long::parseLong).map(Revision::new);
         } catch (IllegalArgumentException e) {
--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CtlSite.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CtlSite.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.adapters.HttpAdapterPlugin;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.id.FailureDomain;
@@ -85,8 +85,8 @@
                 HostAddress.parse("127.0.0.1:0"),
                 HttpServerOptions.DEFAULTS,
                 (call, closed) ->
-                        CompletableFuture.completedFuture(status.map(s -> HttpReply.json(200, JsonCodec.encode(s)))
-                                .orElseGet(() -> HttpReply.text(UNAVAILABLE, "down"))));
+                        CompletableFuture.completedFuture(status.map(s -> HttpResponse.json(200, JsonCodec.encode(s)))
+                                .orElseGet(() -> HttpResponse.text(UNAVAILABLE, "down"))));
         try (ObjectStore client = PluginRegistry.load()
                 .get(PluginRegistry.Kind.STORE, HttpAdapterPlugin.NAME)
                 .open(store.address(), TIMEOUT_MS)) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/Fleet.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/Fleet.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
 import org.coriandercrank.kernel.code.CrankException;
@@ -106,7 +106,7 @@
     private CompletableFuture<Optional<DaemonStatus>> status(Member member) {
         HttpClient client =
                 new HttpClient(group, member.adminAddress(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
-        return client.call(HttpCall.of("GET", "/v1/status"), STATUS_TIMEOUT_MS).handle((reply, failure) -> {
+        return client.send(HttpRequest.of("GET", "/v1/status"), STATUS_TIMEOUT_MS).handle((reply, failure) -> {
             client.close();
             if (failure != null || reply.status() != STATUS_OK) {
                 return Optional.<DaemonStatus>empty();
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -212,7 +212,7 @@
 
     /** Serves on, and asks callers to close their connections with the next answer. */
     public void closeCallerConnections() {
-        ingress.closeConnections();
+        ingress.disableKeepAlive();
     }
 
     /** Accepts no further connections of callers. */
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
@@ -3,9 +3,9 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -37,33 +37,33 @@
     }
 
     @Override
-    public CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
         return CompletableFuture.completedFuture(answer(call));
     }
 
-    private HttpReply answer(HttpCall call) {
+    private HttpResponse answer(HttpRequest call) {
         return switch (call.method() + " " + call.path()) {
             case "GET /v1/status" ->
-                HttpReply.json(OK, JsonCodec.encode(source.get().status()));
-            case "GET /live" -> HttpReply.text(OK, "live\n");
+                HttpResponse.json(OK, JsonCodec.encode(source.get().status()));
+            case "GET /live" -> HttpResponse.text(OK, "live\n");
             case "GET /ready" -> ready(source.get().readiness());
-            case "GET /metrics" -> HttpReply.text(OK, metrics.scrape());
+            case "GET /metrics" -> HttpResponse.text(OK, metrics.scrape());
             case "POST /v1/backend" -> announce(call);
-            default -> HttpReply.text(NOT_FOUND, "no such endpoint\n");
+            default -> HttpResponse.text(NOT_FOUND, "no such endpoint\n");
         };
     }
 
-    private static HttpReply ready(Readiness readiness) {
+    private static HttpResponse ready(Readiness readiness) {
         int status = readiness == Readiness.READY ? OK : UNAVAILABLE;
-        return HttpReply.text(status, readiness + "\n");
+        return HttpResponse.text(status, readiness + "\n");
     }
 
-    private HttpReply announce(HttpCall call) {
+    private HttpResponse announce(HttpRequest call) {
         try {
             source.get().announce(JsonCodec.decode(call.body(), BackendInfo.class));
-            return HttpReply.text(OK, "accepted\n");
+            return HttpResponse.text(OK, "accepted\n");
         } catch (CrankException e) {
-            return HttpReply.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
+            return HttpResponse.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
         }
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetProbe.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetProbe.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -53,7 +53,7 @@
             cpuMs += cpuMs(pid);
             resident += residentBytes(pid);
             String metrics = get(host.adminAddress(), "/metrics")
-                    .map(HttpReply::bodyText)
+                    .map(HttpResponse::bodyText)
                     .orElse("");
             bytes += sum(metrics, "crank_peer_bytes_total", "kind=\"control\"");
             messages += sum(metrics, "crank_peer_messages_total", "kind=\"control\"");
@@ -73,7 +73,7 @@
     }
 
     private JsonNode storeCalls() {
-        HttpReply reply = get(site.storeAddress(), "/admin/stats").orElseThrow();
+        HttpResponse reply = get(site.storeAddress(), "/admin/stats").orElseThrow();
         try {
             return JsonCodec.mapper().readTree(reply.body()).get("calls");
         } catch (IOException e) {
@@ -81,10 +81,10 @@
         }
     }
 
-    private Optional<HttpReply> get(HostAddress address, String path) {
+    private Optional<HttpResponse> get(HostAddress address, String path) {
         HttpClient client = clients.computeIfAbsent(address, a -> new HttpClient(group, a, HttpClientOptions.DEFAULTS));
         try {
-            return Optional.of(client.call(HttpCall.of("GET", path), TIMEOUT_MS).join());
+            return Optional.of(client.send(HttpRequest.of("GET", path), TIMEOUT_MS).join());
         } catch (RuntimeException e) {
             return Optional.empty();
         }
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
@@ -30,7 +30,7 @@
         HttpHandler handler = (call, closed) -> {
             handled.incrementAndGet();
             return CompletableFuture.completedFuture(
-                    new HttpReply(503, List.of(new Header("connection", "close")), new byte[BODY_BYTES]));
+                    new HttpResponse(503, List.of(new Header("connection", "close")), new byte[BODY_BYTES]));
         };
         try (HttpServer server =
                         HttpServer.listen(group, new HostAddress("127.0.0.1", 0), HttpServerOptions.DEFAULTS, handler);
@@ -58,8 +58,8 @@
     void deliversTheRejectionOfABodyThatIsStillBeingSent() throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpServerOptions options =
-                new HttpServerOptions(8_192, 16_384, 1_000, status -> HttpReply.text(status, "rejected"));
-        HttpHandler handler = (call, closed) -> CompletableFuture.completedFuture(HttpReply.text(200, "ok"));
+                new HttpServerOptions(8_192, 16_384, 1_000, status -> HttpResponse.text(status, "rejected"));
+        HttpHandler handler = (call, closed) -> CompletableFuture.completedFuture(HttpResponse.text(200, "ok"));
         try (HttpServer server = HttpServer.listen(group, new HostAddress("127.0.0.1", 0), options, handler)) {
             for (int i = 0; i < 20; i++) {
                 try (Socket socket = new Socket(
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.http.HttpCallException.Stage;
+import org.coriandercrank.http.HttpClientException.Stage;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.request.Header;
 import org.junit.jupiter.api.AfterEach;
@@ -38,34 +38,34 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private static CompletableFuture<HttpReply> answer(HttpCall call) {
+    private static CompletableFuture<HttpResponse> answer(HttpRequest call) {
         return switch (call.path()) {
             case "/cut" ->
-                CompletableFuture.failedFuture(HttpAbortException.midAnswer(HttpReply.text(200, "x".repeat(100))));
-            case "/lost" -> CompletableFuture.failedFuture(HttpAbortException.unanswered());
-            default -> CompletableFuture.completedFuture(HttpReply.text(200, "ok"));
+                CompletableFuture.failedFuture(HttpAbortException.midResponse(HttpResponse.text(200, "x".repeat(100))));
+            case "/lost" -> CompletableFuture.failedFuture(HttpAbortException.withoutResponse());
+            default -> CompletableFuture.completedFuture(HttpResponse.text(200, "ok"));
         };
     }
 
-    private Stage failureStage(HttpCall call) {
+    private Stage failureStage(HttpRequest call) {
         CompletionException failure = catchThrowableOfType(
-                CompletionException.class, () -> client.call(call, TIMEOUT_MS).join());
-        return ((HttpCallException) failure.getCause()).stage();
+                CompletionException.class, () -> client.send(call, TIMEOUT_MS).join());
+        return ((HttpClientException) failure.getCause()).stage();
     }
 
     /** Guards against a truncated answer being taken for a whole one. */
     @Test
     void cutAnswerIsAFailureAfterSending() {
-        assertThat(failureStage(HttpCall.of("GET", "/cut"))).isEqualTo(Stage.SENT);
-        assertThat(failureStage(HttpCall.of("GET", "/lost"))).isEqualTo(Stage.SENT);
+        assertThat(failureStage(HttpRequest.of("GET", "/cut"))).isEqualTo(Stage.SENT);
+        assertThat(failureStage(HttpRequest.of("GET", "/lost"))).isEqualTo(Stage.SENT);
     }
 
     /** Guards against a call that cannot be encoded being reported as possibly sent, after its whole timeout. */
     @Test
     void invalidCallIsNotSentAndKeepsTheConnection() {
-        HttpCall invalid = new HttpCall("GET", "/", List.of(new Header("x", "a\r\nb")), new byte[0]);
+        HttpRequest invalid = new HttpRequest("GET", "/", List.of(new Header("x", "a\r\nb")), new byte[0]);
         assertThat(failureStage(invalid)).isEqualTo(Stage.NOT_SENT);
-        assertThat(client.call(HttpCall.of("GET", "/"), TIMEOUT_MS).join().status())
+        assertThat(client.send(HttpRequest.of("GET", "/"), TIMEOUT_MS).join().status())
                 .isEqualTo(200);
         assertThat(client.openConnections()).isEqualTo(1);
     }
@@ -73,7 +73,7 @@
     /** Guards against a pool that opens its first connections only under load, or more than the server serves. */
     @Test
     void warmOpensConnectionsAndServerLimitHolds() throws InterruptedException {
-        client.warm(5);
+        client.warmUp(5);
         for (int i = 0; i < 100 && server.openConnections() != 2; i++) {
             Thread.sleep(10);
         }
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/PipeliningTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/PipeliningTest.java
@@ -27,12 +27,12 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> arrived = new LinkedBlockingQueue<>();
-    private final Map<String, CompletableFuture<HttpReply>> replies = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<HttpResponse>> replies = new ConcurrentHashMap<>();
     private final Map<String, CompletableFuture<Void>> closes = new ConcurrentHashMap<>();
     private final HttpServer server =
             HttpServer.listen(group, new HostAddress("127.0.0.1", 0), HttpServerOptions.DEFAULTS, (call, closed) -> {
                 closes.put(call.target(), closed);
-                CompletableFuture<HttpReply> reply =
+                CompletableFuture<HttpResponse> reply =
                         replies.computeIfAbsent(call.target(), target -> new CompletableFuture<>());
                 arrived.add(call.target());
                 return reply;
@@ -63,7 +63,7 @@
     }
 
     private void reply(String target, Header... headers) {
-        replies.get(target).complete(new HttpReply(200, List.of(headers), target.getBytes(StandardCharsets.US_ASCII)));
+        replies.get(target).complete(new HttpResponse(200, List.of(headers), target.getBytes(StandardCharsets.US_ASCII)));
     }
 
     private static String readAll(Socket socket) throws IOException {
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ClientConnectionHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ClientConnectionHandler.java
@@ -15,7 +15,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.http.HttpCallException.Stage;
+import org.coriandercrank.http.HttpClientException.Stage;
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
@@ -24,9 +24,9 @@
  */
 final class ClientConnectionHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final HttpClientOptions options;
-    private HttpCall call;
+    private HttpRequest call;
     private ChannelFuture written;
-    private CompletableFuture<HttpReply> outstanding;
+    private CompletableFuture<HttpResponse> outstanding;
     private Runnable release;
     private ScheduledFuture<?> timeout;
     private ScheduledFuture<?> idleClose;
@@ -38,9 +38,9 @@
     void send(
             Channel channel,
             HostAddress target,
-            HttpCall newCall,
+            HttpRequest newCall,
             long timeoutMs,
-            CompletableFuture<HttpReply> result,
+            CompletableFuture<HttpResponse> result,
             Runnable whenFree) {
         if (idleClose != null) {
             idleClose.cancel(false);
@@ -48,7 +48,7 @@
         }
         if (!channel.isActive()) {
             result.completeExceptionally(
-                    new HttpCallException(Stage.NOT_SENT, "connection to " + target + " was closed", null));
+                    new HttpClientException(Stage.NOT_SENT, "connection to " + target + " was closed", null));
             return;
         }
         FullHttpRequest request;
@@ -56,7 +56,7 @@
             request = request(target, newCall);
         } catch (IllegalArgumentException e) {
             whenFree.run();
-            result.completeExceptionally(new HttpCallException(Stage.NOT_SENT, "call is not valid HTTP", e));
+            result.completeExceptionally(new HttpClientException(Stage.NOT_SENT, "call is not valid HTTP", e));
             return;
         }
         call = newCall;
@@ -75,13 +75,13 @@
         });
     }
 
-    private void closeIfOutstanding(Channel channel, CompletableFuture<HttpReply> cancelled) {
+    private void closeIfOutstanding(Channel channel, CompletableFuture<HttpResponse> cancelled) {
         if (outstanding == cancelled) {
             failAndClose(channel, "call was cancelled", null);
         }
     }
 
-    private static FullHttpRequest request(HostAddress target, HttpCall call) {
+    private static FullHttpRequest request(HostAddress target, HttpRequest call) {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(call.method()),
@@ -98,7 +98,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-        CompletableFuture<HttpReply> result = outstanding;
+        CompletableFuture<HttpResponse> result = outstanding;
         Runnable whenFree = release;
         if (result == null) {
             context.close();
@@ -113,9 +113,9 @@
         }
         byte[] body = new byte[response.content().readableBytes()];
         response.content().readBytes(body);
-        HttpReply reply =
-                new HttpReply(response.status().code(), HttpHeadersSupport.fromNetty(response.headers()), body);
-        if (!options.replyCheck().belongsTo(call, reply)) {
+        HttpResponse reply =
+                new HttpResponse(response.status().code(), HttpHeadersSupport.fromNetty(response.headers()), body);
+        if (!options.responseMatcher().matches(call, reply)) {
             failAndClose(context.channel(), "the answer does not belong to the call", null);
             return;
         }
@@ -125,7 +125,7 @@
         // The server may answer before it has read the whole body; what follows on the connection would be misread.
         if (HttpUtil.isKeepAlive(response) && written.isSuccess()) {
             idleClose = context.executor()
-                    .schedule(() -> closeIfIdle(context), options.idleCloseMs(), TimeUnit.MILLISECONDS);
+                    .schedule(() -> closeIfIdle(context), options.idleTimeoutMs(), TimeUnit.MILLISECONDS);
             whenFree.run();
         } else {
             context.close();
@@ -140,12 +140,12 @@
     }
 
     private void failAndClose(Channel channel, String message, Throwable cause) {
-        CompletableFuture<HttpReply> result = outstanding;
+        CompletableFuture<HttpResponse> result = outstanding;
         outstanding = null;
         channel.close();
         if (result != null) {
             timeout.cancel(false);
-            result.completeExceptionally(new HttpCallException(Stage.SENT, message, cause));
+            result.completeExceptionally(new HttpClientException(Stage.SENT, message, cause));
         }
     }
 
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
@@ -9,25 +9,25 @@
 public final class HttpAbortException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient HttpReply cutReply;
+    private final transient HttpResponse truncatedResponse;
 
-    private HttpAbortException(HttpReply cutReply) {
+    private HttpAbortException(HttpResponse cutReply) {
         super("connection closed on purpose", null, false, false);
-        this.cutReply = cutReply;
+        this.truncatedResponse = cutReply;
     }
 
     /** Closes the connection without writing any byte. */
-    public static HttpAbortException unanswered() {
+    public static HttpAbortException withoutResponse() {
         return new HttpAbortException(null);
     }
 
     /** Writes the head of a reply and half of its body, then closes the connection. */
-    public static HttpAbortException midAnswer(HttpReply reply) {
+    public static HttpAbortException midResponse(HttpResponse reply) {
         return new HttpAbortException(reply);
     }
 
     /** The reply of which half is written. */
-    public Optional<HttpReply> cutReply() {
-        return Optional.ofNullable(cutReply);
+    public Optional<HttpResponse> truncatedResponse() {
+        return Optional.ofNullable(truncatedResponse);
     }
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClient.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClient.java
@@ -15,18 +15,18 @@
 import java.util.Deque;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.http.HttpCallException.Stage;
+import org.coriandercrank.http.HttpClientException.Stage;
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
  * A client of one HTTP/1.1 server with a bounded pool of keep-alive connections; one call at a time on each.
  *
  * <p>Thread safe. The most recently used connection is used first. A call is written to at most one connection and is
- * never repeated by this class. Futures fail with {@link HttpCallException}; cancelling one closes the connection of its
+ * never repeated by this class. Futures fail with {@link HttpClientException}; cancelling one closes the connection of its
  * call, which tells the server to stop.
  */
 public final class HttpClient implements AutoCloseable {
-    private record Waiting(HttpCall call, long deadlineNanos, CompletableFuture<HttpReply> result) {}
+    private record Waiting(HttpRequest call, long deadlineNanos, CompletableFuture<HttpResponse> result) {}
 
     private final HostAddress target;
     private final HttpClientOptions options;
@@ -61,7 +61,7 @@
     }
 
     /** Sends a call; fails after {@code timeoutMs}, also while it waits for a connection. */
-    public CompletableFuture<HttpReply> call(HttpCall call, long timeoutMs) {
+    public CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMs) {
         Waiting entry = new Waiting(
                 call, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs), new CompletableFuture<>());
         Channel channel = null;
@@ -75,14 +75,14 @@
                 open++;
                 connect = true;
             } else if (channel == null) {
-                if (waiting.size() >= options.maxWaiting()) {
+                if (waiting.size() >= options.maxQueuedRequests()) {
                     return failed("too many calls wait for a connection to " + target);
                 }
                 waiting.add(entry);
             }
         }
         if (channel != null) {
-            send(channel, entry);
+            sendOn(channel, entry);
         } else if (connect) {
             connect(entry);
         } else {
@@ -92,7 +92,7 @@
     }
 
     /** Opens connections until {@code count} are open or being opened, within the limit of the pool. */
-    public void warm(int count) {
+    public void warmUp(int count) {
         int missing;
         synchronized (lock) {
             missing = closed ? 0 : Math.max(0, Math.min(count, options.maxConnections()) - open);
@@ -148,11 +148,11 @@
             }
             Channel channel = future.channel();
             channel.closeFuture().addListener(done -> connectionClosed());
-            send(channel, entry);
+            sendOn(channel, entry);
         });
     }
 
-    private void send(Channel channel, Waiting entry) {
+    private void sendOn(Channel channel, Waiting entry) {
         if (entry.result.isDone()) {
             release(channel);
             return;
@@ -186,7 +186,7 @@
             }
         }
         if (next != null) {
-            send(channel, next);
+            sendOn(channel, next);
         } else if (closed) {
             channel.close();
         }
@@ -206,17 +206,17 @@
         }
     }
 
-    private static CompletableFuture<HttpReply> failed(String message) {
+    private static CompletableFuture<HttpResponse> failed(String message) {
         return CompletableFuture.failedFuture(notSent(message, null));
     }
 
-    private HttpCallException notConnected(Throwable cause) {
+    private HttpClientException notConnected(Throwable cause) {
         boolean refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return new HttpCallException(refused ? Stage.REFUSED : Stage.NOT_SENT, "cannot connect to " + target, cause);
+        return new HttpClientException(refused ? Stage.CONNECTION_REFUSED : Stage.NOT_SENT, "cannot connect to " + target, cause);
     }
 
-    private static HttpCallException notSent(String message, Throwable cause) {
-        return new HttpCallException(Stage.NOT_SENT, message, cause);
+    private static HttpClientException notSent(String message, Throwable cause) {
+        return new HttpClientException(Stage.NOT_SENT, message, cause);
     }
 
     /** Closes idle connections now and the others after their call; waiting calls fail. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpHandler.java
@@ -12,5 +12,5 @@
      * @return the answer; a failed future is answered with status 500, or closes the connection if it fails with
      *     {@link HttpAbortException}
      */
-    CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed);
+    CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed);
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpCall.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpRequest.java
@@ -12,17 +12,17 @@
  * @param headers without {@code Content-Length}, {@code Connection} and {@code Transfer-Encoding}; a client call without
  *     {@code Host} gets the address of its server
  */
-public record HttpCall(String method, String target, List<Header> headers, byte[] body) {
-    public HttpCall {
+public record HttpRequest(String method, String target, List<Header> headers, byte[] body) {
+    public HttpRequest {
         headers = List.copyOf(headers);
     }
 
-    public static HttpCall of(String method, String target) {
-        return new HttpCall(method, target, List.of(), new byte[0]);
+    public static HttpRequest of(String method, String target) {
+        return new HttpRequest(method, target, List.of(), new byte[0]);
     }
 
-    public static HttpCall of(String method, String target, String body) {
-        return new HttpCall(method, target, List.of(), body.getBytes(StandardCharsets.UTF_8));
+    public static HttpRequest of(String method, String target, String body) {
+        return new HttpRequest(method, target, List.of(), body.getBytes(StandardCharsets.UTF_8));
     }
 
     /** First value of a header; the name is in lower case. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpReply.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpResponse.java
@@ -6,21 +6,21 @@
 import org.coriandercrank.kernel.request.Header;
 
 /** An answer, on the server or the client side. Immutable by convention: the body array is not changed. */
-public record HttpReply(int status, List<Header> headers, byte[] body) {
-    public HttpReply {
+public record HttpResponse(int status, List<Header> headers, byte[] body) {
+    public HttpResponse {
         headers = List.copyOf(headers);
     }
 
-    public static HttpReply text(int status, String text) {
+    public static HttpResponse text(int status, String text) {
         return of(status, "text/plain; charset=utf-8", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    public static HttpReply json(int status, byte[] json) {
+    public static HttpResponse json(int status, byte[] json) {
         return of(status, "application/json", json);
     }
 
-    public static HttpReply of(int status, String contentType, byte[] body) {
-        return new HttpReply(status, List.of(new Header("content-type", contentType)), body);
+    public static HttpResponse of(int status, String contentType, byte[] body) {
+        return new HttpResponse(status, List.of(new Header("content-type", contentType)), body);
     }
 
     /** First value of a header; the name is in lower case. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServer.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServer.java
@@ -24,7 +24,7 @@
     private static final int ACCEPT_BACKLOG = 1_024;
 
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final AtomicInteger openCalls = new AtomicInteger();
+    private final AtomicInteger pendingResponses = new AtomicInteger();
     private final Channel listener;
 
     private final AtomicInteger open = new AtomicInteger();
@@ -57,7 +57,7 @@
                         channel.pipeline()
                                 .addLast(new HttpServerCodec(
                                         options.maxInitialLineBytes(), options.maxHeaderBytes(), 8_192))
-                                .addLast(new ServerConnectionHandler(options, handler, openCalls));
+                                .addLast(new ServerConnectionHandler(options, handler, pendingResponses));
                     }
                 })
                 .bind(listen.ip(), listen.port())
@@ -101,8 +101,8 @@
     }
 
     /** Calls whose answer has not yet been passed to the operating system as a whole. */
-    public int openCalls() {
-        return openCalls.get();
+    public int pendingResponses() {
+        return pendingResponses.get();
     }
 
     /** Accepts no further connections; open ones go on. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
@@ -14,7 +14,6 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
@@ -55,7 +54,7 @@
         private final CompletableFuture<Void> closed = new CompletableFuture<>();
         private final boolean callerKeepsAlive;
         private final boolean headOnly;
-        private HttpReply reply;
+        private HttpResponse reply;
         private Throwable failure;
 
         private Exchange(boolean callerKeepsAlive, boolean headOnly) {
@@ -71,7 +70,7 @@
     private final HttpServerOptions options;
     private final HttpHandler handler;
     private final AtomicInteger openCalls;
-    private HttpRequest head;
+    private io.netty.handler.codec.http.HttpRequest head;
     private ByteArrayOutputStream body;
     private boolean stopped;
     private final Deque<Exchange> exchanges = new ArrayDeque<>();
@@ -106,7 +105,7 @@
             reject(context, statusOf(part.decoderResult().cause()));
             return;
         }
-        if (part instanceof HttpRequest request) {
+        if (part instanceof io.netty.handler.codec.http.HttpRequest request) {
             begin(context, request);
         }
         if (part instanceof HttpContent content && !stopped) {
@@ -114,7 +113,7 @@
         }
     }
 
-    private void begin(ChannelHandlerContext context, HttpRequest request) {
+    private void begin(ChannelHandlerContext context, io.netty.handler.codec.http.HttpRequest request) {
         head = request;
         body = new ByteArrayOutputStream();
         if (HttpUtil.getContentLength(request, 0L) > options.maxBodyBytes()) {
@@ -144,7 +143,7 @@
     private void dispatch(ChannelHandlerContext context) {
         Exchange exchange = new Exchange(
                 HttpUtil.isKeepAlive(head), "HEAD".equals(head.method().name()));
-        HttpCall call = new HttpCall(
+        HttpRequest call = new HttpRequest(
                 head.method().name(), head.uri(), HttpHeadersSupport.fromNetty(head.headers()), body.toByteArray());
         head = null;
         body = null;
@@ -172,7 +171,7 @@
         if (exchange.failure != null && unwrap(exchange.failure) instanceof HttpAbortException abort) {
             return abort(context, abort);
         }
-        HttpReply reply = replyOrError(exchange.reply, exchange.failure);
+        HttpResponse reply = replyOrError(exchange.reply, exchange.failure);
         boolean last = exchanges.isEmpty();
         boolean keepAlive = !last || (exchange.callerKeepsAlive && !reply.asksForClose());
         return write(context, reply, keepAlive, exchange.headOnly);
@@ -185,10 +184,10 @@
     /** The rest of a cut answer is missing, so the announced content length exceeds what is written. */
     private ChannelFuture abort(ChannelHandlerContext context, HttpAbortException abort) {
         stopped = true;
-        if (abort.cutReply().isEmpty()) {
+        if (abort.truncatedResponse().isEmpty()) {
             return context.close();
         }
-        HttpReply reply = abort.cutReply().get();
+        HttpResponse reply = abort.truncatedResponse().get();
         DefaultHttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()));
         HttpHeadersSupport.toNetty(reply.headers(), response.headers());
@@ -199,7 +198,7 @@
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
-    private CompletableFuture<HttpReply> handleSafely(HttpCall call, CompletableFuture<Void> closed) {
+    private CompletableFuture<HttpResponse> handleSafely(HttpRequest call, CompletableFuture<Void> closed) {
         try {
             return handler.handle(call, closed);
         } catch (RuntimeException e) {
@@ -207,15 +206,15 @@
         }
     }
 
-    private static HttpReply replyOrError(HttpReply reply, Throwable failure) {
+    private static HttpResponse replyOrError(HttpResponse reply, Throwable failure) {
         if (failure == null) {
             return reply;
         }
         logger.atSevere().withCause(failure).log("event=http-handler-failed");
-        return HttpReply.text(STATUS_INTERNAL, "internal error\n");
+        return HttpResponse.text(STATUS_INTERNAL, "internal error\n");
     }
 
-    private ChannelFuture write(ChannelHandlerContext context, HttpReply reply, boolean keepAlive, boolean headOnly) {
+    private ChannelFuture write(ChannelHandlerContext context, HttpResponse reply, boolean keepAlive, boolean headOnly) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status()),
@@ -263,7 +262,7 @@
         stopped = true;
         head = null;
         Exchange exchange = new Exchange(false, false);
-        exchange.reply = options.rejection().apply(status);
+        exchange.reply = options.rejectionResponse().apply(status);
         exchanges.add(exchange);
         openCalls.incrementAndGet();
         writeAnswered(context);
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/CallerProtocolTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/CallerProtocolTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.IdempotencyKey;
 import org.coriandercrank.kernel.request.CallerAnswer;
@@ -74,7 +74,7 @@
     @ParameterizedTest
     @MethodSource("malformed")
     void refusesMalformedInputWithItsCodeAndField(Malformed input) throws IOException {
-        HttpReply reply = world.call(input.method, input.target, input.headers.toArray(new Header[0]));
+        HttpResponse reply = world.call(input.method, input.target, input.headers.toArray(new Header[0]));
 
         JsonNode body = new ObjectMapper().readTree(reply.body());
         assertThat(reply.status()).isEqualTo(input.code.httpStatus());
@@ -115,7 +115,7 @@
 
     @Test
     void passesTheRequestOnAsGiven() {
-        HttpReply reply = world.call(
+        HttpResponse reply = world.call(
                 "POST",
                 "/v1/cardfront/caf%C3%A9%2F1/shades?x=%20",
                 new Header("crank-deadline-ms", "700"),
@@ -168,11 +168,11 @@
     void drainsByRefusingNewRequestsAndFinishingOthers() {
         CompletableFuture<CallerAnswer> held = new CompletableFuture<>();
         world.gate.answers = request -> held;
-        CompletableFuture<HttpReply> first = CompletableFuture.supplyAsync(() -> world.call("GET", "/v1/cardfront/k1"));
+        CompletableFuture<HttpResponse> first = CompletableFuture.supplyAsync(() -> world.call("GET", "/v1/cardfront/k1"));
         await(() -> world.ingress.inFlight() == 1);
 
         CompletableFuture<Void> drained = world.ingress.drain();
-        HttpReply refused = world.call("GET", "/v1/cardfront/k2");
+        HttpResponse refused = world.call("GET", "/v1/cardfront/k2");
         assertThat(refused.header("crank-result")).contains("206");
         assertThat(refused.header("retry-after")).contains("2");
         assertThat(drained).isNotDone();
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.Outcome;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.message.OutcomeAnswer;
@@ -88,7 +88,7 @@
             world.peers.onForward = (r, n) -> n == 1 ? FakePeers.failed(fault.failure) : FakePeers.executed();
             world.peers.onQuery = (q, n) -> fault.query.answer(n);
 
-            HttpReply reply = world.call(
+            HttpResponse reply = world.call(
                     fault.method,
                     "/v1/cardfront/k1",
                     new Header("crank-deadline-ms", "400"),
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
@@ -4,7 +4,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.MemberId;
@@ -31,7 +31,7 @@
         return new TestWorld(snapshot, TestWorld.options(10, 10));
     }
 
-    private static void assertResult(HttpReply reply, ResultCode code, String outcome) {
+    private static void assertResult(HttpResponse reply, ResultCode code, String outcome) {
         assertThat(reply.header("crank-result")).contains(Integer.toString(code.number()));
         assertThat(reply.header("crank-outcome")).contains(outcome);
     }
@@ -39,7 +39,7 @@
     @Test
     void sendsToTheLocalGateIfThisDaemonOwnsTheKey() {
         try (TestWorld world = world(TestWorld.ownedBy("self", 1))) {
-            HttpReply reply = world.call("GET", PATH);
+            HttpResponse reply = world.call("GET", PATH);
 
             assertThat(reply.bodyText()).isEqualTo("local");
             assertThat(reply.header("crank-owner")).contains("self");
@@ -59,7 +59,7 @@
                 return FakePeers.answer(CallerAnswer.of(ResultCode.NOT_OWNER, "moved"), 2);
             };
 
-            HttpReply reply = world.call("POST", PATH);
+            HttpResponse reply = world.call("POST", PATH);
 
             assertResult(reply, ResultCode.OK, "run");
             assertThat(reply.header("crank-owner")).contains("c");
@@ -101,7 +101,7 @@
             world.peers.onForward = (r, n) -> forwarded;
             long startedAtNanos = System.nanoTime();
 
-            HttpReply reply = world.call("POST", PATH);
+            HttpResponse reply = world.call("POST", PATH);
 
             assertResult(reply, code, "not-run");
             assertThat(reply.header("retry-after")).contains("2");
@@ -122,9 +122,9 @@
     @MethodSource("withoutOwner")
     void waitsABoundedTimeForANewOwner(RoutingSnapshot snapshot) {
         try (TestWorld world = world(snapshot)) {
-            HttpReply refused = world.call("GET", PATH);
+            HttpResponse refused = world.call("GET", PATH);
             world.timers.once(50, Runnable::run, () -> world.view.set(TestWorld.ownedBy("b", 2, B)));
-            HttpReply served = world.call("GET", PATH);
+            HttpResponse served = world.call("GET", PATH);
 
             assertResult(refused, ResultCode.NO_OWNER, "not-run");
             assertResult(served, ResultCode.OK, "run");
@@ -137,7 +137,7 @@
         Member remote = TestWorld.member("r", "west", TestWorld.KEYED, MemberState.ACTIVE);
         try (TestWorld world = world(TestWorld.ownedBy("r", 1, remote))) {
             world.peers.onForward = (r, n) -> FakePeers.failed(ResultCode.PEER_UNREACHABLE);
-            HttpReply reply = world.call("GET", PATH);
+            HttpResponse reply = world.call("GET", PATH);
 
             assertResult(reply, ResultCode.OWNER_UNREACHABLE, "not-run");
             assertThat(world.view.waiting()).isZero();
@@ -206,7 +206,7 @@
         try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
             world.peers.onForward = (r, n) -> new CompletableFuture<>();
 
-            HttpReply reply = world.call("POST", PATH, new Header("crank-deadline-ms", "50"));
+            HttpResponse reply = world.call("POST", PATH, new Header("crank-deadline-ms", "50"));
 
             assertResult(reply, ResultCode.DEADLINE_EXPIRED_RUNNING, "unknown");
             assertThat(world.peers.forwards.get(0).request().remainingMs()).isBetween(1L, 50L);
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/TestWorld.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/TestWorld.java
@@ -13,10 +13,10 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.FailureDomain;
@@ -96,12 +96,12 @@
                 100,
                 50,
                 1_500,
-                new RetryRules(
+                new RetryBudgetOptions(
                         budgetPercent / 100.0,
                         budgetMinPerSecond,
                         budgetMinPerSecond * 2 + (budgetPercent > 0 ? 100 : 0)),
                 5_000,
-                HealthRules.DEFAULTS);
+                OutlierDetectionOptions.DEFAULTS);
     }
 
     static Member member(String id, String region, ServiceName service, MemberState state) {
@@ -133,8 +133,8 @@
                 SELF, new Revision(1), configuration, Map.of(KEYED, new AssignmentTable(KEYED, table, ranges)), known);
     }
 
-    HttpReply call(String method, String target, Header... headers) {
-        return client.call(new HttpCall(method, target, List.of(headers), new byte[0]), CALL_TIMEOUT_MS)
+    HttpResponse call(String method, String target, Header... headers) {
+        return client.send(new HttpRequest(method, target, List.of(headers), new byte[0]), CALL_TIMEOUT_MS)
                 .join();
     }
 
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/BalancingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/BalancingTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.coriandercrank.ingress.HealthRules;
+import org.coriandercrank.ingress.OutlierDetectionOptions;
 import org.coriandercrank.kernel.config.Locality;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -106,7 +106,7 @@
 
     @Test
     void excludesABadServerAndReadmitsItAfterGoodProbes() {
-        HealthTracker tracker = new HealthTracker(HealthRules.DEFAULTS);
+        HealthTracker tracker = new HealthTracker(OutlierDetectionOptions.DEFAULTS);
         MemberId bad = new MemberId("a");
         tracker.retain(Set.of(bad, new MemberId("b"), new MemberId("c")));
         for (int i = 0; i < 10; i++) {
@@ -128,7 +128,7 @@
     /** Guards against a common fault, such as a bad release, that excludes all servers of a service. */
     @Test
     void neverExcludesMoreThanTheAllowedShare() {
-        HealthTracker tracker = new HealthTracker(HealthRules.DEFAULTS);
+        HealthTracker tracker = new HealthTracker(OutlierDetectionOptions.DEFAULTS);
         Set<MemberId> servers =
                 Stream.of("a", "b", "c", "d", "e", "f").map(MemberId::new).collect(Collectors.toSet());
         tracker.retain(servers);
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.coriandercrank.ingress.HealthRules;
+import org.coriandercrank.ingress.OutlierDetectionOptions;
 import org.coriandercrank.kernel.id.MemberId;
 import org.junit.jupiter.api.Test;
 
@@ -23,7 +23,7 @@
 
     record Result(double exclusionsPerMinute, int failed, int requests) {}
 
-    private static Result run(HealthRules rules) {
+    private static Result run(OutlierDetectionOptions rules) {
         HealthTracker tracker = new HealthTracker(rules);
         tracker.retain(Set.copyOf(SERVERS));
         Random random = new Random(20);
@@ -48,11 +48,11 @@
 
     @Test
     void twoThresholdsFlapLessAndFailFewerRequests() {
-        HealthRules two = HealthRules.DEFAULTS;
-        HealthRules one = new HealthRules(
+        OutlierDetectionOptions two = OutlierDetectionOptions.DEFAULTS;
+        OutlierDetectionOptions one = new OutlierDetectionOptions(
                 two.excludeBelow(),
                 two.excludeBelow(),
-                two.smoothing(),
+                two.smoothingFactor(),
                 two.minSamples(),
                 two.probeIntervalMs(),
                 two.maxExcludedShare());
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/CallerProtocol.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/CallerProtocol.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.ingress;
 
 import java.util.Optional;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
@@ -11,7 +11,7 @@
 /** How callers write requests and read answers. Implementations are thread safe and do not block. */
 public interface CallerProtocol {
     /** Reads a request, or says why it cannot be taken. */
-    ParsedRequest parse(HttpCall call, RoutingSnapshot snapshot);
+    ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot);
 
     /**
      * Writes an answer.
@@ -19,5 +19,5 @@
      * @param owner the member that answered, if the request reached one
      * @param closeConnection whether the caller should open a new connection
      */
-    HttpReply render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection);
+    HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection);
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -5,8 +5,8 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.ingress.internal.balancing.Balancer;
@@ -54,11 +54,11 @@
     public Ingress(IngressDependencies parts, IngressOptions options) {
         this.parts = parts;
         this.options = options;
-        this.protocol = parts.protocol().orElseGet(() -> new NativeProtocol(ids, options.retryAfterMs()));
+        this.protocol = parts.protocol().orElseGet(() -> new NativeProtocol(ids, options.defaultRetryAfterMs()));
         this.metrics = new IngressMetrics(parts.meters());
         this.duty =
                 new RequestExecutor(parts.duties().create("ingress", RING_SLOTS_PER_REQUEST * options.maxInFlight()));
-        Balancer balancer = new Balancer(parts.region(), parts.failureDomain(), options.health(), new Random());
+        Balancer balancer = new Balancer(parts.region(), parts.failureDomain(), options.outlierDetection(), new Random());
         this.context =
                 new DispatchContext(parts, options, duty, balancer, new RetryBudgets(options.retryBudget()), metrics);
         metrics.registerGauges(inFlight::get, () -> excludedServers);
@@ -81,7 +81,7 @@
     }
 
     /** Serves on, and asks callers to close their connections with the next answer. */
-    public void closeConnections() {
+    public void disableKeepAlive() {
         closing = true;
     }
 
@@ -102,13 +102,13 @@
         completeIfIdle();
         CompletableFuture<Void> drained = new CompletableFuture<>();
         idleWhileDraining.thenRun(
-                () -> awaitWritten(drained, parts.timers().clock().nowMs() + options.drainWriteMs()));
+                () -> awaitWritten(drained, parts.timers().clock().nowMs() + options.drainWriteTimeoutMs()));
         return drained;
     }
 
     /** A caller that does not read its answer must not block a planned stop, so the wait is bounded. */
     private void awaitWritten(CompletableFuture<Void> drained, long untilMs) {
-        boolean written = server == null || server.openCalls() == 0;
+        boolean written = server == null || server.pendingResponses() == 0;
         if (written || parts.timers().clock().nowMs() >= untilMs) {
             drained.complete(null);
         } else {
@@ -129,7 +129,7 @@
         duty.close();
     }
 
-    private CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed) {
+    private CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
         long receivedAtNanos = parts.timers().clock().nowNanos();
         ParsedRequest parsed = protocol.parse(call, parts.view().current());
         if (parsed.refusal().isPresent()) {
@@ -171,7 +171,7 @@
         }
     }
 
-    private HttpReply reply(RequestId id, DispatchResult result) {
+    private HttpResponse reply(RequestId id, DispatchResult result) {
         return protocol.render(id, result.answer(), result.owner(), closing);
     }
 
@@ -181,7 +181,7 @@
         return CallerAnswer.of(ResultCode.INTERNAL, "unexpected error");
     }
 
-    private CompletableFuture<HttpReply> refuse(ParsedRequest parsed, CallerAnswer refusal, long receivedAtNanos) {
+    private CompletableFuture<HttpResponse> refuse(ParsedRequest parsed, CallerAnswer refusal, long receivedAtNanos) {
         String service = parsed.accepted().map(a -> a.service().name().value()).orElse(NO_SERVICE);
         metrics.finished(service, refusal.code(), parts.timers().clock().nowNanos() - receivedAtNanos);
         parts.decisions()
@@ -189,7 +189,7 @@
         return CompletableFuture.completedFuture(protocol.render(parsed.id(), refusal, Optional.empty(), closing));
     }
 
-    private HttpReply rejection(int status, HttpServerOptions limits) {
+    private HttpResponse rejection(int status, HttpServerOptions limits) {
         CallerAnswer answer = switch (status) {
             case 413 ->
                 CallerAnswer.of(
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RequestIds.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RequestIds.java
@@ -42,7 +42,7 @@
     }
 
     /** The id of an attempt; attempt 1 has the id of the request. */
-    public static RequestId ofAttempt(RequestId id, int attempt) {
+    public static RequestId forAttempt(RequestId id, int attempt) {
         return attempt == 1 ? id : new RequestId(id.value() + ATTEMPT_SEPARATOR + attempt);
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
-import org.coriandercrank.ingress.HealthRules;
+import org.coriandercrank.ingress.OutlierDetectionOptions;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.MemberId;
@@ -33,7 +33,7 @@
 public final class Balancer {
     private final Region region;
     private final FailureDomain failureDomain;
-    private final HealthRules healthRules;
+    private final OutlierDetectionOptions healthRules;
     private final RandomGenerator random;
     private final Map<MemberId, Integer> inFlight = new HashMap<>();
     private final LoadBoard loads = new LoadBoard();
@@ -53,7 +53,7 @@
         }
     }
 
-    public Balancer(Region region, FailureDomain failureDomain, HealthRules healthRules, RandomGenerator random) {
+    public Balancer(Region region, FailureDomain failureDomain, OutlierDetectionOptions healthRules, RandomGenerator random) {
         this.region = region;
         this.failureDomain = failureDomain;
         this.healthRules = healthRules;
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/HealthTracker.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/HealthTracker.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.coriandercrank.ingress.HealthRules;
+import org.coriandercrank.ingress.OutlierDetectionOptions;
 import org.coriandercrank.kernel.id.MemberId;
 
 /**
@@ -15,7 +15,7 @@
  * surplus ones are readmitted.
  */
 public final class HealthTracker {
-    private final HealthRules rules;
+    private final OutlierDetectionOptions rules;
     private final Map<MemberId, Health> servers = new HashMap<>();
     private int excluded;
     private long exclusions;
@@ -28,7 +28,7 @@
         private long nextProbeNanos;
     }
 
-    public HealthTracker(HealthRules rules) {
+    public HealthTracker(OutlierDetectionOptions rules) {
         this.rules = rules;
     }
 
@@ -51,7 +51,7 @@
             return;
         }
         health.samples++;
-        health.successRate += rules.smoothing() * ((success ? 1 : 0) - health.successRate);
+        health.successRate += rules.smoothingFactor() * ((success ? 1 : 0) - health.successRate);
         if (health.excluded) {
             if (health.successRate > rules.readmitAbove()) {
                 readmit(health);
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.RequestId;
@@ -39,7 +39,7 @@
      * @param owner the member that answered, if the request reached one
      * @param closeConnection whether the caller should open a new connection, to another daemon
      */
-    public HttpReply render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
+    public HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
         boolean executed = answer.code() == ResultCode.OK;
         List<Header> headers = new ArrayList<>();
         if (executed) {
@@ -65,7 +65,7 @@
             headers.add(new Header(RETRY_AFTER, Long.toString(seconds)));
             headers.add(new Header("crank-retry-after-ms", Long.toString(ms)));
         });
-        return new HttpReply(answer.status(), headers, executed ? answer.body() : errorBody(id, answer));
+        return new HttpResponse(answer.status(), headers, executed ? answer.body() : errorBody(id, answer));
     }
 
     private OptionalLong retryAfterMs(CallerAnswer answer) {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.ingress.internal.protocol;
 
 import java.util.Optional;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.ingress.CallerProtocol;
 import org.coriandercrank.ingress.ParsedRequest;
 import org.coriandercrank.ingress.RequestIds;
@@ -23,12 +23,12 @@
     }
 
     @Override
-    public ParsedRequest parse(HttpCall call, RoutingSnapshot snapshot) {
+    public ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot) {
         return parser.parse(call, snapshot);
     }
 
     @Override
-    public HttpReply render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
+    public HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
         return renderer.render(id, answer, owner, closeConnection);
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.ingress.ParsedRequest;
 import org.coriandercrank.ingress.RequestIds;
 import org.coriandercrank.kernel.code.CrankException;
@@ -46,7 +46,7 @@
     /** Where the request goes, still encoded. */
     private record Address(String service, Optional<String> key) {}
 
-    public ParsedRequest parse(HttpCall call, RoutingSnapshot snapshot) {
+    public ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot) {
         RequestId id;
         try {
             id = single(call, REQUEST_ID, ResultCode.BAD_REQUEST_ID)
@@ -66,7 +66,7 @@
         }
     }
 
-    private static ParsedRequest parse(RequestId id, HttpCall call, RoutingSnapshot snapshot) {
+    private static ParsedRequest parse(RequestId id, HttpRequest call, RoutingSnapshot snapshot) {
         Address address = address(call);
         ServiceConfig service = service(address.service(), snapshot);
         if (!METHODS.contains(call.method())) {
@@ -105,7 +105,7 @@
         return ParsedRequest.accepted(request, service);
     }
 
-    private static Address address(HttpCall call) {
+    private static Address address(HttpRequest call) {
         if (!call.target().startsWith("/")) {
             throw new CrankException(ResultCode.BAD_REQUEST, "path: must start with a slash");
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    private static Optional<IdempotencyKey> idempotencyKey(HttpCall call) {
+    private static Optional<IdempotencyKey> idempotencyKey(HttpRequest call) {
         try {
             return single(call, IDEMPOTENCY_KEY, ResultCode.BAD_IDEMPOTENCY_KEY).map(IdempotencyKey::new);
         } catch (IllegalArgumentException e) {
@@ -151,7 +151,7 @@
         }
     }
 
-    private static OptionalLong keyAgeMs(HttpCall call, boolean hasKey) {
+    private static OptionalLong keyAgeMs(HttpRequest call, boolean hasKey) {
         Optional<String> text = single(call, KEY_AGE, ResultCode.BAD_IDEMPOTENCY_KEY);
         if (text.isEmpty()) {
             return OptionalLong.empty();
@@ -176,7 +176,7 @@
         throw new CrankException(code, field + ": must be between " + min + " and " + max);
     }
 
-    private static Optional<String> single(HttpCall call, String name, ResultCode code) {
+    private static Optional<String> single(HttpRequest call, String name, ResultCode code) {
         List<Header> fields =
                 call.headers().stream().filter(h -> h.name().equals(name)).toList();
         if (fields.size() > 1) {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
@@ -69,7 +69,7 @@
                         target.peer().get(),
                         new ForwardRequest(timed, generation),
                         ForwardAnswer.class,
-                        remainingMs + context.options().answerGraceMs())
+                        remainingMs + context.options().answerGracePeriodMs())
                 .whenComplete((forwarded, failure) -> dispatch.post(() -> {
                     if (failure == null) {
                         learnLoad(attempt, forwarded.load());
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
@@ -36,7 +36,7 @@
         this.sender = sender;
         this.attempt = attempt;
         this.peer = attempt.target().peer().orElseThrow();
-        this.pauseMs = context.options().backoffMs();
+        this.pauseMs = context.options().backoffStepMs();
     }
 
     void query() {
@@ -52,7 +52,7 @@
                         peer,
                         query,
                         OutcomeAnswer.class,
-                        Math.min(remainingMs, context.options().queryTimeoutMs()))
+                        Math.min(remainingMs, context.options().outcomeQueryTimeoutMs()))
                 .whenComplete((answer, failure) -> dispatch.post(() -> {
                     if (failure == null) {
                         onAnswer(answer);
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -70,9 +70,9 @@
         this.keyHash = request.key().map(key -> key.hash());
         this.history = new AttemptHistory(repeatable);
         this.hold = new Hold(
-                context.options().moveWaitMs(),
+                context.options().rangeMoveWaitMs(),
                 context.options().ownerLostWaitMs(),
-                context.options().backoffMs(),
+                context.options().backoffStepMs(),
                 context.options().maxBackoffMs());
         this.startedAtNanos = receivedAtNanos;
         this.deadlineNanos = receivedAtNanos + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
@@ -126,7 +126,7 @@
         }
         if (context.msUntil(deadlineNanos) == 0) {
             finishExpired();
-        } else if (history.sends() >= context.options().maxSends()) {
+        } else if (history.sends() >= context.options().maxSendsPerRequest()) {
             finish(lastAnswer.orElseGet(() ->
                     retryLater(ResultCode.NO_OWNER, "no server took the request in " + history.sends() + " sends")));
         } else if (keyHash.isPresent()) {
@@ -172,7 +172,7 @@
 
     private void send(Target target, RoutingSnapshot snapshot, String reason) {
         lastTarget = Optional.of(target.member());
-        RequestId attemptId = RequestIds.ofAttempt(request.id(), attemptNumber);
+        RequestId attemptId = RequestIds.forAttempt(request.id(), attemptNumber);
         sender.send(target, request.withId(attemptId), snapshot, reason);
     }
 
@@ -260,7 +260,7 @@
             return;
         }
         lastAnswer = Optional.of(otherwise);
-        boolean idsLeft = !newId || attemptNumber < context.options().maxAttemptIds();
+        boolean idsLeft = !newId || attemptNumber < context.options().maxAttemptIdsPerRequest();
         if (!history.canSend() || !idsLeft || history.mayHaveRunTimes() >= maxServers) {
             finish(otherwise);
         } else if ((newId || isLoad(otherwise.code())) && !budget().tryRetry(context.nowNanos())) {
@@ -287,7 +287,7 @@
             return;
         }
         if (history.isPending()) {
-            deadlineTimer = after(context.options().answerGraceMs(), this::finishExpired);
+            deadlineTimer = after(context.options().answerGracePeriodMs(), this::finishExpired);
         } else {
             finishExpired();
         }
@@ -327,7 +327,7 @@
     }
 
     CallerAnswer retryLater(ResultCode code, String detail) {
-        return CallerAnswer.retryLater(code, detail, context.options().retryAfterMs());
+        return CallerAnswer.retryLater(code, detail, context.options().defaultRetryAfterMs());
     }
 
     boolean isDone() {
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.Phaser;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.Outcome;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -39,7 +39,7 @@
     /** Builds the call of an attempt. */
     @FunctionalInterface
     public interface CallForm {
-        HttpCall call(LoadPlan plan, Attempt attempt);
+        HttpRequest call(LoadPlan plan, Attempt attempt);
     }
 
     /** One attempt of an operation. Immutable. */
@@ -106,7 +106,7 @@
 
     private void send(Attempt attempt, long operationDueNanos, long dueNanos, int target) {
         clients.get(target)
-                .call(form.call(plan, attempt), plan.deadlineMs() + CLIENT_GRACE_MS)
+                .send(form.call(plan, attempt), plan.deadlineMs() + CLIENT_GRACE_MS)
                 .whenComplete((reply, failure) -> {
                     CallRecord answered = record(attempt, dueNanos, Optional.ofNullable(reply));
                     records.add(answered);
@@ -150,14 +150,14 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private static long retryAfterMs(HttpReply reply) {
+    private static long retryAfterMs(HttpResponse reply) {
         if (reply == null) {
             return DEFAULT_RETRY_AFTER_MS;
         }
         return number(reply, "crank-retry-after-ms").orElse(DEFAULT_RETRY_AFTER_MS);
     }
 
-    private CallRecord record(Attempt attempt, long dueNanos, Optional<HttpReply> reply) {
+    private CallRecord record(Attempt attempt, long dueNanos, Optional<HttpResponse> reply) {
         int code = (int) reply.map(r ->
                         number(r, "crank-result").orElse(r.status() < STATUS_SERVER_ERROR ? 0 : CallRecord.NO_ANSWER))
                 .orElse((long) CallRecord.NO_ANSWER)
@@ -180,7 +180,7 @@
     }
 
     /** A value starts with its key, so the answer to a read tells whether it belongs to it. */
-    private boolean isForeign(Attempt attempt, HttpReply reply, int code) {
+    private boolean isForeign(Attempt attempt, HttpResponse reply, int code) {
         boolean foreignId = reply.header("crank-request-id")
                 .map(id -> !id.equals(attempt.requestId()))
                 .orElse(false);
@@ -192,7 +192,7 @@
         return foreignId || !body.startsWith(attempt.key() + "=");
     }
 
-    private static OptionalLong number(HttpReply reply, String header) {
+    private static OptionalLong number(HttpResponse reply, String header) {
         Optional<String> text = reply.header(header);
         try {
             return text.isPresent() ? OptionalLong.of(Long.parseLong(text.get())) : OptionalLong.empty();
@@ -228,7 +228,7 @@
     }
 
     /** Calls through a daemon. */
-    public static HttpCall routed(LoadPlan plan, Attempt attempt) {
+    public static HttpRequest routed(LoadPlan plan, Attempt attempt) {
         List<Header> headers = new ArrayList<>();
         headers.add(new Header("crank-request-id", attempt.requestId()));
         headers.add(new Header("crank-deadline-ms", Long.toString(plan.deadlineMs())));
@@ -237,17 +237,17 @@
             headers.add(new Header("crank-key-age-ms", Long.toString(attempt.ageMs())));
         }
         String path = "/v1/" + plan.service() + (plan.keyed() ? "/" + attempt.key() : "");
-        return new HttpCall(attempt.method(), path, headers, attempt.value().getBytes(StandardCharsets.UTF_8));
+        return new HttpRequest(attempt.method(), path, headers, attempt.value().getBytes(StandardCharsets.UTF_8));
     }
 
     /** Calls straight to a backend server that checks nothing; the baseline of the router's cost. */
-    public static HttpCall direct(LoadPlan plan, Attempt attempt) {
+    public static HttpRequest direct(LoadPlan plan, Attempt attempt) {
         List<Header> headers = List.of(
                 new Header("crank-request-id", attempt.requestId()),
                 new Header("crank-key", attempt.key()),
                 new Header("crank-fence", "1"),
                 new Header("crank-deadline-ms", Long.toString(plan.deadlineMs())));
-        return new HttpCall(
+        return new HttpRequest(
                 attempt.method(), "/" + plan.service(), headers, attempt.value().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
@@ -5,7 +5,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -43,7 +43,7 @@
                 new StoreState(settings.historyEntries),
                 new FaultSet(timers.clock(), settings.faultSeed));
         HttpServerOptions options = new HttpServerOptions(
-                8_192, 16_384, MAX_VALUE_BYTES, status -> HttpReply.text(status, "request rejected\n"));
+                8_192, 16_384, MAX_VALUE_BYTES, status -> HttpResponse.text(status, "request rejected\n"));
         server = HttpServer.listen(group, HostAddress.parse(settings.listen), options, service);
     }
 
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
@@ -3,10 +3,10 @@
 import com.google.common.flogger.FluentLogger;
 import io.netty.channel.EventLoopGroup;
 import java.util.List;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.ring.DutyThread;
@@ -26,7 +26,7 @@
 
     private final DutyThread duty;
     private final HttpClient client;
-    private final HttpCall announcement;
+    private final HttpRequest announcement;
     private final TimerService.Subscription subscription;
     private boolean accepted;
     private int periodsSinceSent;
@@ -35,7 +35,7 @@
             EventLoopGroup group, DutyThread duty, TimerService timers, HostAddress daemonAdmin, BackendInfo info) {
         this.duty = duty;
         this.client = new HttpClient(group, daemonAdmin, HttpClientOptions.DEFAULTS.withMaxConnections(1));
-        this.announcement = new HttpCall(
+        this.announcement = new HttpRequest(
                 "POST", "/v1/backend", List.of(new Header("content-type", "application/json")), JsonCodec.encode(info));
         this.subscription = timers.every(PERIOD_MS, duty, this::tick);
         duty.execute(this::send);
@@ -50,11 +50,11 @@
 
     private void send() {
         periodsSinceSent = 0;
-        client.call(announcement, CALL_TIMEOUT_MS)
+        client.send(announcement, CALL_TIMEOUT_MS)
                 .whenComplete((reply, failure) -> duty.offer(() -> note(reply, failure)));
     }
 
-    private void note(HttpReply reply, Throwable failure) {
+    private void note(HttpResponse reply, Throwable failure) {
         boolean nowAccepted = failure == null && reply.status() / 100 == 2;
         if (nowAccepted != accepted) {
             accepted = nowAccepted;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.coriandercrank.http.HttpAbortException;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.Grant;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.ring.DutyThread;
@@ -67,13 +67,13 @@
     }
 
     /** Queues a request or refuses it at once. */
-    void arrive(HttpCall call, CompletableFuture<HttpReply> result) {
+    void arrive(HttpRequest call, CompletableFuture<HttpResponse> result) {
         Execution execution = new Execution(call, timers.clock().nowNanos(), result);
         if (faults.hits(FaultKind.CLOSED)) {
-            result.completeExceptionally(HttpAbortException.unanswered());
+            result.completeExceptionally(HttpAbortException.withoutResponse());
             return;
         }
-        Optional<HttpReply> refusal = arrivalRefusal(execution);
+        Optional<HttpResponse> refusal = arrivalRefusal(execution);
         if (refusal.isPresent()) {
             rejected++;
             result.complete(refusal.get());
@@ -88,7 +88,7 @@
         startQueued();
     }
 
-    private Optional<HttpReply> arrivalRefusal(Execution execution) {
+    private Optional<HttpResponse> arrivalRefusal(Execution execution) {
         if (draining) {
             return Optional.of(Replies.notRun(STATUS_UNAVAILABLE, "draining"));
         }
@@ -104,7 +104,7 @@
         return executionRefusal(execution);
     }
 
-    private Optional<HttpReply> executionRefusal(Execution execution) {
+    private Optional<HttpResponse> executionRefusal(Execution execution) {
         long nowNanos = timers.clock().nowNanos();
         if (has(Capability.DEADLINE) && execution.deadlinePassed(nowNanos)) {
             return Optional.of(Replies.notRun(STATUS_DEADLINE, "deadline"));
@@ -146,7 +146,7 @@
     }
 
     private boolean refuse(Execution execution) {
-        Optional<HttpReply> refusal = executionRefusal(execution);
+        Optional<HttpResponse> refusal = executionRefusal(execution);
         refusal.ifPresent(reply -> end(execution, reply));
         return refusal.isPresent();
     }
@@ -155,7 +155,7 @@
         if (execution.done || refuse(execution)) {
             return;
         }
-        HttpReply reply = values.apply(execution.valueName(), execution.call);
+        HttpResponse reply = values.apply(execution.valueName(), execution.call);
         ledger.append(new LedgerEntry(
                 execution.order,
                 options.info().name(),
@@ -169,15 +169,15 @@
                 System.currentTimeMillis()));
         release(execution);
         if (faults.hits(FaultKind.UNANSWERED)) {
-            execution.result.completeExceptionally(HttpAbortException.unanswered());
+            execution.result.completeExceptionally(HttpAbortException.withoutResponse());
         } else if (faults.hits(FaultKind.CUT_ANSWER)) {
-            execution.result.completeExceptionally(HttpAbortException.midAnswer(reply));
+            execution.result.completeExceptionally(HttpAbortException.midResponse(reply));
         } else {
             execution.result.complete(reply);
         }
     }
 
-    private void end(Execution execution, HttpReply refusal) {
+    private void end(Execution execution, HttpResponse refusal) {
         rejected++;
         release(execution);
         execution.result.complete(refusal);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -7,9 +7,9 @@
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.IntSupplier;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.BackendHealth;
 import org.coriandercrank.kernel.backend.Grant;
 import org.coriandercrank.kernel.code.CrankException;
@@ -60,15 +60,15 @@
     }
 
     @Override
-    public CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed) {
-        CompletableFuture<HttpReply> result = new CompletableFuture<>();
+    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
+        CompletableFuture<HttpResponse> result = new CompletableFuture<>();
         if (!duty.offer(() -> serve(call, result))) {
             result.complete(Replies.notRun(503, "overload"));
         }
         return result;
     }
 
-    private void serve(HttpCall call, CompletableFuture<HttpReply> result) {
+    private void serve(HttpRequest call, CompletableFuture<HttpResponse> result) {
         try {
             if (call.header("crank-request-id").isPresent()) {
                 engine.arrive(call, result);
@@ -82,13 +82,13 @@
         }
     }
 
-    private HttpReply withClock(HttpReply reply) {
+    private HttpResponse withClock(HttpResponse reply) {
         List<Header> headers = new ArrayList<>(reply.headers());
         headers.add(new Header("crank-clock", instance + ":" + timers.clock().nowNanos()));
-        return new HttpReply(reply.status(), headers, reply.body());
+        return new HttpResponse(reply.status(), headers, reply.body());
     }
 
-    private HttpReply control(HttpCall call) {
+    private HttpResponse control(HttpRequest call) {
         if ("POST".equals(call.method()) && call.path().startsWith(CANCEL_PATH)) {
             RequestId id = new RequestId(call.path().substring(CANCEL_PATH.length()));
             return Replies.json(200, Map.of("cancelled", engine.cancel(id)));
@@ -100,12 +100,12 @@
                 yield Replies.json(200, Map.of("draining", true));
             }
             case "GET /control/clock" -> Replies.json(200, Map.of("sequence", engine.grantSequence()));
-            default -> HttpReply.text(404, "not found\n");
+            default -> HttpResponse.text(404, "not found\n");
         };
     }
 
     /** The validity counts from the sending of the grant if the sender states it, else from its arrival. */
-    private HttpReply grant(HttpCall call) {
+    private HttpResponse grant(HttpRequest call) {
         long nowNanos = timers.clock().nowNanos();
         long sentAtNanos = nowNanos;
         Optional<String> sentAt = call.header("crank-sent-at");
@@ -121,12 +121,12 @@
         return Replies.json(accepted ? 200 : 409, Map.of("sequence", engine.grantSequence()));
     }
 
-    private HttpReply report(HttpCall call) {
+    private HttpResponse report(HttpRequest call) {
         return switch (call.method() + " " + call.path()) {
             case "GET /health" -> Replies.json(200, health.current());
             case "GET /load" ->
                 Replies.json(200, Map.of("load", health.current().load(), "slots", slots));
-            case "GET /ledger" -> HttpReply.of(200, "application/x-ndjson", ledger.toJsonLines());
+            case "GET /ledger" -> HttpResponse.of(200, "application/x-ndjson", ledger.toJsonLines());
             case "GET /admin/stats" ->
                 Replies.json(200, engine.stats(openConnections.getAsInt(), peakConnections.getAsInt()));
             case "GET /admin/faults" -> Replies.json(200, faults.list());
@@ -142,7 +142,7 @@
                 health.override(Optional.empty());
                 yield Replies.json(200, health.current());
             }
-            default -> HttpReply.text(404, "not found\n");
+            default -> HttpResponse.text(404, "not found\n");
         };
     }
 
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Execution.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Execution.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.Key;
 import org.coriandercrank.kernel.id.RequestId;
@@ -19,8 +19,8 @@
     final RequestId id;
     final Optional<Key> key;
     final Generation fence;
-    final HttpCall call;
-    final CompletableFuture<HttpReply> result;
+    final HttpRequest call;
+    final CompletableFuture<HttpResponse> result;
     /** Empty if the request has no deadline. */
     final Optional<Long> deadlineMs;
 
@@ -34,7 +34,7 @@
     Subscription deadlineTimer = () -> {};
 
     /** Fails with {@link IllegalArgumentException} if a header of the protocol is malformed. */
-    Execution(HttpCall call, long nowNanos, CompletableFuture<HttpReply> result) {
+    Execution(HttpRequest call, long nowNanos, CompletableFuture<HttpResponse> result) {
         this.call = call;
         this.result = result;
         id = new RequestId(call.header("crank-request-id").orElseThrow(IllegalArgumentException::new));
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Replies.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Replies.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.store.JsonCodec;
 
@@ -13,13 +13,13 @@
 
     private Replies() {}
 
-    static HttpReply json(int status, Object value) {
-        return HttpReply.json(status, JsonCodec.encode(value));
+    static HttpResponse json(int status, Object value) {
+        return HttpResponse.json(status, JsonCodec.encode(value));
     }
 
     /** A refusal of a call that certainly had and will have no effect. */
-    static HttpReply notRun(int status, String reason) {
-        return new HttpReply(
+    static HttpResponse notRun(int status, String reason) {
+        return new HttpResponse(
                 status,
                 List.of(
                         new Header("content-type", "application/json"),
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import org.coriandercrank.http.HttpAbortException;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.request.Header;
@@ -34,7 +34,7 @@
     private static final long MAX_WAIT_MS = 600_000;
 
     /** A watch that waits for a change. Confined to the duty. */
-    private record Waiter(String prefix, long after, CompletableFuture<HttpReply> result) {}
+    private record Waiter(String prefix, long after, CompletableFuture<HttpResponse> result) {}
 
     private final DutyThread duty;
     private final TimerService timers;
@@ -53,15 +53,15 @@
     }
 
     @Override
-    public CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed) {
-        CompletableFuture<HttpReply> result = new CompletableFuture<>();
+    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
+        CompletableFuture<HttpResponse> result = new CompletableFuture<>();
         if (!duty.offer(() -> serve(call, closed, result))) {
             result.complete(Replies.notRun(503, "overload"));
         }
         return result;
     }
 
-    private void serve(HttpCall call, CompletableFuture<Void> closed, CompletableFuture<HttpReply> result) {
+    private void serve(HttpRequest call, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> result) {
         try {
             QueryStringDecoder target = new QueryStringDecoder(call.target());
             if (target.path().startsWith("/admin/")) {
@@ -74,7 +74,7 @@
         }
     }
 
-    private HttpReply admin(HttpCall call) {
+    private HttpResponse admin(HttpRequest call) {
         switch (call.method() + " " + call.path()) {
             case "POST /admin/faults" -> {
                 faults.add(JsonCodec.decode(call.body(), Fault.class));
@@ -89,7 +89,7 @@
                         200, new StoreStats(state.revision(), state.size(), calls, conflicts, refused, waiters.size()));
             }
             default -> {
-                return HttpReply.text(404, "not found\n");
+                return HttpResponse.text(404, "not found\n");
             }
         }
     }
@@ -98,16 +98,16 @@
         boolean down = faults.list().stream()
                 .anyMatch(fault -> fault.kind() == FaultKind.DOWN || fault.kind() == FaultKind.CLOSED);
         if (down) {
-            waiters.forEach(waiter -> waiter.result.completeExceptionally(HttpAbortException.unanswered()));
+            waiters.forEach(waiter -> waiter.result.completeExceptionally(HttpAbortException.withoutResponse()));
             waiters.clear();
         }
     }
 
     private void data(
-            HttpCall call,
+            HttpRequest call,
             QueryStringDecoder target,
             CompletableFuture<Void> closed,
-            CompletableFuture<HttpReply> result) {
+            CompletableFuture<HttpResponse> result) {
         String operation = operation(call, target);
         Runnable work = switch (operation) {
             case "get" -> () -> answer(result, get(name(target)));
@@ -124,7 +124,7 @@
             result.complete(Replies.notRun(503, "down"));
         } else if (faults.hits(FaultKind.CLOSED)) {
             refused++;
-            result.completeExceptionally(HttpAbortException.unanswered());
+            result.completeExceptionally(HttpAbortException.withoutResponse());
         } else {
             Optional<Fault> slow = faults.hit(FaultKind.SLOW);
             if (slow.isPresent()) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private static String operation(HttpCall call, QueryStringDecoder target) {
+    private static String operation(HttpRequest call, QueryStringDecoder target) {
         boolean object = target.path().startsWith(OBJECTS_PATH);
         String method = call.method();
         if (object && Set.of("GET", "PUT", "DELETE").contains(method)) {
@@ -164,10 +164,10 @@
         return values.get(0);
     }
 
-    private HttpReply get(String name) {
+    private HttpResponse get(String name) {
         return state.get(name)
-                .map(object -> new HttpReply(200, List.of(revisionHeader(object.revision())), object.value()))
-                .orElseGet(() -> new HttpReply(404, List.of(revisionHeader(Revision.NONE)), new byte[0]));
+                .map(object -> new HttpResponse(200, List.of(revisionHeader(object.revision())), object.value()))
+                .orElseGet(() -> new HttpResponse(404, List.of(revisionHeader(Revision.NONE)), new byte[0]));
     }
 
     private static Header revisionHeader(Revision revision) {
@@ -175,7 +175,7 @@
     }
 
     /** The check and the effect of a write happen in one step of the duty, at the end of a delay. */
-    private Runnable write(String operation, HttpCall call, String name, CompletableFuture<HttpReply> result) {
+    private Runnable write(String operation, HttpRequest call, String name, CompletableFuture<HttpResponse> result) {
         Revision expected = new Revision(Long.parseLong(call.header(EXPECTED_HEADER)
                 .orElseThrow(() -> new IllegalArgumentException("expected revision is missing"))));
         Supplier<Optional<Revision>> effect = "put".equals(operation)
@@ -187,31 +187,31 @@
                 timers.once(delayed.get().delayMs(), duty, () -> apply(name, effect));
                 return;
             }
-            HttpReply reply = apply(name, effect);
+            HttpResponse reply = apply(name, effect);
             if (faults.hits(FaultKind.UNANSWERED)) {
-                result.completeExceptionally(HttpAbortException.unanswered());
+                result.completeExceptionally(HttpAbortException.withoutResponse());
             } else {
                 answer(result, reply);
             }
         };
     }
 
-    private void answer(CompletableFuture<HttpReply> result, HttpReply reply) {
+    private void answer(CompletableFuture<HttpResponse> result, HttpResponse reply) {
         if (faults.hits(FaultKind.CUT_ANSWER)) {
-            result.completeExceptionally(HttpAbortException.midAnswer(reply));
+            result.completeExceptionally(HttpAbortException.midResponse(reply));
         } else {
             result.complete(reply);
         }
     }
 
-    private HttpReply apply(String name, Supplier<Optional<Revision>> effect) {
+    private HttpResponse apply(String name, Supplier<Optional<Revision>> effect) {
         Optional<Revision> written = effect.get();
         if (written.isEmpty()) {
             conflicts++;
-            return new HttpReply(409, List.of(revisionHeader(state.revisionOf(name))), new byte[0]);
+            return new HttpResponse(409, List.of(revisionHeader(state.revisionOf(name))), new byte[0]);
         }
         notifyWatches(name);
-        return new HttpReply(200, List.of(revisionHeader(written.get())), new byte[0]);
+        return new HttpResponse(200, List.of(revisionHeader(written.get())), new byte[0]);
     }
 
     private void notifyWatches(String name) {
@@ -231,7 +231,7 @@
     }
 
     private Runnable watch(
-            QueryStringDecoder target, CompletableFuture<Void> closed, CompletableFuture<HttpReply> result) {
+            QueryStringDecoder target, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> result) {
         String prefix = parameter(target, "prefix");
         long after = Long.parseLong(parameter(target, "after"));
         long waitMs = Math.min(MAX_WAIT_MS, Long.parseLong(parameter(target, "wait-ms")));
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 
 /** Values by key. Not thread safe; confined to the duty of the server. */
 final class ValueMap {
@@ -15,7 +15,7 @@
     private final Map<String, byte[]> values = new HashMap<>();
 
     /** Applies a request: GET and HEAD read, PUT stores, POST appends, DELETE removes. */
-    HttpReply apply(String name, HttpCall call) {
+    HttpResponse apply(String name, HttpRequest call) {
         return switch (call.method()) {
             case "GET", "HEAD" -> read(name);
             case "PUT" -> {
@@ -27,7 +27,7 @@
                 values.remove(name);
                 yield stored(0);
             }
-            default -> HttpReply.text(405, "method not allowed\n");
+            default -> HttpResponse.text(405, "method not allowed\n");
         };
     }
 
@@ -35,13 +35,13 @@
         return values.size();
     }
 
-    private HttpReply read(String name) {
+    private HttpResponse read(String name) {
         byte[] value = values.get(name);
-        return value == null ? HttpReply.text(404, "no value\n") : HttpReply.of(200, "application/octet-stream", value);
+        return value == null ? HttpResponse.text(404, "no value\n") : HttpResponse.of(200, "application/octet-stream", value);
     }
 
-    private static HttpReply stored(int length) {
-        return HttpReply.of(200, "text/plain", (length + "\n").getBytes(StandardCharsets.US_ASCII));
+    private static HttpResponse stored(int length) {
+        return HttpResponse.of(200, "text/plain", (length + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     private static byte[] append(byte[] old, byte[] added) {
