--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.coriandercrank.gate.internal.Admission;
-import org.coriandercrank.gate.internal.Admission.RangeStanding;
-import org.coriandercrank.gate.internal.Admission.Situation;
+import org.coriandercrank.gate.internal.Admission.RangeStatus;
+import org.coriandercrank.gate.internal.Admission.AdmissionContext;
 import org.coriandercrank.gate.internal.ConcurrencyLimit;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.request.CallerAnswer;
@@ -40,9 +40,9 @@
         "true,  SERVED,     false, true,  false, false, 900, false, 9,  4, 50,  , 40, 100, true",
     })
     void refusals(ArgumentsAccessor row) {
-        Situation situation = new Situation(
+        AdmissionContext situation = new AdmissionContext(
                 row.getBoolean(0),
-                row.get(1, RangeStanding.class),
+                row.get(1, RangeStatus.class),
                 row.getBoolean(2),
                 row.getBoolean(3),
                 row.getBoolean(4),
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.gate.GateOptions;
 import org.coriandercrank.gate.internal.GateCore;
 import org.coriandercrank.gate.internal.GateMetrics;
-import org.coriandercrank.gate.internal.GateRuntime;
+import org.coriandercrank.gate.internal.GateContext;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.BackendRule;
 import org.coriandercrank.kernel.config.Configuration;
@@ -69,7 +69,7 @@
     GateFixture(GateOptions options) {
         GateDependencies inputs =
                 new GateDependencies(SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
-        core = new GateCore(new GateRuntime(inputs, options, timers, new GateMetrics(meters), () -> false));
+        core = new GateCore(new GateContext(inputs, options, timers, new GateMetrics(meters), () -> false));
         timers.every(options.busyTickMs(), timers, core::tick);
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import org.coriandercrank.gate.internal.GateCore;
 import org.coriandercrank.gate.internal.GateMetrics;
-import org.coriandercrank.gate.internal.GateRuntime;
+import org.coriandercrank.gate.internal.GateContext;
 import org.coriandercrank.kernel.backend.BackendServer;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.Generation;
@@ -33,25 +33,25 @@
  * {@link #release} and {@link #drain} fail with OVERLOADED, and a cancellation is dropped.
  */
 public final class Gate implements OwnerGate, AutoCloseable {
-    private static final long RING_FULL_RETRY_MS = 20;
+    private static final long QUEUE_FULL_RETRY_AFTER_MS = 20;
 
     private final TimerService timers;
     private final Duty duty;
     private final GateCore core;
-    private final TimerService.Subscription ticks;
+    private final TimerService.Subscription idleTicks;
     private final long busyTickMs;
 
     /** Touched only on the thread of the gate. */
-    private boolean busyTicks;
+    private boolean busyTickScheduled;
 
     private final AtomicBoolean closed = new AtomicBoolean();
 
     private Gate(GateDependencies inputs, GateOptions options) {
         timers = inputs.timers();
         duty = inputs.duties().create("gate", options.taskQueueCapacity());
-        core = new GateCore(new GateRuntime(inputs, options, duty, new GateMetrics(inputs.meters()), closed::get));
+        core = new GateCore(new GateContext(inputs, options, duty, new GateMetrics(inputs.meters()), closed::get));
         busyTickMs = options.busyTickMs();
-        ticks = timers.every(options.idleTickMs(), duty, this::idleTick);
+        idleTicks = timers.every(options.idleTickMs(), duty, this::idleTick);
     }
 
     /** Starts a gate without a backend server and without ranges. */
@@ -60,27 +60,27 @@
     }
 
     private void idleTick() {
-        if (!busyTicks) {
+        if (!busyTickScheduled) {
             core.tick();
-            tickOftenWhileBusy();
+            scheduleBusyTick();
         }
     }
 
-    private void tickOftenWhileBusy() {
-        if (!busyTicks && core.isBusy()) {
-            busyTicks = true;
+    private void scheduleBusyTick() {
+        if (!busyTickScheduled && core.isBusy()) {
+            busyTickScheduled = true;
             timers.once(busyTickMs, duty, this::busyTick);
         }
     }
 
     private void busyTick() {
-        busyTicks = false;
+        busyTickScheduled = false;
         core.tick();
-        tickOftenWhileBusy();
+        scheduleBusyTick();
     }
 
-    private <T> T thenTick(T result) {
-        tickOftenWhileBusy();
+    private <T> T withBusyTick(T result) {
+        scheduleBusyTick();
         return result;
     }
 
@@ -88,15 +88,15 @@
     public CompletableFuture<CallerAnswer> submit(CallerRequest request) {
         CompletableFuture<CallerAnswer> result = new CompletableFuture<>();
         long arrivedAtNanos = timers.clock().nowNanos();
-        if (!duty.offer(() -> submitOnDuty(request, arrivedAtNanos, result))) {
+        if (!duty.offer(() -> submitOnGateThread(request, arrivedAtNanos, result))) {
             result.complete(CallerAnswer.retryLater(
-                    ResultCode.OVERLOADED, "the gate takes no request at present", RING_FULL_RETRY_MS));
+                    ResultCode.OVERLOADED, "the gate takes no request at present", QUEUE_FULL_RETRY_AFTER_MS));
         }
         return result;
     }
 
     /** An unexpected error must not leave the caller without an answer; the duty logs it. */
-    private void submitOnDuty(CallerRequest request, long arrivedAtNanos, CompletableFuture<CallerAnswer> result) {
+    private void submitOnGateThread(CallerRequest request, long arrivedAtNanos, CompletableFuture<CallerAnswer> result) {
         try {
             core.submit(request, arrivedAtNanos, result);
         } catch (RuntimeException e) {
@@ -132,17 +132,17 @@
 
     @Override
     public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
-        return duty.call(() -> thenTick(core.acquire(range, fence, inherited))).thenCompose(Function.identity());
+        return duty.call(() -> withBusyTick(core.acquire(range, fence, inherited))).thenCompose(Function.identity());
     }
 
     @Override
     public CompletableFuture<InheritedRecords> release(KeyRange range) {
-        return duty.call(() -> thenTick(core.release(range))).thenCompose(Function.identity());
+        return duty.call(() -> withBusyTick(core.release(range))).thenCompose(Function.identity());
     }
 
     @Override
     public CompletableFuture<Void> drain() {
-        return duty.call(() -> thenTick(core.drain())).thenCompose(Function.identity());
+        return duty.call(() -> withBusyTick(core.drain())).thenCompose(Function.identity());
     }
 
     @Override
@@ -169,7 +169,7 @@
     @Override
     public void close() {
         if (closed.compareAndSet(false, true)) {
-            ticks.cancel();
+            idleTicks.cancel();
             duty.offer(core::close);
             duty.close();
         }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/BarList.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/BarredRequestIds.java
@@ -9,40 +9,40 @@
 /**
  * Request ids that must not run any more. An entry is removed only by age, never to make room. Not thread safe.
  */
-public final class BarList {
+public final class BarredRequestIds {
     /** What the first outcome query for an id was told. */
-    public enum Certainty {
+    public enum ReportedOutcome {
         /** The id was certainly not executed before it was barred. */
         NOT_RUN,
         /** The id may have been executed before it was barred. */
         UNKNOWN
     }
 
-    private record Bar(Certainty certainty, long barredAtNanos) {}
+    private record BarredId(ReportedOutcome reportedOutcome, long barredAtNanos) {}
 
-    private final int maxBars;
-    private final LinkedHashMap<RequestId, Bar> bars = new LinkedHashMap<>();
+    private final int maxBarredIds;
+    private final LinkedHashMap<RequestId, BarredId> barredById = new LinkedHashMap<>();
 
-    public BarList(int maxBars) {
-        this.maxBars = maxBars;
+    public BarredRequestIds(int maxBarredIds) {
+        this.maxBarredIds = maxBarredIds;
     }
 
     /** Bars an id; false if the list is full. */
-    public boolean bar(RequestId id, Certainty certainty, long nowNanos) {
-        if (bars.size() >= maxBars) {
+    public boolean bar(RequestId id, ReportedOutcome reportedOutcome, long nowNanos) {
+        if (barredById.size() >= maxBarredIds) {
             return false;
         }
-        bars.putIfAbsent(id, new Bar(certainty, nowNanos));
+        barredById.putIfAbsent(id, new BarredId(reportedOutcome, nowNanos));
         return true;
     }
 
-    public Optional<Certainty> find(RequestId id) {
-        return Optional.ofNullable(bars.get(id)).map(Bar::certainty);
+    public Optional<ReportedOutcome> find(RequestId id) {
+        return Optional.ofNullable(barredById.get(id)).map(BarredId::reportedOutcome);
     }
 
     public void expire(long retentionMs, long nowNanos) {
         long retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMs);
-        Iterator<Bar> oldest = bars.values().iterator();
+        Iterator<BarredId> oldest = barredById.values().iterator();
         while (oldest.hasNext() && nowNanos - oldest.next().barredAtNanos() >= retentionNanos) {
             oldest.remove();
         }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailures.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailureMapper.java
@@ -5,10 +5,10 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 
 /** What callers are told of calls that the backend server did not answer. Stateless. */
-final class CallFailures {
-    private static final long BACKEND_RETRY_MS = 200;
+final class CallFailureMapper {
+    private static final long BACKEND_RETRY_AFTER_MS = 200;
 
-    private CallFailures() {}
+    private CallFailureMapper() {}
 
     /**
      * The answer to a failed call. Only the codes by which a backend server states that it did not execute the call mean
@@ -16,17 +16,17 @@
      *
      * @param retryAfterMs time after which an overloaded server has room; asked only if needed
      */
-    static CallerAnswer answer(ResultCode failure, boolean cancelled, LongSupplier retryAfterMs) {
+    static CallerAnswer toCallerAnswer(ResultCode failure, boolean cancelled, LongSupplier retryAfterMs) {
         return switch (failure) {
             case OVERLOADED ->
                 CallerAnswer.retryLater(
                         ResultCode.OVERLOADED, "the backend server is overloaded", retryAfterMs.getAsLong());
             case FENCE_REJECTED ->
                 CallerAnswer.retryLater(
-                        ResultCode.FENCE_REJECTED, "the backend server rejected the fence", BACKEND_RETRY_MS);
+                        ResultCode.FENCE_REJECTED, "the backend server rejected the fence", BACKEND_RETRY_AFTER_MS);
             case BACKEND_UNAVAILABLE ->
                 CallerAnswer.retryLater(
-                        ResultCode.BACKEND_UNAVAILABLE, "the backend server was not reached", BACKEND_RETRY_MS);
+                        ResultCode.BACKEND_UNAVAILABLE, "the backend server was not reached", BACKEND_RETRY_AFTER_MS);
             case DEADLINE_EXPIRED ->
                 CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the backend server stopped the request at its deadline");
             default ->
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ConcurrencyLimit.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ConcurrencyLimit.java
@@ -9,41 +9,41 @@
  * slower. Each overload answer halves it, at most once per pause, and it returns linearly. Not thread safe.
  */
 public final class ConcurrencyLimit {
-    private static final double COLD_SHARE = 0.25;
-    private static final double OVERLOAD_FACTOR = 0.5;
-    private static final long OVERLOAD_PAUSE_MS = 100;
+    private static final double INITIAL_SLOT_SHARE = 0.25;
+    private static final double OVERLOAD_REDUCTION_FACTOR = 0.5;
+    private static final long MIN_REDUCTION_INTERVAL_MS = 100;
 
     private final int slots;
-    private final long rampNanos;
+    private final long slowStartNanos;
     private final long recoveryNanos;
     private final long attachedAtNanos;
     private double reducedShare = 1;
     private long reducedAtNanos;
 
-    public ConcurrencyLimit(int slots, long rampMs, long overloadRecoveryMs, long nowNanos) {
+    public ConcurrencyLimit(int slots, long slowStartMs, long overloadRecoveryMs, long nowNanos) {
         this.slots = slots;
-        rampNanos = TimeUnit.MILLISECONDS.toNanos(rampMs);
+        slowStartNanos = TimeUnit.MILLISECONDS.toNanos(slowStartMs);
         recoveryNanos = TimeUnit.MILLISECONDS.toNanos(overloadRecoveryMs);
         attachedAtNanos = nowNanos;
         reducedAtNanos = nowNanos;
     }
 
     public int limit(long nowNanos) {
-        double share = Math.min(rampShare(nowNanos), overloadShare(nowNanos));
+        double share = Math.min(slowStartShare(nowNanos), overloadShare(nowNanos));
         return Math.max(1, Math.min(slots, (int) Math.floor(slots * share)));
     }
 
     public void onOverload(long nowNanos) {
-        if (reducedShare < 1 && nowNanos - reducedAtNanos < TimeUnit.MILLISECONDS.toNanos(OVERLOAD_PAUSE_MS)) {
+        if (reducedShare < 1 && nowNanos - reducedAtNanos < TimeUnit.MILLISECONDS.toNanos(MIN_REDUCTION_INTERVAL_MS)) {
             return;
         }
-        reducedShare = overloadShare(nowNanos) * OVERLOAD_FACTOR;
+        reducedShare = overloadShare(nowNanos) * OVERLOAD_REDUCTION_FACTOR;
         reducedAtNanos = nowNanos;
     }
 
-    private double rampShare(long nowNanos) {
-        long sinceNanos = nowNanos - attachedAtNanos;
-        return sinceNanos >= rampNanos ? 1 : COLD_SHARE + (1 - COLD_SHARE) * sinceNanos / rampNanos;
+    private double slowStartShare(long nowNanos) {
+        long elapsedNanos = nowNanos - attachedAtNanos;
+        return elapsedNanos >= slowStartNanos ? 1 : INITIAL_SLOT_SHARE + (1 - INITIAL_SLOT_SHARE) * elapsedNanos / slowStartNanos;
     }
 
     private double overloadShare(long nowNanos) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.gate.internal.Execution.Backend;
+import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 
 /**
  * Whether the gate takes new work. A drain by call is final; one by a rule ends with the rule. The backend server is
@@ -12,49 +12,49 @@
  * thread safe.
  */
 final class DrainState {
-    private final GateRuntime runtime;
-    private final List<CompletableFuture<Void>> waiting = new ArrayList<>();
-    private boolean requested;
-    private Backend told;
+    private final GateContext context;
+    private final List<CompletableFuture<Void>> pendingDrains = new ArrayList<>();
+    private boolean drainRequested;
+    private AttachedBackend notifiedBackend;
 
-    DrainState(GateRuntime runtime) {
-        this.runtime = runtime;
+    DrainState(GateContext context) {
+        this.context = context;
     }
 
-    CompletableFuture<Void> request() {
-        requested = true;
+    CompletableFuture<Void> requestDrain() {
+        drainRequested = true;
         CompletableFuture<Void> result = new CompletableFuture<>();
-        waiting.add(result);
+        pendingDrains.add(result);
         return result;
     }
 
-    boolean isDraining(Backend backend) {
-        return requested
+    boolean isDraining(AttachedBackend backend) {
+        return drainRequested
                 || (backend != null
-                        && runtime.routing()
+                        && context.routing()
                                 .configuration()
                                 .isDraining(backend.info().name()));
     }
 
-    void advance(Backend backend, int queued, int inFlight) {
+    void update(AttachedBackend backend, int queued, int inFlight) {
         if (queued > 0 || !isDraining(backend)) {
             return;
         }
-        if (requested && backend != null && !backend.equals(told)) {
-            told = backend;
-            runtime.logDecision(() -> "event=drain backend=" + backend.info().name());
-            runtime.call(() -> backend.server().drain(), (done, failure) -> onTold(backend, failure));
+        if (drainRequested && backend != null && !backend.equals(notifiedBackend)) {
+            notifiedBackend = backend;
+            context.logDecision(() -> "event=drain backend=" + backend.info().name());
+            context.call(() -> backend.server().drain(), (done, failure) -> onDrainResult(backend, failure));
         }
         if (inFlight == 0) {
-            List<CompletableFuture<Void>> complete = List.copyOf(waiting);
-            waiting.clear();
-            complete.forEach(c -> c.complete(null));
+            List<CompletableFuture<Void>> completed = List.copyOf(pendingDrains);
+            pendingDrains.clear();
+            completed.forEach(c -> c.complete(null));
         }
     }
 
-    private void onTold(Backend backend, Throwable failure) {
+    private void onDrainResult(AttachedBackend backend, Throwable failure) {
         if (failure != null) {
-            runtime.logDecision(
+            context.logDecision(
                     () -> "event=drain-not-told backend=" + backend.info().name() + " cause=" + failure);
         }
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedFilter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedIdFilter.java
@@ -12,16 +12,16 @@
  * <p>It may report an id that was not executed, never the other way round. It serves outcome queries about requests
  * for which no record is kept, such as repeatable ones. Not thread safe.
  */
-public final class ExecutedFilter {
+public final class ExecutedIdFilter {
     private static final int EXPECTED_IDS = 200_000;
     private static final double FALSE_POSITIVE_RATE = 0.001;
 
     private BloomFilter<CharSequence> current = newFilter();
     private BloomFilter<CharSequence> previous = newFilter();
-    private long currentSinceNanos;
+    private long windowStartNanos;
 
-    public ExecutedFilter(long nowNanos) {
-        currentSinceNanos = nowNanos;
+    public ExecutedIdFilter(long nowNanos) {
+        windowStartNanos = nowNanos;
     }
 
     public void add(RequestId id) {
@@ -33,11 +33,11 @@
     }
 
     /** Starts a new window when the current one is over. */
-    public void roll(long windowMs, long nowNanos) {
-        if (nowNanos - currentSinceNanos >= TimeUnit.MILLISECONDS.toNanos(windowMs)) {
+    public void rotateIfDue(long windowMs, long nowNanos) {
+        if (nowNanos - windowStartNanos >= TimeUnit.MILLISECONDS.toNanos(windowMs)) {
             previous = current;
             current = newFilter();
-            currentSinceNanos = nowNanos;
+            windowStartNanos = nowNanos;
         }
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
@@ -32,8 +32,8 @@
     }
 
     /** A backend server and what it announced. Immutable. */
-    public record Backend(BackendInfo info, BackendServer server) {
-        boolean has(Capability capability) {
+    public record AttachedBackend(BackendInfo info, BackendServer server) {
+        boolean supports(Capability capability) {
             return info.capabilities().contains(capability);
         }
     }
@@ -43,14 +43,14 @@
 
     private final CallerRequest request;
     private final KeyHash hash;
-    private final long digest;
+    private final long requestDigest;
     private final boolean repeatable;
     private final long arrivedAtNanos;
     private final long deadlineNanos;
-    private final List<RequestId> ids = new ArrayList<>();
+    private final List<RequestId> requestIds = new ArrayList<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private State state = State.QUEUED;
-    private Backend backend;
+    private AttachedBackend backend;
     private long startedAtNanos;
     private boolean cancelRequested;
     private boolean cancelSent;
@@ -65,7 +65,7 @@
             long deadlineNanos) {
         this.request = request;
         this.hash = hash;
-        this.digest = digest;
+        this.requestDigest = digest;
         this.repeatable = repeatable;
         this.arrivedAtNanos = arrivedAtNanos;
         this.deadlineNanos = deadlineNanos;
@@ -80,16 +80,16 @@
     }
 
     /** Whether the answer is kept, so that the request never runs a second time. */
-    public boolean isRunOnce() {
+    public boolean isAtMostOnce() {
         return !repeatable || request.idempotencyKey().isPresent();
     }
 
-    public long digest() {
-        return digest;
+    public long requestDigest() {
+        return requestDigest;
     }
 
     public boolean isSameRequest(KeyHash otherHash, long otherDigest) {
-        return digest == otherDigest && hash.equals(otherHash);
+        return requestDigest == otherDigest && hash.equals(otherHash);
     }
 
     public long arrivedAtNanos() {
@@ -104,7 +104,7 @@
         return state;
     }
 
-    public Backend backend() {
+    public AttachedBackend backend() {
         return backend;
     }
 
@@ -113,15 +113,15 @@
     }
 
     /** All ids that share this execution, the executed one first. */
-    public List<RequestId> ids() {
-        return ids;
+    public List<RequestId> requestIds() {
+        return requestIds;
     }
 
     public boolean hasWaiters() {
         return !waiters.isEmpty();
     }
 
-    public boolean hasWaitersBeside(RequestId id) {
+    public boolean hasOtherWaiters(RequestId id) {
         return waiters.stream().anyMatch(w -> !w.id().equals(id));
     }
 
@@ -129,33 +129,33 @@
         return cancelRequested;
     }
 
-    public void attach(Waiter waiter) {
+    public void addWaiter(Waiter waiter) {
         waiters.add(waiter);
-        if (!ids.contains(waiter.id())) {
-            ids.add(waiter.id());
+        if (!requestIds.contains(waiter.id())) {
+            requestIds.add(waiter.id());
         }
     }
 
     /** Removes the waiters that satisfy a condition, for the caller to answer. */
-    public List<Waiter> detach(Predicate<Waiter> condition) {
-        List<Waiter> detached = new ArrayList<>();
-        Iterator<Waiter> each = waiters.iterator();
-        while (each.hasNext()) {
-            Waiter waiter = each.next();
+    public List<Waiter> removeWaiters(Predicate<Waiter> condition) {
+        List<Waiter> removed = new ArrayList<>();
+        Iterator<Waiter> iterator = waiters.iterator();
+        while (iterator.hasNext()) {
+            Waiter waiter = iterator.next();
             if (condition.test(waiter)) {
-                each.remove();
-                detached.add(waiter);
+                iterator.remove();
+                removed.add(waiter);
             }
         }
-        return detached;
+        return removed;
     }
 
-    public void start(Backend startedAt, long nowNanos) {
+    public void start(AttachedBackend target, long nowNanos) {
         if (state != State.QUEUED) {
             throw new IllegalStateException("request " + request.id() + " was started before");
         }
         state = State.RUNNING;
-        backend = startedAt;
+        backend = target;
         startedAtNanos = nowNanos;
     }
 
@@ -169,7 +169,7 @@
 
     /** Asks the backend server once to stop the call, if it can. */
     public void sendCancel() {
-        if (state == State.RUNNING && !cancelSent && backend.has(Capability.CANCEL)) {
+        if (state == State.RUNNING && !cancelSent && backend.supports(Capability.CANCEL)) {
             cancelSent = true;
             backend.server().cancel(request.id());
         }
@@ -178,22 +178,22 @@
     /**
      * Whether the backend server certainly does nothing for the request any more.
      *
-     * @param validityLapsed whether the last validity granted for the key has lapsed at the server
+     * @param grantExpired whether the last validity granted for the key has lapsed at the server
      */
-    public boolean isSettled(ReleaseRules rules, boolean validityLapsed, long nowNanos) {
+    public boolean isSettled(ReleasePolicy policy, boolean grantExpired, long nowNanos) {
         if (state == State.ENDED) {
             return true;
         }
         long overdueMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - deadlineNanos);
-        if (overdueMs < rules.graceMs()) {
+        if (overdueMs < policy.deadlineGraceMs()) {
             return false;
         }
-        return backend.has(Capability.DEADLINE)
-                || (backend.has(Capability.VALIDITY) && validityLapsed)
-                || rules.withoutProof()
-                || (state == State.LOST && overdueMs >= rules.lostCallLifetimeMs());
+        return backend.supports(Capability.DEADLINE)
+                || (backend.supports(Capability.VALIDITY) && grantExpired)
+                || policy.allowUnconfirmed()
+                || (state == State.LOST && overdueMs >= policy.lostCallLifetimeMs());
     }
 
     /** When a release may take a call as ended. Immutable. */
-    public record ReleaseRules(long graceMs, long lostCallLifetimeMs, boolean withoutProof) {}
+    public record ReleasePolicy(long deadlineGraceMs, long lostCallLifetimeMs, boolean allowUnconfirmed) {}
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
@@ -12,46 +12,46 @@
  * Not thread safe.
  */
 public final class FenceHistory {
-    private static final int MAX_MARKS = 4_096;
+    private static final int MAX_RECORDS = 4_096;
 
-    private record Mark(KeyRange range, Generation fence, boolean released) {
+    private record FenceRecord(KeyRange range, Generation fence, boolean released) {
         boolean allows(Generation other) {
             return released ? other.isNewerThan(fence) : other.compareTo(fence) >= 0;
         }
 
-        boolean isImpliedBy(Mark other) {
+        boolean isImpliedBy(FenceRecord other) {
             return other.range.contains(range)
                     && (other.fence.isNewerThan(fence) || (other.fence.equals(fence) && (other.released || !released)));
         }
     }
 
-    private final List<Mark> marks = new ArrayList<>();
+    private final List<FenceRecord> records = new ArrayList<>();
 
     /** Whether a range may be acquired under a fence. */
     public boolean allows(KeyRange range, Generation fence) {
-        return marks.stream().filter(m -> m.range().overlaps(range)).allMatch(m -> m.allows(fence));
+        return records.stream().filter(r -> r.range().overlaps(range)).allMatch(r -> r.allows(fence));
     }
 
     public void onAcquire(KeyRange range, Generation fence) {
-        add(new Mark(range, fence, false));
+        add(new FenceRecord(range, fence, false));
     }
 
     public void onRelease(KeyRange range) {
-        for (Mark mark : List.copyOf(marks)) {
-            if (mark.range().overlaps(range)) {
-                add(new Mark(RangeTable.intersection(mark.range(), range), mark.fence(), true));
+        for (FenceRecord record : List.copyOf(records)) {
+            if (record.range().overlaps(range)) {
+                add(new FenceRecord(RangeTable.intersection(record.range(), range), record.fence(), true));
             }
         }
     }
 
-    private void add(Mark mark) {
-        if (marks.stream().anyMatch(mark::isImpliedBy)) {
+    private void add(FenceRecord record) {
+        if (records.stream().anyMatch(record::isImpliedBy)) {
             return;
         }
-        marks.removeIf(m -> m.isImpliedBy(mark));
-        marks.add(mark);
-        if (marks.size() > MAX_MARKS) {
-            marks.remove(0);
+        records.removeIf(r -> r.isImpliedBy(record));
+        records.add(record);
+        if (records.size() > MAX_RECORDS) {
+            records.remove(0);
         }
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateRuntime.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
@@ -15,39 +15,39 @@
 /**
  * What the parts of a gate share. Thread safe.
  *
- * @param duty runs the tasks of the gate one at a time
+ * @param executor runs the tasks of the gate one at a time
  * @param closed whether the gate was closed and results are of no use any more
  */
-public record GateRuntime(
-        GateDependencies inputs, GateOptions options, Executor duty, GateMetrics metrics, BooleanSupplier closed) {
-    private static final long REJECTED_RETRY_MS = 1;
+public record GateContext(
+        GateDependencies dependencies, GateOptions options, Executor executor, GateMetrics metrics, BooleanSupplier closed) {
+    private static final long REJECTED_TASK_RETRY_MS = 1;
 
     public long nowNanos() {
-        return inputs.timers().clock().nowNanos();
+        return dependencies.timers().clock().nowNanos();
     }
 
     public boolean isLeaseValid() {
-        return inputs.lease().isValid(nowNanos());
+        return dependencies.lease().isValid(nowNanos());
     }
 
     public long leaseRemainingMs() {
-        return TimeUnit.NANOSECONDS.toMillis(inputs.lease().validUntilNanos() - nowNanos());
+        return TimeUnit.NANOSECONDS.toMillis(dependencies.lease().validUntilNanos() - nowNanos());
     }
 
     public RoutingSnapshot routing() {
-        return inputs.routing().current();
+        return dependencies.routing().current();
     }
 
     /** Rules of the service; those by default while the configuration has none. */
-    public ServiceConfig rules() {
+    public ServiceConfig serviceConfig() {
         return routing()
                 .configuration()
-                .service(inputs.service())
-                .orElseGet(() -> ServiceConfig.withDefaults(inputs.service(), true));
+                .service(dependencies.service())
+                .orElseGet(() -> ServiceConfig.withDefaults(dependencies.service(), true));
     }
 
     public void logDecision(Supplier<String> line) {
-        inputs.decisions().log(line);
+        dependencies.decisions().log(line);
     }
 
     /** Starts a call and brings its result onto the thread of the gate; the result is never dropped. */
@@ -58,15 +58,15 @@
         } catch (RuntimeException e) {
             result = CompletableFuture.failedFuture(e);
         }
-        result.whenComplete((value, failure) -> post(() -> onResult.accept(value, failure)));
+        result.whenComplete((value, failure) -> runOnGateThread(() -> onResult.accept(value, failure)));
     }
 
-    private void post(Runnable task) {
+    private void runOnGateThread(Runnable task) {
         try {
-            duty.execute(task);
+            executor.execute(task);
         } catch (RejectedExecutionException e) {
             if (!closed.getAsBoolean()) {
-                inputs.timers().once(REJECTED_RETRY_MS, this::post, task);
+                dependencies.timers().once(REJECTED_TASK_RETRY_MS, this::runOnGateThread, task);
             }
         }
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.gate.internal.Execution.Backend;
+import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 import org.coriandercrank.kernel.backend.BackendServer;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.ServiceConfig;
@@ -30,39 +30,39 @@
  * {@link #mayHold}, which are thread safe.
  */
 public final class GateCore {
-    private static final long LOAD_ROLL_MS = 500;
+    private static final long LOAD_UPDATE_INTERVAL_MS = 500;
 
-    private final GateRuntime runtime;
-    private final RangeTable ranges = new RangeTable();
-    private final RecordTable records;
-    private final BarList bars;
-    private final ExecutedFilter executed;
-    private final RequestTable requests;
-    private final GrantDriver grants;
+    private final GateContext context;
+    private final RangeTable rangeTable = new RangeTable();
+    private final RecordTable recordTable;
+    private final BarredRequestIds barredIds;
+    private final ExecutedIdFilter executedIds;
+    private final RequestTable requestTable;
+    private final GrantManager grants;
     private final RangeService rangeService;
     private final RequestService requestService;
     private final DrainState drain;
-    private final List<Backend> replaced = new ArrayList<>();
+    private final List<AttachedBackend> replacedBackends = new ArrayList<>();
     private final long startedAtNanos;
-    private Backend backend;
-    private long loadRolledAtNanos;
-    private volatile GateStatus published = new GateStatus(false, false, 0, 0, List.of());
+    private AttachedBackend backend;
+    private long loadsUpdatedAtNanos;
+    private volatile GateStatus publishedStatus = new GateStatus(false, false, 0, 0, List.of());
     private volatile List<RangeLoad> publishedLoads = List.of();
-    private volatile Backend publishedBackend;
+    private volatile AttachedBackend publishedBackend;
     private volatile GateLoad publishedLoad = GateLoad.NONE;
 
-    public GateCore(GateRuntime runtime) {
-        this.runtime = runtime;
-        startedAtNanos = runtime.nowNanos();
-        loadRolledAtNanos = startedAtNanos;
-        records = new RecordTable(runtime.options(), this::onKeyedRecordDropped);
-        bars = new BarList(runtime.options().maxBarredIds());
-        executed = new ExecutedFilter(startedAtNanos);
-        requests = new RequestTable(records, bars, executed);
-        grants = new GrantDriver(runtime, ranges, this::advance);
-        rangeService = new RangeService(runtime, ranges, records, grants);
-        drain = new DrainState(runtime);
-        requestService = new RequestService(runtime, ranges, grants, requests, drain, this::onCallEnd);
+    public GateCore(GateContext context) {
+        this.context = context;
+        startedAtNanos = context.nowNanos();
+        loadsUpdatedAtNanos = startedAtNanos;
+        recordTable = new RecordTable(context.options(), this::onKeyedRecordRemoved);
+        barredIds = new BarredRequestIds(context.options().maxBarredIds());
+        executedIds = new ExecutedIdFilter(startedAtNanos);
+        requestTable = new RequestTable(recordTable, barredIds, executedIds);
+        grants = new GrantManager(context, rangeTable, this::runPendingWork);
+        rangeService = new RangeService(context, rangeTable, recordTable, grants);
+        drain = new DrainState(context);
+        requestService = new RequestService(context, rangeTable, grants, requestTable, drain, this::onCallEnd);
     }
 
     /** Admits, refuses or answers a request; its deadline counts from the time of arrival. */
@@ -77,15 +77,15 @@
     }
 
     public OutcomeAnswer resolve(OutcomeQuery query) {
-        if (!query.service().equals(runtime.inputs().service())) {
+        if (!query.service().equals(context.dependencies().service())) {
             return OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN);
         }
         if (requestService.isParked(query.requestId())) {
             return OutcomeAnswer.of(OutcomeAnswer.State.RUNNING);
         }
-        long nowNanos = runtime.nowNanos();
-        OutcomeAnswer answer = requests.resolve(query.requestId(), memoryReachesBack(query, nowNanos), nowNanos);
-        runtime.logDecision(() -> "event=resolve request=" + query.requestId() + " state=" + answer.state());
+        long nowNanos = context.nowNanos();
+        OutcomeAnswer answer = requestTable.resolve(query.requestId(), isHistoryComplete(query, nowNanos), nowNanos);
+        context.logDecision(() -> "event=resolve request=" + query.requestId() + " state=" + answer.state());
         return answer;
     }
 
@@ -96,34 +96,34 @@
      * only executions whose records left with a released range can be missing, and none of them can matter once the
      * range has been served again for the longest deadline.
      */
-    private boolean memoryReachesBack(OutcomeQuery query, long nowNanos) {
-        ServiceConfig rules = runtime.rules();
-        if (!rules.keyed()) {
+    private boolean isHistoryComplete(OutcomeQuery query, long nowNanos) {
+        ServiceConfig config = context.serviceConfig();
+        if (!config.keyed()) {
             return true;
         }
         if (query.keyHash().isEmpty()) {
             return false;
         }
         KeyHash hash = query.keyHash().get();
-        long windowNanos = TimeUnit.MILLISECONDS.toNanos(rules.maxDeadlineMs());
-        return !ranges.mayHaveReleased(hash)
-                || ranges.newest(hash)
+        long windowNanos = TimeUnit.MILLISECONDS.toNanos(config.maxDeadlineMs());
+        return !rangeTable.mayHaveReleased(hash)
+                || rangeTable.newest(hash)
                         .map(entry -> nowNanos - entry.servingSinceNanos() >= windowNanos)
                         .orElse(false);
     }
 
     public void attach(BackendInfo info, BackendServer server) {
         if (backend != null) {
-            replaced.add(backend);
+            replacedBackends.add(backend);
         }
-        backend = new Backend(info, server);
+        backend = new AttachedBackend(info, server);
         publishedBackend = backend;
         requestService.attach(backend);
         rangeService.attach(backend);
         grants.attach(backend);
-        runtime.logDecision(() -> "event=attach backend=" + info.name() + " slots=" + info.slots() + " capabilities="
+        context.logDecision(() -> "event=attach backend=" + info.name() + " slots=" + info.slots() + " capabilities="
                 + info.capabilities());
-        advance();
+        runPendingWork();
     }
 
     /** Gives up everything; the backend server can start nothing any more. */
@@ -131,53 +131,53 @@
         if (backend == null) {
             return;
         }
-        runtime.logDecision(() -> "event=detach backend=" + backend.info().name());
+        context.logDecision(() -> "event=detach backend=" + backend.info().name());
         requestService.refuseQueued(ResultCode.BACKEND_UNAVAILABLE, "the backend server is gone");
-        replaced.add(backend);
+        replacedBackends.add(backend);
         backend = null;
         publishedBackend = null;
         grants.detach();
         requestService.detach();
         rangeService.attach(null);
-        rangeService.revokeAll();
-        advance();
+        rangeService.revokeAllRanges();
+        runPendingWork();
     }
 
     public void stopSending() {
         requestService.stopSending();
-        advance();
+        runPendingWork();
     }
 
     public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
         CompletableFuture<Void> result = rangeService.acquire(range, fence, inherited);
-        advance();
+        runPendingWork();
         return result;
     }
 
     public CompletableFuture<InheritedRecords> release(KeyRange range) {
-        CompletableFuture<InheritedRecords> result = rangeService.release(range, requestService.unsettled());
-        requestService.refuseUnserved();
-        advance();
+        CompletableFuture<InheritedRecords> result = rangeService.release(range, requestService.unsettledCalls());
+        requestService.refuseUnservedRanges();
+        runPendingWork();
         return result;
     }
 
     public CompletableFuture<Void> drain() {
-        CompletableFuture<Void> result = drain.request();
-        advance();
+        CompletableFuture<Void> result = drain.requestDrain();
+        runPendingWork();
         return result;
     }
 
     /** Examines deadlines, grants, releases and bounds; called at each tick. */
     public void tick() {
-        long nowNanos = runtime.nowNanos();
+        long nowNanos = context.nowNanos();
         requestService.expire(rangeService, nowNanos);
-        records.expire(nowNanos);
-        long windowMs = runtime.rules().maxDeadlineMs();
-        bars.expire(windowMs + runtime.options().barredIdRetentionMs(), nowNanos);
-        executed.roll(windowMs, nowNanos);
-        rollLoads(nowNanos);
-        closeReplaced();
-        advance();
+        recordTable.expire(nowNanos);
+        long windowMs = context.serviceConfig().maxDeadlineMs();
+        barredIds.expire(windowMs + context.options().barredIdRetentionMs(), nowNanos);
+        executedIds.rotateIfDue(windowMs, nowNanos);
+        updateLoads(nowNanos);
+        closeReplacedBackends();
+        runPendingWork();
     }
 
     /** Refuses what waits; the gate is not used afterwards. */
@@ -190,21 +190,21 @@
         return requestService.queued() > 0
                 || requestService.inFlight() > 0
                 || rangeService.hasReleases()
-                || !ranges.inState(RangeEntry.State.ACQUIRING).isEmpty();
+                || !rangeTable.inState(RangeEntry.State.ACQUIRING).isEmpty();
     }
 
     public GateStatus status() {
-        GateStatus latest = published;
+        GateStatus latest = publishedStatus;
         return new GateStatus(
                 latest.backendAttached(),
                 latest.draining(),
-                runtime.metrics().queued(),
-                runtime.metrics().inFlight(),
+                context.metrics().queued(),
+                context.metrics().inFlight(),
                 latest.serving());
     }
 
     public boolean mayHold(KeyRange range) {
-        Backend current = publishedBackend;
+        AttachedBackend current = publishedBackend;
         return current != null && current.server().mayHold(range);
     }
 
@@ -216,35 +216,35 @@
         return publishedLoads;
     }
 
-    private void advance() {
-        long nowNanos = runtime.nowNanos();
+    private void runPendingWork() {
+        long nowNanos = context.nowNanos();
         rangeService.tick(nowNanos);
         grants.tick(nowNanos);
         rangeService.completeAcquires(nowNanos);
-        requestService.unpark(nowNanos);
+        requestService.processParked(nowNanos);
         rangeService.completeReleases(nowNanos);
         requestService.dispatch();
-        drain.advance(backend, requestService.queued(), requestService.inFlight());
+        drain.update(backend, requestService.queued(), requestService.inFlight());
         publish();
     }
 
     private void onCallEnd() {
         if (rangeService.hasReleases() || drain.isDraining(backend)) {
-            advance();
+            runPendingWork();
         } else {
             requestService.dispatch();
             publishSizes();
         }
     }
 
-    private void onKeyedRecordDropped(KeyHash hash, long madeAtNanos) {
-        ranges.moveHorizon(hash, madeAtNanos);
-        requestService.moveUnkeyedHorizon(madeAtNanos);
+    private void onKeyedRecordRemoved(KeyHash hash, long createdAtNanos) {
+        rangeTable.advanceHorizons(hash, createdAtNanos);
+        requestService.advanceUnkeyedHorizons(createdAtNanos);
     }
 
     /** Closes the servers that were replaced once their calls have ended. */
-    private void closeReplaced() {
-        replaced.removeIf(old -> {
+    private void closeReplacedBackends() {
+        replacedBackends.removeIf(old -> {
             if (requestService.isInUse(old)) {
                 return false;
             }
@@ -255,38 +255,38 @@
         });
     }
 
-    private void rollLoads(long nowNanos) {
-        if (nowNanos - loadRolledAtNanos < TimeUnit.MILLISECONDS.toNanos(LOAD_ROLL_MS)) {
+    private void updateLoads(long nowNanos) {
+        if (nowNanos - loadsUpdatedAtNanos < TimeUnit.MILLISECONDS.toNanos(LOAD_UPDATE_INTERVAL_MS)) {
             return;
         }
-        loadRolledAtNanos = nowNanos;
+        loadsUpdatedAtNanos = nowNanos;
         List<RangeLoad> loads = new ArrayList<>();
-        for (RangeEntry entry : ranges.inState(RangeEntry.State.SERVING)) {
-            entry.load().roll(nowNanos);
+        for (RangeEntry entry : rangeTable.inState(RangeEntry.State.SERVING)) {
+            entry.loadMeter().updateRate(nowNanos);
             loads.add(new RangeLoad(
                     entry.range(),
                     entry.fence(),
                     true,
-                    entry.load().ratePerSecond(),
-                    entry.load().hotHashes()));
+                    entry.loadMeter().ratePerSecond(),
+                    entry.loadMeter().hotHashes()));
         }
         publishedLoads = List.copyOf(loads);
     }
 
     private void publish() {
         publishSizes();
-        published = new GateStatus(
+        publishedStatus = new GateStatus(
                 backend != null,
                 drain.isDraining(backend),
                 requestService.queued(),
                 requestService.inFlight(),
-                ranges.inState(RangeEntry.State.SERVING).stream()
+                rangeTable.inState(RangeEntry.State.SERVING).stream()
                         .map(e -> new ServingRange(e.range(), e.fence()))
                         .toList());
     }
 
     private void publishSizes() {
-        publishedLoad = requestService.load();
-        runtime.metrics().setSizes(requestService.queued(), requestService.inFlight(), records.size());
+        publishedLoad = requestService.loadEstimator();
+        context.metrics().setSizes(requestService.queued(), requestService.inFlight(), recordTable.size());
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -20,69 +20,69 @@
  */
 final class ParkedRequests {
     /** A request that waits for its range. Immutable. */
-    record Parked(CallerRequest request, KeyHash hash, Waiter waiter, long untilNanos) {}
+    record ParkedRequest(CallerRequest request, KeyHash hash, Waiter waiter, long expiresAtNanos) {}
 
-    private final GateRuntime runtime;
+    private final GateContext context;
     private final RangeTable ranges;
-    private final Map<RequestId, Parked> parked = new LinkedHashMap<>();
+    private final Map<RequestId, ParkedRequest> parkedById = new LinkedHashMap<>();
 
-    ParkedRequests(GateRuntime runtime, RangeTable ranges) {
-        this.runtime = runtime;
+    ParkedRequests(GateContext context, RangeTable ranges) {
+        this.context = context;
         this.ranges = ranges;
     }
 
     /** Parks a request if its range is to be served here soon and there is room. */
     boolean park(CallerRequest request, KeyHash hash, Waiter waiter, long nowNanos) {
-        boolean room = parked.size() < runtime.options().maxParkedRequests();
-        if (!room || isServed(hash) || !isAssigned(hash)) {
+        boolean hasCapacity = parkedById.size() < context.options().maxParkedRequests();
+        if (!hasCapacity || isServed(hash) || !isAssigned(hash)) {
             return false;
         }
-        long longestNanos =
-                nowNanos + TimeUnit.MILLISECONDS.toNanos(runtime.options().parkTimeoutMs());
-        long untilNanos = longestNanos - waiter.deadlineNanos() < 0 ? longestNanos : waiter.deadlineNanos();
-        parked.put(waiter.id(), new Parked(request, hash, waiter, untilNanos));
+        long timeoutNanos =
+                nowNanos + TimeUnit.MILLISECONDS.toNanos(context.options().parkTimeoutMs());
+        long expiresAtNanos = timeoutNanos - waiter.deadlineNanos() < 0 ? timeoutNanos : waiter.deadlineNanos();
+        parkedById.put(waiter.id(), new ParkedRequest(request, hash, waiter, expiresAtNanos));
         return true;
     }
 
     private boolean isServed(KeyHash hash) {
-        return ranges.serving(hash).filter(entry -> !entry.isRejected()).isPresent();
+        return ranges.serving(hash).filter(entry -> !entry.needsRegrant()).isPresent();
     }
 
     private boolean isAssigned(KeyHash hash) {
-        RoutingSnapshot routing = runtime.routing();
-        return routing.table(runtime.inputs().service())
+        RoutingSnapshot routing = context.routing();
+        return routing.table(context.dependencies().service())
                 .flatMap(table -> table.find(hash))
                 .map(assignment -> assignment.owner().equals(routing.self()))
                 .orElse(false);
     }
 
     boolean contains(RequestId id) {
-        return parked.containsKey(id);
+        return parkedById.containsKey(id);
     }
 
-    Optional<Parked> take(RequestId id) {
-        return Optional.ofNullable(parked.remove(id));
+    Optional<ParkedRequest> remove(RequestId id) {
+        return Optional.ofNullable(parkedById.remove(id));
     }
 
     /** Removes and returns the requests whose range is served now, in order of arrival. */
-    List<Parked> takeServed() {
-        return take(p -> isServed(p.hash()));
+    List<ParkedRequest> removeServed() {
+        return remove(p -> isServed(p.hash()));
     }
 
     /** Removes and returns the requests that wait no longer. */
-    List<Parked> takeOver(long nowNanos, boolean hasServer) {
-        return take(p -> !hasServer || nowNanos - p.untilNanos() >= 0 || !isAssigned(p.hash()));
+    List<ParkedRequest> removeExpired(long nowNanos, boolean serverAvailable) {
+        return remove(p -> !serverAvailable || nowNanos - p.expiresAtNanos() >= 0 || !isAssigned(p.hash()));
     }
 
-    private List<Parked> take(Predicate<Parked> condition) {
-        List<Parked> taken = new ArrayList<>();
-        for (Iterator<Parked> i = parked.values().iterator(); i.hasNext(); ) {
-            Parked request = i.next();
+    private List<ParkedRequest> remove(Predicate<ParkedRequest> condition) {
+        List<ParkedRequest> removed = new ArrayList<>();
+        for (Iterator<ParkedRequest> iterator = parkedById.values().iterator(); iterator.hasNext(); ) {
+            ParkedRequest request = iterator.next();
             if (condition.test(request)) {
-                i.remove();
-                taken.add(request);
+                iterator.remove();
+                removed.add(request);
             }
         }
-        return taken;
+        return removed;
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
@@ -16,22 +16,22 @@
     private QueueOrder() {}
 
     /** What decides about the place of a request. Immutable. */
-    public record Place(int priority, boolean late, long objectiveEndNanos) {
+    public record SortKey(int priority, boolean missesObjective, long objectiveDeadlineNanos) {
         /** The place of requests without rules. */
-        static final Place NEUTRAL = new Place(0, false, 0);
+        static final SortKey DEFAULT = new SortKey(0, false, 0);
 
         /** Behind all others. */
-        static final Place LAST = new Place(Integer.MAX_VALUE, true, 0);
+        static final SortKey LAST = new SortKey(Integer.MAX_VALUE, true, 0);
 
         /** Whether this place is before another one; false for equal ones. */
-        public boolean isBefore(Place other) {
+        public boolean precedes(SortKey other) {
             if (priority != other.priority) {
                 return priority < other.priority;
             }
-            if (late != other.late) {
-                return other.late;
+            if (missesObjective != other.missesObjective) {
+                return other.missesObjective;
             }
-            return objectiveEndNanos - other.objectiveEndNanos < 0;
+            return objectiveDeadlineNanos - other.objectiveDeadlineNanos < 0;
         }
     }
 
@@ -40,18 +40,18 @@
      *
      * @param serviceMs expected time of the request at the server
      */
-    public static Place place(Optional<RequestRules> rules, long arrivedAtNanos, double serviceMs, long nowNanos) {
-        if (rules.isEmpty()) {
-            return Place.NEUTRAL;
+    public static SortKey sortKey(Optional<RequestRules> requestRules, long arrivedAtNanos, double serviceMs, long nowNanos) {
+        if (requestRules.isEmpty()) {
+            return SortKey.DEFAULT;
         }
-        long objectiveEndNanos =
-                arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(rules.get().latencyObjectiveMs());
-        long endNanos = nowNanos + (long) (serviceMs * TimeUnit.MILLISECONDS.toNanos(1));
-        return new Place(rules.get().priority(), endNanos - objectiveEndNanos > 0, objectiveEndNanos);
+        long objectiveDeadlineNanos =
+                arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(requestRules.get().latencyObjectiveMs());
+        long expectedEndNanos = nowNanos + (long) (serviceMs * TimeUnit.MILLISECONDS.toNanos(1));
+        return new SortKey(requestRules.get().priority(), expectedEndNanos - objectiveDeadlineNanos > 0, objectiveDeadlineNanos);
     }
 
-    static Place place(Execution execution, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
-        return place(
+    static SortKey sortKey(Execution execution, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
+        return sortKey(
                 execution.request().rules(), execution.arrivedAtNanos(), serviceMs.applyAsDouble(execution), nowNanos);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -32,15 +32,15 @@
     private final Generation fence;
     private final InheritedRecords inherited;
     private final CompletableFuture<Void> acquired;
-    private final LoadMeter load;
+    private final RangeLoadMeter loadMeter;
     private final Set<Generation> replacedFences = new HashSet<>();
     private State state;
-    private Horizon horizon;
-    private Horizon dropHorizon = Horizon.UNLIMITED;
+    private RecordHorizon recordHorizon;
+    private RecordHorizon removalHorizon = RecordHorizon.UNLIMITED;
     private long servingSinceNanos;
     private boolean acquireFailed;
     private boolean everGranted;
-    private long heldUntilNanos;
+    private long grantExpiresAtNanos;
     private OptionalLong rejectedAtNanos = OptionalLong.empty();
 
     private RangeEntry(
@@ -48,38 +48,38 @@
             Generation fence,
             InheritedRecords inherited,
             CompletableFuture<Void> acquired,
-            LoadMeter load,
-            Horizon horizon) {
+            RangeLoadMeter load,
+            RecordHorizon horizon) {
         this.range = range;
         this.fence = fence;
         this.inherited = inherited;
         this.acquired = acquired;
-        this.load = load;
-        this.horizon = horizon;
+        this.loadMeter = load;
+        this.recordHorizon = horizon;
         state = State.ACQUIRING;
     }
 
     public static RangeEntry acquiring(
-            KeyRange range, Generation fence, InheritedRecords inherited, Horizon horizon, long nowNanos) {
+            KeyRange range, Generation fence, InheritedRecords inherited, RecordHorizon horizon, long nowNanos) {
         RangeEntry entry =
-                new RangeEntry(range, fence, inherited, new CompletableFuture<>(), new LoadMeter(nowNanos), horizon);
+                new RangeEntry(range, fence, inherited, new CompletableFuture<>(), new RangeLoadMeter(nowNanos), horizon);
         entry.servingSinceNanos = nowNanos;
         return entry;
     }
 
     /** A part of this entry with the same fence, state and memory. */
-    RangeEntry part(KeyRange partRange) {
-        double share = partRange.share() / range.share();
-        RangeEntry part = new RangeEntry(partRange, fence, inherited, acquired, load.part(share), horizon);
-        part.state = state;
-        part.servingSinceNanos = servingSinceNanos;
-        part.acquireFailed = acquireFailed;
-        part.dropHorizon = dropHorizon;
-        part.replacedFences.addAll(replacedFences);
-        part.everGranted = everGranted;
-        part.heldUntilNanos = heldUntilNanos;
-        part.rejectedAtNanos = rejectedAtNanos;
-        return part;
+    RangeEntry subrange(KeyRange newRange) {
+        double share = newRange.share() / range.share();
+        RangeEntry result = new RangeEntry(newRange, fence, inherited, acquired, loadMeter.forSubrange(share), recordHorizon);
+        result.state = state;
+        result.servingSinceNanos = servingSinceNanos;
+        result.acquireFailed = acquireFailed;
+        result.removalHorizon = removalHorizon;
+        result.replacedFences.addAll(replacedFences);
+        result.everGranted = everGranted;
+        result.grantExpiresAtNanos = grantExpiresAtNanos;
+        result.rejectedAtNanos = rejectedAtNanos;
+        return result;
     }
 
     public KeyRange range() {
@@ -99,33 +99,33 @@
         return acquired;
     }
 
-    public LoadMeter load() {
-        return load;
+    public RangeLoadMeter loadMeter() {
+        return loadMeter;
     }
 
     public State state() {
         return state;
     }
 
-    public Horizon horizon() {
-        return horizon;
+    public RecordHorizon recordHorizon() {
+        return recordHorizon;
     }
 
     /**
-     * Time since when no record was dropped by this gate or the owner before it. Unlike {@link #horizon()} it does not
+     * Time since when no record was dropped by this gate or the owner before it. Unlike {@link #recordHorizon()} it does not
      * start with a takeover, which happens seconds after the last execution of the lost owner.
      */
-    public Horizon dropHorizon() {
-        return dropHorizon;
+    public RecordHorizon removalHorizon() {
+        return removalHorizon;
     }
 
-    public void moveHorizon(long sinceNanos) {
-        horizon = horizon.later(Horizon.since(sinceNanos));
-        dropHorizon = dropHorizon.later(Horizon.since(sinceNanos));
+    public void advanceHorizons(long sinceNanos) {
+        recordHorizon = recordHorizon.later(RecordHorizon.startingAt(sinceNanos));
+        removalHorizon = removalHorizon.later(RecordHorizon.startingAt(sinceNanos));
     }
 
-    public void limitDropHorizon(Horizon limit) {
-        dropHorizon = dropHorizon.later(limit);
+    public void limitRemovalHorizon(RecordHorizon limit) {
+        removalHorizon = removalHorizon.later(limit);
     }
 
     /** Time since when this gate has seen every request of the range. */
@@ -133,11 +133,11 @@
         return servingSinceNanos;
     }
 
-    public void keepServingSince(long earlierNanos) {
-        servingSinceNanos = earlierNanos;
+    public void setServingSince(long sinceNanos) {
+        servingSinceNanos = sinceNanos;
     }
 
-    public void advance(State newState) {
+    public void transitionTo(State newState) {
         if (newState.compareTo(state) <= 0) {
             throw new IllegalStateException("range " + range + " cannot go from " + state + " to " + newState);
         }
@@ -149,7 +149,7 @@
      * acquired again under the same fence, unless it is released meanwhile.
      */
     public void failAcquire(CrankException failure) {
-        advance(State.REVOKING);
+        transitionTo(State.REVOKING);
         acquireFailed = true;
         acquired.completeExceptionally(failure);
     }
@@ -162,50 +162,50 @@
     public void startRelease() {
         acquireFailed = false;
         if (state.compareTo(State.RELEASING) < 0) {
-            advance(State.RELEASING);
+            transitionTo(State.RELEASING);
         }
     }
 
     /** Takes over what the backend server may hold of a part of the range that this entry replaces. */
-    void inheritHold(RangeEntry replaced) {
+    void inheritGrant(RangeEntry replaced) {
         replacedFences.add(replaced.fence);
         replacedFences.addAll(replaced.replacedFences);
         if (replaced.everGranted) {
-            hold(replaced.heldUntilNanos);
+            extendGrantExpiry(replaced.grantExpiresAtNanos);
         }
     }
 
     /** Whether a granted range gives rights to part of this entry, under its fence or one that it replaced. */
-    public boolean isHeldThrough(GrantedRange granted) {
+    public boolean isGrantedBy(GrantedRange granted) {
         return granted.range().overlaps(range)
                 && (granted.fence().equals(fence) || replacedFences.contains(granted.fence()));
     }
 
     /** Notes that the backend server may believe until a time that it holds the range. */
-    public void hold(long untilNanos) {
-        heldUntilNanos = everGranted && heldUntilNanos - untilNanos > 0 ? heldUntilNanos : untilNanos;
+    public void extendGrantExpiry(long expiresAtNanos) {
+        grantExpiresAtNanos = everGranted && grantExpiresAtNanos - expiresAtNanos > 0 ? grantExpiresAtNanos : expiresAtNanos;
         everGranted = true;
     }
 
     /** Notes that the backend server does not hold the range although its grant was acknowledged. */
-    public void reject(long nowNanos) {
+    public void markRejected(long nowNanos) {
         rejectedAtNanos = OptionalLong.of(nowNanos);
     }
 
     /** Whether the backend server must be given the range again before it gets further requests of it. */
-    public boolean isRejected() {
+    public boolean needsRegrant() {
         return rejectedAtNanos.isPresent();
     }
 
     /** Notes that the backend server acknowledged a grant with the range that was sent at a time. */
-    public void acknowledge(long sentAtNanos) {
+    public void onGrantAcknowledged(long sentAtNanos) {
         if (rejectedAtNanos.isPresent() && sentAtNanos - rejectedAtNanos.getAsLong() >= 0) {
             rejectedAtNanos = OptionalLong.empty();
         }
     }
 
     /** Whether the validity given last has lapsed at the backend server. */
-    public boolean isHoldLapsed(long nowNanos) {
-        return !everGranted || nowNanos - heldUntilNanos >= 0;
+    public boolean isGrantExpired(long nowNanos) {
+        return !everGranted || nowNanos - grantExpiresAtNanos >= 0;
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadMeter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeLoadMeter.java
@@ -12,50 +12,50 @@
  *
  * <p>The rate is smoothed over some seconds. Heavy hitters are those of the last full window. Not thread safe.
  */
-public final class LoadMeter {
-    private static final int SKETCH_ENTRIES = 512;
+public final class RangeLoadMeter {
+    private static final int SKETCH_CAPACITY = 512;
     private static final int MAX_HOT_HASHES = 8;
     private static final double MIN_HOT_SHARE = 0.01;
-    private static final double SMOOTHING_SECONDS = 3;
-    private static final double WINDOW_SECONDS = 2;
+    private static final double SMOOTHING_TIME_CONSTANT_SECONDS = 3;
+    private static final double HOT_HASH_WINDOW_SECONDS = 2;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final LongsSketch sketch = new LongsSketch(SKETCH_ENTRIES);
+    private final LongsSketch sketch = new LongsSketch(SKETCH_CAPACITY);
     private double ratePerSecond;
-    private long requests;
-    private long lastRollNanos;
+    private long requestCount;
+    private long lastUpdateNanos;
     private long windowStartNanos;
     private List<HotHash> hotHashes = List.of();
 
-    public LoadMeter(long nowNanos) {
-        lastRollNanos = nowNanos;
+    public RangeLoadMeter(long nowNanos) {
+        lastUpdateNanos = nowNanos;
         windowStartNanos = nowNanos;
     }
 
     /** Meter of a part of the range, starting with its share of the rate. */
-    LoadMeter part(double share) {
-        LoadMeter part = new LoadMeter(lastRollNanos);
-        part.ratePerSecond = ratePerSecond * share;
-        return part;
+    RangeLoadMeter forSubrange(double rateShare) {
+        RangeLoadMeter meter = new RangeLoadMeter(lastUpdateNanos);
+        meter.ratePerSecond = ratePerSecond * rateShare;
+        return meter;
     }
 
     public void onRequest(KeyHash hash) {
-        requests++;
+        requestCount++;
         sketch.update(hash.value());
     }
 
     /** Takes the requests since the last call into the rate. */
-    public void roll(long nowNanos) {
-        double seconds = (nowNanos - lastRollNanos) / NANOS_PER_SECOND;
-        if (seconds <= 0) {
+    public void updateRate(long nowNanos) {
+        double elapsedSeconds = (nowNanos - lastUpdateNanos) / NANOS_PER_SECOND;
+        if (elapsedSeconds <= 0) {
             return;
         }
-        double weight = 1 - Math.exp(-seconds / SMOOTHING_SECONDS);
-        ratePerSecond += weight * (requests / seconds - ratePerSecond);
-        requests = 0;
-        lastRollNanos = nowNanos;
+        double weight = 1 - Math.exp(-elapsedSeconds / SMOOTHING_TIME_CONSTANT_SECONDS);
+        ratePerSecond += weight * (requestCount / elapsedSeconds - ratePerSecond);
+        requestCount = 0;
+        lastUpdateNanos = nowNanos;
         double windowSeconds = (nowNanos - windowStartNanos) / NANOS_PER_SECOND;
-        if (windowSeconds >= WINDOW_SECONDS) {
+        if (windowSeconds >= HOT_HASH_WINDOW_SECONDS) {
             hotHashes = topHashes(windowSeconds);
             sketch.reset();
             windowStartNanos = nowNanos;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.gate.internal.Execution.Backend;
-import org.coriandercrank.gate.internal.Execution.ReleaseRules;
+import org.coriandercrank.gate.internal.Execution.AttachedBackend;
+import org.coriandercrank.gate.internal.Execution.ReleasePolicy;
 import org.coriandercrank.gate.internal.RangeEntry.State;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -28,75 +28,75 @@
     /** A release in progress. */
     private static final class Release {
         private final KeyRange range;
-        private final Set<Execution> unsettled;
+        private final Set<Execution> unsettledCalls;
         private final List<RangeEntry> entries = new ArrayList<>();
         private final CompletableFuture<InheritedRecords> result = new CompletableFuture<>();
 
         private Release(KeyRange range, Set<Execution> unsettled) {
             this.range = range;
-            this.unsettled = unsettled;
+            this.unsettledCalls = unsettled;
         }
     }
 
-    private final GateRuntime runtime;
+    private final GateContext context;
     private final RangeTable ranges;
     private final RecordTable records;
-    private final GrantDriver grants;
-    private final ReleaseRules rules;
-    private final FenceHistory fences = new FenceHistory();
+    private final GrantManager grants;
+    private final ReleasePolicy releasePolicy;
+    private final FenceHistory fenceHistory = new FenceHistory();
     private final List<Release> releases = new ArrayList<>();
-    private Optional<Backend> backend = Optional.empty();
+    private Optional<AttachedBackend> backend = Optional.empty();
 
-    RangeService(GateRuntime runtime, RangeTable ranges, RecordTable records, GrantDriver grants) {
-        this.runtime = runtime;
+    RangeService(GateContext context, RangeTable ranges, RecordTable records, GrantManager grants) {
+        this.context = context;
         this.ranges = ranges;
         this.records = records;
         this.grants = grants;
-        rules = new ReleaseRules(
-                runtime.options().deadlineGraceMs(),
-                runtime.options().lostCallLifetimeMs(),
-                runtime.options().allowUnconfirmedRelease());
+        releasePolicy = new ReleasePolicy(
+                context.options().deadlineGraceMs(),
+                context.options().lostCallLifetimeMs(),
+                context.options().allowUnconfirmedRelease());
     }
 
-    void attach(Backend newBackend) {
+    void attach(AttachedBackend newBackend) {
         backend = Optional.ofNullable(newBackend);
     }
 
     CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
-        List<RangeEntry> live = liveOverlapping(range);
-        for (RangeEntry entry : live) {
+        List<RangeEntry> active = activeOverlapping(range);
+        for (RangeEntry entry : active) {
             if (entry.fence().equals(fence) && entry.range().contains(range)) {
-                runtime.logDecision(() -> line("acquire-repeated", range, fence));
+                context.logDecision(() -> logLine("acquire-repeated", range, fence));
                 return entry.acquired();
             }
         }
-        CrankException refusal = refusal(range, fence, live);
+        CrankException refusal = refusal(range, fence, active);
         if (refusal != null) {
-            runtime.logDecision(() -> line("acquire-refused", range, fence) + " code=" + refusal.code());
+            context.logDecision(() -> logLine("acquire-refused", range, fence) + " code=" + refusal.code());
             return CompletableFuture.failedFuture(refusal);
         }
-        RangeEntry entry = newEntry(range, fence, inherited);
+        RangeEntry entry = createEntry(range, fence, inherited);
         ranges.add(entry);
-        fences.onAcquire(range, fence);
+        fenceHistory.onAcquire(range, fence);
         grants.requestGrant();
-        runtime.logDecision(() -> line("acquire", range, fence));
+        context.logDecision(() -> logLine("acquire", range, fence));
         return entry.acquired();
     }
 
-    private CrankException refusal(KeyRange range, Generation fence, List<RangeEntry> live) {
-        if (!runtime.rules().keyed()) {
+    private CrankException refusal(KeyRange range, Generation fence, List<RangeEntry> active) {
+        if (!context.serviceConfig().keyed()) {
             return new CrankException(ResultCode.BAD_REQUEST, "the service is not divided by key");
         }
         if (backend.isEmpty()) {
             return new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server is attached");
         }
-        if (!runtime.isLeaseValid()) {
+        if (!context.isLeaseValid()) {
             return new CrankException(ResultCode.LEASE_LAPSED, "the lease is not valid");
         }
-        if (!fences.allows(range, fence)) {
+        if (!fenceHistory.allows(range, fence)) {
             return new CrankException(ResultCode.RANGE_MOVING, "the fence is older than one used before");
         }
-        if (live.stream().anyMatch(e -> !fence.isNewerThan(e.fence()))) {
+        if (active.stream().anyMatch(e -> !fence.isNewerThan(e.fence()))) {
             return new CrankException(
                     ResultCode.NOT_OWNER, "part of the range is held under this fence or a newer one");
         }
@@ -104,81 +104,81 @@
     }
 
     /** Replaces what is held of a range under older fences; records that the gate has itself stay complete. */
-    private RangeEntry newEntry(KeyRange range, Generation fence, InheritedRecords inherited) {
-        long nowNanos = runtime.nowNanos();
-        Horizon inheritedHorizon = Horizon.reachingBack(nowNanos, inherited.completeForMs());
-        Horizon ownHorizon = Horizon.UNLIMITED;
-        List<RangeEntry> replaced = takeReplaced(range, fence);
-        long ownSinceNanos = replaced.isEmpty() ? nowNanos : replaced.get(0).servingSinceNanos();
-        for (RangeEntry part : replaced) {
-            ownHorizon = ownHorizon.later(part.horizon());
-            ownSinceNanos = part.servingSinceNanos() - ownSinceNanos > 0 ? part.servingSinceNanos() : ownSinceNanos;
+    private RangeEntry createEntry(KeyRange range, Generation fence, InheritedRecords inherited) {
+        long nowNanos = context.nowNanos();
+        RecordHorizon inheritedHorizon = RecordHorizon.completeFor(nowNanos, inherited.completeForMs());
+        RecordHorizon ownHorizon = RecordHorizon.UNLIMITED;
+        List<RangeEntry> replaced = removeReplaced(range, fence);
+        long ownServingSinceNanos = replaced.isEmpty() ? nowNanos : replaced.get(0).servingSinceNanos();
+        for (RangeEntry old : replaced) {
+            ownHorizon = ownHorizon.later(old.recordHorizon());
+            ownServingSinceNanos = old.servingSinceNanos() - ownServingSinceNanos > 0 ? old.servingSinceNanos() : ownServingSinceNanos;
         }
         boolean covered =
                 RangeTable.covers(replaced.stream().map(RangeEntry::range).toList(), range);
-        Horizon horizon = covered ? ownHorizon.earlier(inheritedHorizon) : inheritedHorizon;
+        RecordHorizon horizon = covered ? ownHorizon.earlier(inheritedHorizon) : inheritedHorizon;
         RangeEntry entry = RangeEntry.acquiring(range, fence, inherited, horizon, nowNanos);
         if (covered) {
-            entry.keepServingSince(ownSinceNanos);
+            entry.setServingSince(ownServingSinceNanos);
         } else if (inherited.completeForMs() > 0) {
-            entry.limitDropHorizon(inheritedHorizon);
+            entry.limitRemovalHorizon(inheritedHorizon);
         }
-        replaced.forEach(part -> entry.limitDropHorizon(part.dropHorizon()));
-        replaced.forEach(entry::inheritHold);
+        replaced.forEach(old -> entry.limitRemovalHorizon(old.removalHorizon()));
+        replaced.forEach(entry::inheritGrant);
         return entry;
     }
 
     /** Removes the parts of a range that are served under an older fence, or whose acquire failed under this one. */
-    private List<RangeEntry> takeReplaced(KeyRange range, Generation fence) {
-        List<RangeEntry> taken = new ArrayList<>();
+    private List<RangeEntry> removeReplaced(KeyRange range, Generation fence) {
+        List<RangeEntry> removed = new ArrayList<>();
         for (RangeEntry old : ranges.overlapping(range)) {
             if (old.state() == State.ACQUIRING) {
                 old.failAcquire(new CrankException(ResultCode.RANGE_MOVING, "acquired under a newer fence"));
             } else if (old.state() == State.SERVING
                     || (old.isAcquireFailed() && old.fence().equals(fence))) {
-                RangeEntry part = ranges.cutOut(old, range);
+                RangeEntry part = ranges.splitOff(old, range);
                 ranges.remove(part);
-                taken.add(part);
+                removed.add(part);
             }
         }
-        return taken;
+        return removed;
     }
 
     /**
      * Starts a release.
      *
-     * @param inFlight calls that run or were lost, of any range
+     * @param candidateCalls calls that run or were lost, of any range
      */
-    CompletableFuture<InheritedRecords> release(KeyRange range, List<Execution> inFlight) {
-        Set<Execution> unsettled = new HashSet<>();
-        for (Execution call : inFlight) {
+    CompletableFuture<InheritedRecords> release(KeyRange range, List<Execution> candidateCalls) {
+        Set<Execution> unsettledCalls = new HashSet<>();
+        for (Execution call : candidateCalls) {
             if (range.contains(call.hash())) {
-                unsettled.add(call);
+                unsettledCalls.add(call);
             }
         }
-        Release release = new Release(range, unsettled);
+        Release release = new Release(range, unsettledCalls);
         for (RangeEntry overlapping : ranges.overlapping(range)) {
             if (overlapping.state() == State.ACQUIRING) {
-                records.putAll(overlapping.inherited(), runtime.nowNanos());
+                records.importRecords(overlapping.inherited(), context.nowNanos());
                 overlapping.failAcquire(new CrankException(ResultCode.RANGE_MOVING, "the range is released"));
             }
-            RangeEntry entry = ranges.cutOut(overlapping, range);
+            RangeEntry entry = ranges.splitOff(overlapping, range);
             if (!entry.range().equals(overlapping.range())) {
-                replaceInReleases(overlapping);
+                replaceSplitEntry(overlapping);
             }
             ranges.startRelease(entry);
             release.entries.add(entry);
         }
-        fences.onRelease(range);
+        fenceHistory.onRelease(range);
         grants.requestGrant();
         releases.add(release);
-        runtime.logDecision(() -> "event=release range=" + range + " entries=" + release.entries.size() + " in-flight="
-                + unsettled.size());
+        context.logDecision(() -> "event=release range=" + range + " entries=" + release.entries.size() + " in-flight="
+                + unsettledCalls.size());
         return release.result;
     }
 
     /** Gives the releases that wait for a split entry its parts. */
-    private void replaceInReleases(RangeEntry split) {
+    private void replaceSplitEntry(RangeEntry split) {
         for (Release release : releases) {
             if (release.entries.remove(split)) {
                 for (RangeEntry part : ranges.overlapping(split.range())) {
@@ -191,20 +191,20 @@
     }
 
     /** Revokes all entries at once, because the backend server holds nothing any more. */
-    void revokeAll() {
+    void revokeAllRanges() {
         for (RangeEntry entry : List.copyOf(ranges.entries())) {
             if (entry.state() == State.ACQUIRING) {
                 entry.failAcquire(new CrankException(ResultCode.BACKEND_UNAVAILABLE, "the backend server is gone"));
             }
             if (entry.state() != State.REVOKED) {
-                ranges.advance(entry, State.REVOKED);
+                ranges.transition(entry, State.REVOKED);
             }
-            fences.onRelease(entry.range());
+            fenceHistory.onRelease(entry.range());
         }
     }
 
-    ReleaseRules rules() {
-        return rules;
+    ReleasePolicy releasePolicy() {
+        return releasePolicy;
     }
 
     /** Whether a key belongs to a range that is being released. */
@@ -217,18 +217,18 @@
     }
 
     void tick(long nowNanos) {
-        if (!runtime.isLeaseValid()) {
+        if (!context.isLeaseValid()) {
             for (RangeEntry entry : ranges.inState(State.ACQUIRING)) {
                 grants.requestGrant();
                 entry.failAcquire(new CrankException(ResultCode.LEASE_LAPSED, "the lease is not valid"));
             }
         }
         for (Release release : releases) {
-            release.unsettled.removeIf(call -> call.isSettled(rules, isHoldLapsed(call.hash(), nowNanos), nowNanos));
+            release.unsettledCalls.removeIf(call -> call.isSettled(releasePolicy, isGrantExpired(call.hash(), nowNanos), nowNanos));
         }
         for (RangeEntry entry : ranges.inState(State.RELEASING)) {
-            if (!awaitsCalls(entry, nowNanos)) {
-                ranges.advance(entry, State.REVOKING);
+            if (!isAwaitingCalls(entry, nowNanos)) {
+                ranges.transition(entry, State.REVOKING);
                 grants.requestGrant();
             }
         }
@@ -237,7 +237,7 @@
     /** Completes the releases that have nothing left to wait for. */
     void completeReleases(long nowNanos) {
         for (Release release : List.copyOf(releases)) {
-            if (release.unsettled.isEmpty() && release.entries.stream().allMatch(e -> e.state() == State.REVOKED)) {
+            if (release.unsettledCalls.isEmpty() && release.entries.stream().allMatch(e -> e.state() == State.REVOKED)) {
                 releases.remove(release);
                 complete(release, nowNanos);
             }
@@ -253,8 +253,8 @@
     void completeAcquires(long nowNanos) {
         for (RangeEntry entry : ranges.inState(State.SERVING)) {
             if (!entry.acquired().isDone()) {
-                records.putAll(entry.inherited(), nowNanos);
-                runtime.logDecision(() -> line("serving", entry.range(), entry.fence()));
+                records.importRecords(entry.inherited(), nowNanos);
+                context.logDecision(() -> logLine("serving", entry.range(), entry.fence()));
                 entry.acquired().complete(null);
             }
         }
@@ -264,31 +264,31 @@
         for (RangeEntry entry : release.entries) {
             ranges.addReleased(entry);
         }
-        List<RangeTable.Released> known = ranges.releasedIn(release.range);
-        Horizon horizon = Horizon.UNLIMITED;
-        for (RangeTable.Released released : known) {
+        List<RangeTable.ReleasedRange> releasedRanges = ranges.releasedIn(release.range);
+        RecordHorizon horizon = RecordHorizon.UNLIMITED;
+        for (RangeTable.ReleasedRange released : releasedRanges) {
             horizon = horizon.later(released.horizon());
         }
         boolean covered =
-                RangeTable.covers(known.stream().map(RangeTable.Released::range).toList(), release.range);
-        InheritedRecords exported = records.export(
+                RangeTable.covers(releasedRanges.stream().map(RangeTable.ReleasedRange::range).toList(), release.range);
+        InheritedRecords exported = records.exportRecords(
                         release.range,
-                        covered ? horizon : Horizon.since(nowNanos),
-                        runtime.options().maxTransferBytes(),
+                        covered ? horizon : RecordHorizon.startingAt(nowNanos),
+                        context.options().maxTransferBytes(),
                         nowNanos)
                 .withHandovers(backend.map(b -> b.server().takeHandovers(release.range))
                         .orElse(List.of()));
-        runtime.logDecision(() -> "event=released range=" + release.range + " records="
+        context.logDecision(() -> "event=released range=" + release.range + " records="
                 + exported.records().size() + " complete-for-ms=" + exported.completeForMs());
         release.result.complete(exported);
     }
 
     /** Whether calls of an entry may still end before their deadline and its grace. */
-    private boolean awaitsCalls(RangeEntry entry, long nowNanos) {
+    private boolean isAwaitingCalls(RangeEntry entry, long nowNanos) {
         for (Release release : releases) {
-            for (Execution call : release.unsettled) {
+            for (Execution call : release.unsettledCalls) {
                 if (entry.range().contains(call.hash())
-                        && TimeUnit.NANOSECONDS.toMillis(nowNanos - call.deadlineNanos()) < rules.graceMs()) {
+                        && TimeUnit.NANOSECONDS.toMillis(nowNanos - call.deadlineNanos()) < releasePolicy.deadlineGraceMs()) {
                     return true;
                 }
             }
@@ -296,20 +296,20 @@
         return false;
     }
 
-    private boolean isHoldLapsed(KeyHash hash, long nowNanos) {
+    private boolean isGrantExpired(KeyHash hash, long nowNanos) {
         return ranges.entries().stream()
                 .filter(e -> e.state().compareTo(State.RELEASING) >= 0)
                 .filter(e -> e.range().contains(hash))
-                .allMatch(e -> e.isHoldLapsed(nowNanos));
+                .allMatch(e -> e.isGrantExpired(nowNanos));
     }
 
-    private List<RangeEntry> liveOverlapping(KeyRange range) {
+    private List<RangeEntry> activeOverlapping(KeyRange range) {
         return ranges.overlapping(range).stream()
                 .filter(e -> e.state().compareTo(State.SERVING) <= 0)
                 .toList();
     }
 
-    private static String line(String event, KeyRange range, Generation fence) {
+    private static String logLine(String event, KeyRange range, Generation fence) {
         return "event=" + event + " range=" + range + " fence=" + fence;
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
@@ -18,18 +18,18 @@
  * <p>Invariant: entries in state ACQUIRING or SERVING never overlap. Not thread safe.
  */
 public final class RangeTable {
-    private static final int MAX_RELEASED = 4_096;
+    private static final int MAX_RELEASED_RANGES = 4_096;
 
     /** A range that was released for good under a fence. Immutable. */
-    public record Released(KeyRange range, Generation fence, Horizon horizon) {}
+    public record ReleasedRange(KeyRange range, Generation fence, RecordHorizon horizon) {}
 
     private final List<RangeEntry> entries = new ArrayList<>();
-    private final TreeMap<KeyHash, RangeEntry> servingByFirst = new TreeMap<>();
-    private final List<Released> released = new ArrayList<>();
-    private boolean releasedForgotten;
+    private final TreeMap<KeyHash, RangeEntry> servingByFirstHash = new TreeMap<>();
+    private final List<ReleasedRange> releasedRanges = new ArrayList<>();
+    private boolean releaseHistoryTruncated;
 
     public Optional<RangeEntry> serving(KeyHash hash) {
-        Map.Entry<KeyHash, RangeEntry> floor = servingByFirst.floorEntry(hash);
+        Map.Entry<KeyHash, RangeEntry> floor = servingByFirstHash.floorEntry(hash);
         return floor != null && floor.getValue().range().contains(hash)
                 ? Optional.of(floor.getValue())
                 : Optional.empty();
@@ -51,118 +51,118 @@
     }
 
     public List<RangeEntry> inState(State state) {
-        return select(e -> e.state() == state);
+        return filter(e -> e.state() == state);
     }
 
     public List<RangeEntry> overlapping(KeyRange range) {
-        return select(e -> e.range().overlaps(range));
+        return filter(e -> e.range().overlaps(range));
     }
 
     /** The ranges that the backend server has to be granted. */
     public List<RangeEntry> grantable() {
-        return select(e -> e.state().compareTo(State.RELEASING) <= 0);
+        return filter(e -> e.state().compareTo(State.RELEASING) <= 0);
     }
 
     public void add(RangeEntry entry) {
         entries.add(entry);
-        index(entry);
+        indexIfServing(entry);
     }
 
     public void remove(RangeEntry entry) {
         entries.remove(entry);
-        servingByFirst.remove(entry.range().first(), entry);
+        servingByFirstHash.remove(entry.range().first(), entry);
     }
 
-    public void advance(RangeEntry entry, State state) {
-        servingByFirst.remove(entry.range().first(), entry);
-        entry.advance(state);
-        index(entry);
+    public void transition(RangeEntry entry, State state) {
+        servingByFirstHash.remove(entry.range().first(), entry);
+        entry.transitionTo(state);
+        indexIfServing(entry);
     }
 
     /** Takes an entry out of service. */
     public void startRelease(RangeEntry entry) {
-        servingByFirst.remove(entry.range().first(), entry);
+        servingByFirstHash.remove(entry.range().first(), entry);
         entry.startRelease();
     }
 
     /** Splits an entry at the ends of a range and returns the part inside; the entry itself is then no longer used. */
-    public RangeEntry cutOut(RangeEntry entry, KeyRange range) {
+    public RangeEntry splitOff(RangeEntry entry, KeyRange range) {
         if (range.contains(entry.range())) {
             return entry;
         }
         remove(entry);
-        for (KeyRange outside : outside(entry.range(), range)) {
-            add(entry.part(outside));
+        for (KeyRange outside : subtract(entry.range(), range)) {
+            add(entry.subrange(outside));
         }
-        RangeEntry inside = entry.part(intersection(entry.range(), range));
+        RangeEntry inside = entry.subrange(intersection(entry.range(), range));
         add(inside);
         return inside;
     }
 
     /** Notes for what is left of granted ranges that the backend server may hold them until a time. */
-    public void hold(List<GrantedRange> granted, long untilNanos) {
+    public void extendGrantExpiry(List<GrantedRange> granted, long expiresAtNanos) {
         for (RangeEntry entry : entries) {
-            if (isHeldThrough(entry, granted)) {
-                entry.hold(untilNanos);
+            if (isGrantedBy(entry, granted)) {
+                entry.extendGrantExpiry(expiresAtNanos);
             }
         }
     }
 
     /** Whether granted ranges give the backend server rights to part of an entry. */
-    public static boolean isHeldThrough(RangeEntry entry, List<GrantedRange> granted) {
-        return granted.stream().anyMatch(entry::isHeldThrough);
+    public static boolean isGrantedBy(RangeEntry entry, List<GrantedRange> granted) {
+        return granted.stream().anyMatch(entry::isGrantedBy);
     }
 
     /** Moves the horizon after the loss of a record that was made at a time. */
-    public void moveHorizon(KeyHash hash, long sinceNanos) {
+    public void advanceHorizons(KeyHash hash, long sinceNanos) {
         for (RangeEntry entry : entries) {
             if (entry.range().contains(hash)) {
-                entry.moveHorizon(sinceNanos);
+                entry.advanceHorizons(sinceNanos);
             }
         }
     }
 
     public void addReleased(RangeEntry entry) {
-        Released newest = new Released(entry.range(), entry.fence(), entry.horizon());
-        released.removeIf(r -> newest.range().contains(r.range()) && !r.fence().isNewerThan(newest.fence()));
-        released.add(newest);
-        if (released.size() > MAX_RELEASED) {
-            released.remove(0);
-            releasedForgotten = true;
+        ReleasedRange newest = new ReleasedRange(entry.range(), entry.fence(), entry.recordHorizon());
+        releasedRanges.removeIf(r -> newest.range().contains(r.range()) && !r.fence().isNewerThan(newest.fence()));
+        releasedRanges.add(newest);
+        if (releasedRanges.size() > MAX_RELEASED_RANGES) {
+            releasedRanges.remove(0);
+            releaseHistoryTruncated = true;
         }
     }
 
     /** Whether a range with a hash was released; true if it cannot be told any more. */
     public boolean mayHaveReleased(KeyHash hash) {
-        return releasedForgotten || released.stream().anyMatch(r -> r.range().contains(hash));
+        return releaseHistoryTruncated || releasedRanges.stream().anyMatch(r -> r.range().contains(hash));
     }
 
-    public List<Released> releasedIn(KeyRange range) {
-        return released.stream().filter(r -> r.range().overlaps(range)).toList();
+    public List<ReleasedRange> releasedIn(KeyRange range) {
+        return releasedRanges.stream().filter(r -> r.range().overlaps(range)).toList();
     }
 
     /** Whether ranges together cover another. */
     public static boolean covers(List<KeyRange> parts, KeyRange whole) {
-        List<KeyRange> missing = List.of(whole);
+        List<KeyRange> uncovered = List.of(whole);
         for (KeyRange part : parts) {
-            List<KeyRange> left = new ArrayList<>();
-            for (KeyRange m : missing) {
-                left.addAll(m.overlaps(part) ? outside(m, part) : List.of(m));
+            List<KeyRange> remaining = new ArrayList<>();
+            for (KeyRange range : uncovered) {
+                remaining.addAll(range.overlaps(part) ? subtract(range, part) : List.of(range));
             }
-            missing = left;
+            uncovered = remaining;
         }
-        return missing.isEmpty();
+        return uncovered.isEmpty();
     }
 
-    private static List<KeyRange> outside(KeyRange whole, KeyRange cut) {
-        List<KeyRange> outside = new ArrayList<>();
-        if (whole.first().compareTo(cut.first()) < 0) {
-            outside.add(new KeyRange(whole.first(), new KeyHash(cut.first().value() - 1)));
+    private static List<KeyRange> subtract(KeyRange whole, KeyRange removed) {
+        List<KeyRange> remaining = new ArrayList<>();
+        if (whole.first().compareTo(removed.first()) < 0) {
+            remaining.add(new KeyRange(whole.first(), new KeyHash(removed.first().value() - 1)));
         }
-        if (cut.last().compareTo(whole.last()) < 0) {
-            outside.add(new KeyRange(new KeyHash(cut.last().value() + 1), whole.last()));
+        if (removed.last().compareTo(whole.last()) < 0) {
+            remaining.add(new KeyRange(new KeyHash(removed.last().value() + 1), whole.last()));
         }
-        return outside;
+        return remaining;
     }
 
     static KeyRange intersection(KeyRange a, KeyRange b) {
@@ -171,13 +171,13 @@
         return new KeyRange(first, last);
     }
 
-    private List<RangeEntry> select(Predicate<RangeEntry> condition) {
+    private List<RangeEntry> filter(Predicate<RangeEntry> condition) {
         return entries.stream().filter(condition).toList();
     }
 
-    private void index(RangeEntry entry) {
+    private void indexIfServing(RangeEntry entry) {
         if (entry.state() == State.SERVING) {
-            servingByFirst.put(entry.range().first(), entry);
+            servingByFirstHash.put(entry.range().first(), entry);
         }
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Horizon.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordHorizon.java
@@ -8,22 +8,22 @@
  * @param unlimited whether no record can be missing; {@code sinceNanos} is then without meaning
  * @param sinceNanos monotonic time
  */
-public record Horizon(boolean unlimited, long sinceNanos) {
-    public static final Horizon UNLIMITED = new Horizon(true, 0);
+public record RecordHorizon(boolean unlimited, long sinceNanos) {
+    public static final RecordHorizon UNLIMITED = new RecordHorizon(true, 0);
 
-    public static Horizon since(long nanos) {
-        return new Horizon(false, nanos);
+    public static RecordHorizon startingAt(long startNanos) {
+        return new RecordHorizon(false, startNanos);
     }
 
     /** Horizon of records that reach back a number of milliseconds; {@link Long#MAX_VALUE} means without limit. */
-    public static Horizon reachingBack(long nowNanos, long completeForMs) {
+    public static RecordHorizon completeFor(long nowNanos, long completeForMs) {
         return completeForMs == Long.MAX_VALUE
                 ? UNLIMITED
-                : since(nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(completeForMs, Integer.MAX_VALUE)));
+                : startingAt(nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(completeForMs, Integer.MAX_VALUE)));
     }
 
     /** The one of two horizons that claims less. */
-    public Horizon later(Horizon other) {
+    public RecordHorizon later(RecordHorizon other) {
         if (unlimited) {
             return other;
         }
@@ -31,13 +31,13 @@
     }
 
     /** The one of two horizons that claims more. */
-    public Horizon earlier(Horizon other) {
+    public RecordHorizon earlier(RecordHorizon other) {
         return later(other).equals(this) ? other : this;
     }
 
     /** Whether a first attempt at a time would have left a record. */
-    public boolean covers(long attemptNanos) {
-        return unlimited || attemptNanos - sinceNanos > 0;
+    public boolean covers(long attemptedAtNanos) {
+        return unlimited || attemptedAtNanos - sinceNanos > 0;
     }
 
     /** How far back the records are complete; {@link Long#MAX_VALUE} without limit. */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -31,16 +31,16 @@
 public final class RecordTable {
     private static final long RECORD_OVERHEAD_BYTES = 256;
     private static final long HEADER_OVERHEAD_BYTES = 48;
-    private static final int ANSWERLESS_IDS_PER_RECORD = 4;
+    private static final int MAX_EVICTED_IDS_PER_RECORD = 4;
 
     /** A kept answer. Immutable. */
-    public record Kept(
+    public record StoredRecord(
             RequestId id,
-            Optional<IdempotencyKey> key,
+            Optional<IdempotencyKey> idempotencyKey,
             KeyHash hash,
-            long digest,
+            long requestDigest,
             CallerAnswer answer,
-            long madeAtNanos) {
+            long createdAtNanos) {
         long sizeBytes() {
             long size = RECORD_OVERHEAD_BYTES + answer.body().length;
             for (Header header : answer.headers()) {
@@ -52,127 +52,127 @@
         }
 
         boolean isSameRequest(KeyHash otherHash, long otherDigest) {
-            return digest == otherDigest && hash.equals(otherHash);
+            return requestDigest == otherDigest && hash.equals(otherHash);
         }
     }
 
-    private record KeyOfHash(KeyHash hash, IdempotencyKey key) {}
+    private record ScopedKey(KeyHash hash, IdempotencyKey key) {}
 
     private final long retentionNanos;
     private final int maxRecords;
     private final long maxBytes;
-    private final BiConsumer<KeyHash, Long> keyedRecordDropped;
-    private final LinkedHashMap<RequestId, Kept> byId = new LinkedHashMap<>();
-    private final Map<KeyOfHash, Kept> byKey = new HashMap<>();
-    private final LinkedHashMap<RequestId, Long> answerlessIds = new LinkedHashMap<>();
-    private long bytes;
+    private final BiConsumer<KeyHash, Long> keyedRecordRemoved;
+    private final LinkedHashMap<RequestId, StoredRecord> recordsById = new LinkedHashMap<>();
+    private final Map<ScopedKey, StoredRecord> recordsByKey = new HashMap<>();
+    private final LinkedHashMap<RequestId, Long> evictedIds = new LinkedHashMap<>();
+    private long totalBytes;
 
     /** The listener gets the hash and the time of each dropped record that has an idempotency key. */
-    public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> keyedRecordDropped) {
+    public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> keyedRecordRemoved) {
         retentionNanos = TimeUnit.MILLISECONDS.toNanos(options.recordRetentionMs());
         maxRecords = options.maxRecords();
         maxBytes = options.maxRecordBytes();
-        this.keyedRecordDropped = keyedRecordDropped;
+        this.keyedRecordRemoved = keyedRecordRemoved;
     }
 
-    public void put(Kept kept, long nowNanos) {
-        Kept previous = byId.remove(kept.id());
+    public void put(StoredRecord stored, long nowNanos) {
+        StoredRecord previous = recordsById.remove(stored.id());
         if (previous != null) {
-            bytes -= previous.sizeBytes();
+            totalBytes -= previous.sizeBytes();
         }
-        byId.put(kept.id(), kept);
-        bytes += kept.sizeBytes();
-        kept.key().ifPresent(key -> byKey.put(new KeyOfHash(kept.hash(), key), kept));
-        while (byId.size() > maxRecords || bytes > maxBytes) {
-            Kept dropped = dropOldest();
-            answerlessIds.put(dropped.id(), nowNanos);
+        recordsById.put(stored.id(), stored);
+        totalBytes += stored.sizeBytes();
+        stored.idempotencyKey().ifPresent(key -> recordsByKey.put(new ScopedKey(stored.hash(), key), stored));
+        while (recordsById.size() > maxRecords || totalBytes > maxBytes) {
+            StoredRecord evicted = removeOldest();
+            evictedIds.put(evicted.id(), nowNanos);
         }
-        if (answerlessIds.size() > (long) maxRecords * ANSWERLESS_IDS_PER_RECORD) {
-            Iterator<RequestId> oldest = answerlessIds.keySet().iterator();
-            oldest.next();
-            oldest.remove();
+        if (evictedIds.size() > (long) maxRecords * MAX_EVICTED_IDS_PER_RECORD) {
+            Iterator<RequestId> iterator = evictedIds.keySet().iterator();
+            iterator.next();
+            iterator.remove();
         }
     }
 
     /** Takes over the records of a range; a record that is present already stays. */
-    public void putAll(InheritedRecords inherited, long nowNanos) {
-        for (OutcomeRecord r : inherited.records()) {
-            long madeAtNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(r.ageMs(), Integer.MAX_VALUE));
-            if (!byId.containsKey(r.requestId())) {
+    public void importRecords(InheritedRecords inherited, long nowNanos) {
+        for (OutcomeRecord outcomeRecord : inherited.records()) {
+            long createdAtNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(outcomeRecord.ageMs(), Integer.MAX_VALUE));
+            if (!recordsById.containsKey(outcomeRecord.requestId())) {
                 put(
-                        new Kept(
-                                r.requestId(),
-                                r.idempotencyKey(),
-                                r.keyHash(),
-                                r.requestDigest(),
-                                r.answer(),
-                                madeAtNanos),
+                        new StoredRecord(
+                                outcomeRecord.requestId(),
+                                outcomeRecord.idempotencyKey(),
+                                outcomeRecord.keyHash(),
+                                outcomeRecord.requestDigest(),
+                                outcomeRecord.answer(),
+                                createdAtNanos),
                         nowNanos);
             }
         }
     }
 
-    public Optional<Kept> find(RequestId id) {
-        return Optional.ofNullable(byId.get(id));
+    public Optional<StoredRecord> find(RequestId id) {
+        return Optional.ofNullable(recordsById.get(id));
     }
 
-    public Optional<Kept> find(KeyHash hash, IdempotencyKey key) {
-        return Optional.ofNullable(byKey.get(new KeyOfHash(hash, key)));
+    public Optional<StoredRecord> find(KeyHash hash, IdempotencyKey key) {
+        return Optional.ofNullable(recordsByKey.get(new ScopedKey(hash, key)));
     }
 
     /** Whether an id was executed but its answer had to be dropped early. */
-    public boolean lostAnswerOf(RequestId id) {
-        return answerlessIds.containsKey(id);
+    public boolean wasEvicted(RequestId id) {
+        return evictedIds.containsKey(id);
     }
 
     /** Drops what has reached the age limit. */
     public void expire(long nowNanos) {
-        while (!byId.isEmpty() && nowNanos - byId.values().iterator().next().madeAtNanos() >= retentionNanos) {
-            dropOldest();
+        while (!recordsById.isEmpty() && nowNanos - recordsById.values().iterator().next().createdAtNanos() >= retentionNanos) {
+            removeOldest();
         }
-        Iterator<Long> times = answerlessIds.values().iterator();
-        while (times.hasNext() && nowNanos - times.next() >= retentionNanos) {
-            times.remove();
+        Iterator<Long> evictionTimes = evictedIds.values().iterator();
+        while (evictionTimes.hasNext() && nowNanos - evictionTimes.next() >= retentionNanos) {
+            evictionTimes.remove();
         }
     }
 
     /** Records of a range for its next owner, the newest up to a number of bytes, with a horizon that fits them. */
-    public InheritedRecords export(KeyRange range, Horizon horizon, long maxTransferBytes, long nowNanos) {
-        Deque<Kept> inRange = new ArrayDeque<>();
-        for (Kept kept : byId.values()) {
-            if (range.contains(kept.hash())) {
-                inRange.addFirst(kept);
+    public InheritedRecords exportRecords(KeyRange range, RecordHorizon horizon, long maxTransferBytes, long nowNanos) {
+        Deque<StoredRecord> inRange = new ArrayDeque<>();
+        for (StoredRecord stored : recordsById.values()) {
+            if (range.contains(stored.hash())) {
+                inRange.addFirst(stored);
             }
         }
         List<OutcomeRecord> exported = new ArrayList<>();
-        Horizon exportedHorizon = horizon;
+        RecordHorizon exportedHorizon = horizon;
         long exportedBytes = 0;
-        for (Kept kept : inRange) {
-            exportedBytes += kept.sizeBytes();
+        for (StoredRecord stored : inRange) {
+            exportedBytes += stored.sizeBytes();
             if (exportedBytes <= maxTransferBytes) {
-                long ageMs = Math.max(0, TimeUnit.NANOSECONDS.toMillis(nowNanos - kept.madeAtNanos()));
+                long ageMs = Math.max(0, TimeUnit.NANOSECONDS.toMillis(nowNanos - stored.createdAtNanos()));
                 exported.add(
-                        new OutcomeRecord(kept.id(), kept.key(), kept.hash(), kept.digest(), kept.answer(), ageMs));
-            } else if (kept.key().isPresent()) {
-                exportedHorizon = exportedHorizon.later(Horizon.since(kept.madeAtNanos()));
+                        new OutcomeRecord(stored.id(), stored.idempotencyKey(), stored.hash(), stored.requestDigest(), stored.answer(), ageMs));
+            } else if (stored.idempotencyKey().isPresent()) {
+                exportedHorizon = exportedHorizon.later(RecordHorizon.startingAt(stored.createdAtNanos()));
             }
         }
         return new InheritedRecords(exportedHorizon.completeForMs(nowNanos), exported);
     }
 
     public int size() {
-        return byId.size();
+        return recordsById.size();
     }
 
-    private Kept dropOldest() {
-        Iterator<Kept> oldest = byId.values().iterator();
-        Kept dropped = oldest.next();
-        oldest.remove();
-        bytes -= dropped.sizeBytes();
-        dropped.key().ifPresent(key -> {
-            byKey.remove(new KeyOfHash(dropped.hash(), key), dropped);
-            keyedRecordDropped.accept(dropped.hash(), dropped.madeAtNanos());
+    private StoredRecord removeOldest() {
+        Iterator<StoredRecord> iterator = recordsById.values().iterator();
+        StoredRecord removed = iterator.next();
+        iterator.remove();
+        totalBytes -= removed.sizeBytes();
+        removed.idempotencyKey().ifPresent(key -> {
+            recordsByKey.remove(new ScopedKey(removed.hash(), key), removed);
+            keyedRecordRemoved.accept(removed.hash(), removed.createdAtNanos());
         });
-        return dropped;
+        return removed;
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/WorkQueue.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import org.coriandercrank.gate.internal.QueueOrder.Place;
+import org.coriandercrank.gate.internal.QueueOrder.SortKey;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.KeyHash;
 
@@ -19,16 +19,16 @@
  * handed out in the order of {@link QueueOrder}, but while requests of other keys wait, a key that already has its share
  * of the running calls is passed over. A share of 100 percent is plain queue order. Not thread safe.
  */
-public final class WorkQueue {
+public final class RequestQueue {
     private static final int NEAR_FULL_PERCENT = 75;
 
-    private static final class Usage {
+    private static final class KeyUsage {
         private int queued;
         private int running;
     }
 
     private final LinkedHashSet<Execution> queue = new LinkedHashSet<>();
-    private final Map<KeyHash, Usage> usageByHash = new HashMap<>();
+    private final Map<KeyHash, KeyUsage> usageByHash = new HashMap<>();
     private int running;
 
     public int queued() {
@@ -36,18 +36,18 @@
     }
 
     /** Whether one more request of a key exceeds its share at a time when that harms others. */
-    public boolean exceedsKeyShare(KeyHash hash, ServiceConfig rules, int slots) {
-        if (!rules.keyed()) {
+    public boolean exceedsKeyShare(KeyHash hash, ServiceConfig config, int slots) {
+        if (!config.keyed()) {
             return false;
         }
-        Usage usage = usageByHash.get(hash);
-        if (usage == null || usage.queued + usage.running < share(rules, slots + rules.maxQueueLength())) {
+        KeyUsage usage = usageByHash.get(hash);
+        if (usage == null || usage.queued + usage.running < shareOf(config, slots + config.maxQueueLength())) {
             return false;
         }
         boolean othersWait = queue.size() > usage.queued;
         long inUse = (long) queue.size() + running;
-        boolean nearFull = inUse * 100 >= (long) (slots + rules.maxQueueLength()) * NEAR_FULL_PERCENT;
-        return rules.maxKeySharePercent() < 100 && (othersWait || nearFull);
+        boolean nearFull = inUse * 100 >= (long) (slots + config.maxQueueLength()) * NEAR_FULL_PERCENT;
+        return config.maxKeySharePercent() < 100 && (othersWait || nearFull);
     }
 
     public void add(Execution execution) {
@@ -60,38 +60,38 @@
             return false;
         }
         usage(execution).queued--;
-        forgetIfIdle(execution);
+        removeIfIdle(execution);
         return true;
     }
 
     /** The waiting requests that satisfy a condition, in order of arrival. */
-    public List<Execution> matching(Predicate<Execution> condition) {
+    public List<Execution> filter(Predicate<Execution> condition) {
         return queue.stream().filter(condition).toList();
     }
 
     /**
      * The request that gets the next free slot; it stays in the queue.
      *
-     * @param serviceMs expected time of a request at the server
+     * @param expectedServiceMs expected time of a request at the server
      */
-    public Optional<Execution> next(
-            ServiceConfig rules, int concurrency, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
-        boolean shares = rules.keyed() && rules.maxKeySharePercent() < 100;
-        int share = share(rules, concurrency);
-        Optional<Execution> withinShare = first(e -> !shares || usage(e).running < share, serviceMs, nowNanos);
-        return withinShare.isPresent() ? withinShare : first(e -> true, serviceMs, nowNanos);
+    public Optional<Execution> peekNext(
+            ServiceConfig config, int concurrencyLimit, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
+        boolean shareLimited = config.keyed() && config.maxKeySharePercent() < 100;
+        int maxRunningPerKey = shareOf(config, concurrencyLimit);
+        Optional<Execution> withinShare = firstMatching(e -> !shareLimited || usage(e).running < maxRunningPerKey, expectedServiceMs, nowNanos);
+        return withinShare.isPresent() ? withinShare : firstMatching(e -> true, expectedServiceMs, nowNanos);
     }
 
-    private Optional<Execution> first(
-            Predicate<Execution> condition, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
+    private Optional<Execution> firstMatching(
+            Predicate<Execution> condition, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
         Execution best = null;
-        Place bestPlace = null;
+        SortKey bestKey = null;
         for (Execution execution : queue) {
             if (condition.test(execution)) {
-                Place place = QueueOrder.place(execution, serviceMs, nowNanos);
-                if (best == null || place.isBefore(bestPlace)) {
+                SortKey key = QueueOrder.sortKey(execution, expectedServiceMs, nowNanos);
+                if (best == null || key.precedes(bestKey)) {
                     best = execution;
-                    bestPlace = place;
+                    bestKey = key;
                 }
             }
         }
@@ -99,21 +99,21 @@
     }
 
     /** Service times of the waiting requests that a request at a place does not go before. */
-    public double aheadMs(Place place, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
-        double sum = 0;
+    public double workAheadMs(SortKey sortKey, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
+        double totalMs = 0;
         for (Execution execution : queue) {
-            if (!place.isBefore(QueueOrder.place(execution, serviceMs, nowNanos))) {
-                sum += serviceMs.applyAsDouble(execution);
+            if (!sortKey.precedes(QueueOrder.sortKey(execution, expectedServiceMs, nowNanos))) {
+                totalMs += expectedServiceMs.applyAsDouble(execution);
             }
         }
-        return sum;
+        return totalMs;
     }
 
     public void onStart(Execution execution) {
         if (!queue.remove(execution)) {
             throw new IllegalStateException("request is not queued");
         }
-        Usage usage = usage(execution);
+        KeyUsage usage = usage(execution);
         usage.queued--;
         usage.running++;
         running++;
@@ -122,19 +122,19 @@
     public void onEnd(Execution execution) {
         usage(execution).running--;
         running--;
-        forgetIfIdle(execution);
+        removeIfIdle(execution);
     }
 
-    private static int share(ServiceConfig rules, int total) {
-        return Math.max(1, total * rules.maxKeySharePercent() / 100);
+    private static int shareOf(ServiceConfig config, int total) {
+        return Math.max(1, total * config.maxKeySharePercent() / 100);
     }
 
-    private Usage usage(Execution execution) {
-        return usageByHash.computeIfAbsent(execution.hash(), h -> new Usage());
+    private KeyUsage usage(Execution execution) {
+        return usageByHash.computeIfAbsent(execution.hash(), h -> new KeyUsage());
     }
 
-    private void forgetIfIdle(Execution execution) {
-        Usage usage = usage(execution);
+    private void removeIfIdle(Execution execution) {
+        KeyUsage usage = usage(execution);
         if (usage.queued == 0 && usage.running == 0) {
             usageByHash.remove(execution.hash());
         }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.gate.internal.Admission.RangeStanding;
-import org.coriandercrank.gate.internal.Admission.Situation;
-import org.coriandercrank.gate.internal.Execution.Backend;
+import org.coriandercrank.gate.internal.Admission.RangeStatus;
+import org.coriandercrank.gate.internal.Admission.AdmissionContext;
+import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 import org.coriandercrank.gate.internal.Execution.State;
 import org.coriandercrank.gate.internal.Execution.Waiter;
-import org.coriandercrank.gate.internal.ParkedRequests.Parked;
-import org.coriandercrank.gate.internal.QueueOrder.Place;
+import org.coriandercrank.gate.internal.ParkedRequests.ParkedRequest;
+import org.coriandercrank.gate.internal.QueueOrder.SortKey;
 import org.coriandercrank.gate.internal.RequestTable.Lookup;
 import org.coriandercrank.kernel.backend.BackendCall;
 import org.coriandercrank.kernel.code.CrankException;
@@ -40,50 +40,50 @@
  * have their answer. Not thread safe.
  */
 final class RequestService {
-    private static final long BACKEND_RETRY_MS = 200;
+    private static final long RANGE_MOVING_RETRY_AFTER_MS = 200;
 
-    private final GateRuntime runtime;
+    private final GateContext context;
     private final RangeTable ranges;
-    private final GrantDriver grants;
-    private final RequestTable requests;
+    private final GrantManager grants;
+    private final RequestTable requestTable;
     private final DrainState drain;
-    private final WorkQueue queue = new WorkQueue();
-    private final LoadControl load;
+    private final RequestQueue queue = new RequestQueue();
+    private final LoadEstimator loadEstimator;
     private final Set<Execution> running = new LinkedHashSet<>();
     private final List<Execution> lostCalls = new ArrayList<>();
-    private final ParkedRequests parked;
-    private final Runnable onEnd;
-    private final RecordLoss recordLoss;
-    private Backend backend;
-    private ConcurrencyLimit concurrency;
-    private boolean sending = true;
+    private final ParkedRequests parkedRequests;
+    private final Runnable onCallEndListener;
+    private final RecordLossDetector recordLossDetector;
+    private AttachedBackend backend;
+    private ConcurrencyLimit concurrencyLimit;
+    private boolean acceptingWork = true;
 
     RequestService(
-            GateRuntime runtime,
+            GateContext context,
             RangeTable ranges,
-            GrantDriver grants,
-            RequestTable requests,
+            GrantManager grants,
+            RequestTable requestTable,
             DrainState drain,
-            Runnable onEnd) {
-        this.runtime = runtime;
+            Runnable onCallEndListener) {
+        this.context = context;
         this.ranges = ranges;
         this.grants = grants;
-        this.requests = requests;
+        this.requestTable = requestTable;
         this.drain = drain;
-        this.onEnd = onEnd;
-        parked = new ParkedRequests(runtime, ranges);
-        load = new LoadControl(runtime.nowNanos());
-        recordLoss = new RecordLoss(runtime, ranges);
+        this.onCallEndListener = onCallEndListener;
+        parkedRequests = new ParkedRequests(context, ranges);
+        loadEstimator = new LoadEstimator(context.nowNanos());
+        recordLossDetector = new RecordLossDetector(context, ranges);
     }
 
-    void attach(Backend newBackend) {
+    void attach(AttachedBackend newBackend) {
         backend = newBackend;
-        sending = true;
-        concurrency = new ConcurrencyLimit(
+        acceptingWork = true;
+        concurrencyLimit = new ConcurrencyLimit(
                 newBackend.info().slots(),
-                runtime.options().slowStartMs(),
-                runtime.options().overloadRecoveryMs(),
-                runtime.nowNanos());
+                context.options().slowStartMs(),
+                context.options().overloadRecoveryMs(),
+                context.nowNanos());
     }
 
     void detach() {
@@ -92,212 +92,212 @@
 
     /** Sends the server in use no further request, and refuses those that wait. */
     void stopSending() {
-        sending = false;
+        acceptingWork = false;
         refuseQueued(ResultCode.DRAINING, "the server takes no new work");
     }
 
     private boolean isDraining() {
-        return !sending || drain.isDraining(backend);
+        return !acceptingWork || drain.isDraining(backend);
     }
 
     int queued() {
         return queue.queued();
     }
 
-    GateLoad load() {
+    GateLoad loadEstimator() {
         return backend == null
                 ? GateLoad.NONE
-                : new GateLoad(queue.queued() + running.size(), concurrency.limit(runtime.nowNanos()), load.meanMs());
+                : new GateLoad(queue.queued() + running.size(), concurrencyLimit.limit(context.nowNanos()), loadEstimator.meanMs());
     }
 
     int inFlight() {
         return running.size();
     }
 
-    boolean isInUse(Backend other) {
+    boolean isInUse(AttachedBackend other) {
         return running.stream().anyMatch(r -> r.backend().equals(other));
     }
 
     /** Calls that run, and those that were lost and may still run. */
-    List<Execution> unsettled() {
-        List<Execution> calls = new ArrayList<>(running);
-        calls.addAll(lostCalls);
-        return calls;
+    List<Execution> unsettledCalls() {
+        List<Execution> unsettled = new ArrayList<>(running);
+        unsettled.addAll(lostCalls);
+        return unsettled;
     }
 
-    void moveUnkeyedHorizon(long sinceNanos) {
-        recordLoss.moveUnkeyedHorizon(sinceNanos);
+    void advanceUnkeyedHorizons(long sinceNanos) {
+        recordLossDetector.advanceUnkeyedHorizons(sinceNanos);
     }
 
     void submit(CallerRequest request, long arrivedAtNanos, CompletableFuture<CallerAnswer> result) {
         long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
         Waiter waiter = new Waiter(request.id(), result, deadlineNanos);
-        RoutingSnapshot routing = runtime.routing();
-        Optional<ServiceConfig> configured = routing.configuration().service(request.service());
-        if (!request.service().equals(runtime.inputs().service())) {
+        RoutingSnapshot routing = context.routing();
+        Optional<ServiceConfig> config = routing.configuration().service(request.service());
+        if (!request.service().equals(context.dependencies().service())) {
             refuse(waiter, CallerAnswer.of(ResultCode.NOT_OWNER, "the service is not served here"));
-        } else if (configured.isEmpty()) {
+        } else if (config.isEmpty()) {
             boolean starting = routing.configurationRevision().equals(Revision.NONE);
             refuse(
                     waiter,
                     CallerAnswer.of(
                             starting ? ResultCode.STARTING : ResultCode.UNKNOWN_SERVICE,
                             "the configuration does not have the service"));
-        } else if (configured.get().keyed() && request.key().isEmpty()) {
+        } else if (config.get().keyed() && request.key().isEmpty()) {
             refuse(waiter, CallerAnswer.of(ResultCode.BAD_REQUEST, "the service needs a key"));
         } else {
-            submitValid(request, configured.get(), waiter);
+            submitValidated(request, config.get(), waiter);
         }
     }
 
-    private void submitValid(CallerRequest request, ServiceConfig rules, Waiter waiter) {
-        KeyHash hash = rules.keyed() ? request.key().map(Key::hash).orElseThrow() : KeyHash.MIN;
-        long digest = RequestDigest.of(request);
-        long nowNanos = runtime.nowNanos();
-        Lookup known = requests.lookup(request, hash, digest, nowNanos);
-        if (known.answer().isPresent()) {
-            answer(waiter, known.answer().get());
+    private void submitValidated(CallerRequest request, ServiceConfig config, Waiter waiter) {
+        KeyHash hash = config.keyed() ? request.key().map(Key::hash).orElseThrow() : KeyHash.MIN;
+        long requestDigest = RequestDigest.of(request);
+        long nowNanos = context.nowNanos();
+        Lookup lookup = requestTable.lookup(request, hash, requestDigest, nowNanos);
+        if (lookup.answer().isPresent()) {
+            answer(waiter, lookup.answer().get());
             return;
         }
-        if (known.running().isPresent()) {
-            requests.attach(known.running().get(), waiter);
+        if (lookup.running().isPresent()) {
+            requestTable.addWaiter(lookup.running().get(), waiter);
             return;
         }
-        if (parked.contains(request.id())) {
+        if (parkedRequests.contains(request.id())) {
             refuse(waiter, CallerAnswer.of(ResultCode.DUPLICATE_RUNNING, "a copy of the request waits for its range"));
             return;
         }
-        if (rules.keyed() && !isDraining() && parked.park(request, hash, waiter, nowNanos)) {
+        if (config.keyed() && !isDraining() && parkedRequests.park(request, hash, waiter, nowNanos)) {
             return;
         }
-        ranges.serving(hash).ifPresent(entry -> entry.load().onRequest(hash));
-        load.onArrival(request.rules(), nowNanos);
+        ranges.serving(hash).ifPresent(entry -> entry.loadMeter().onRequest(hash));
+        loadEstimator.onArrival(request.rules(), nowNanos);
         Optional<CallerAnswer> refusal =
-                Admission.refusal(situation(request, rules, hash, waiter, nowNanos), () -> retryAfterMs(nowNanos));
+                Admission.refusal(admissionContext(request, config, hash, waiter, nowNanos), () -> retryAfterMs(nowNanos));
         if (refusal.isPresent()) {
             refuse(waiter, refusal.get());
             return;
         }
         Execution execution =
-                new Execution(request, hash, digest, request.isRepeatable(rules), nowNanos, waiter.deadlineNanos());
-        requests.add(execution);
-        requests.attach(execution, waiter);
+                new Execution(request, hash, requestDigest, request.isRepeatable(config), nowNanos, waiter.deadlineNanos());
+        requestTable.add(execution);
+        requestTable.addWaiter(execution, waiter);
         queue.add(execution);
         dispatch();
     }
 
     boolean isParked(RequestId id) {
-        return parked.contains(id);
+        return parkedRequests.contains(id);
     }
 
     /** Submits the parked requests whose range is served now, and refuses those whose wait is over. */
-    void unpark(long nowNanos) {
-        for (Parked p : parked.takeServed()) {
-            submitValid(p.request(), runtime.rules(), p.waiter());
+    void processParked(long nowNanos) {
+        for (ParkedRequest p : parkedRequests.removeServed()) {
+            submitValidated(p.request(), context.serviceConfig(), p.waiter());
         }
-        for (Parked p : parked.takeOver(nowNanos, backend != null && sending)) {
+        for (ParkedRequest p : parkedRequests.removeExpired(nowNanos, backend != null && acceptingWork)) {
             refuse(
                     p.waiter(),
-                    CallerAnswer.retryLater(ResultCode.RANGE_MOVING, "the range is being moved", BACKEND_RETRY_MS));
+                    CallerAnswer.retryLater(ResultCode.RANGE_MOVING, "the range is being moved", RANGE_MOVING_RETRY_AFTER_MS));
         }
     }
 
-    private Situation situation(
-            CallerRequest request, ServiceConfig rules, KeyHash hash, Waiter waiter, long nowNanos) {
-        int limit = backend == null ? 1 : concurrency.limit(nowNanos);
-        double serviceMs = load.serviceMs(request.rules());
-        Place place = QueueOrder.place(request.rules(), nowNanos, serviceMs, nowNanos);
-        long waitMs = load.expectedWaitMs(
-                queue.aheadMs(place, this::serviceMs, nowNanos), occupiedSlots(), limit, request.rules());
-        return new Situation(
-                hasNeededLease(rules),
-                standing(rules, hash),
+    private AdmissionContext admissionContext(
+            CallerRequest request, ServiceConfig config, KeyHash hash, Waiter waiter, long nowNanos) {
+        int limit = backend == null ? 1 : concurrencyLimit.limit(nowNanos);
+        double expectedServiceMs = loadEstimator.serviceMs(request.rules());
+        SortKey sortKey = QueueOrder.sortKey(request.rules(), nowNanos, expectedServiceMs, nowNanos);
+        long expectedWaitMs = loadEstimator.expectedWaitMs(
+                queue.workAheadMs(sortKey, this::expectedServiceMs, nowNanos), occupiedSlots(), limit, request.rules());
+        return new AdmissionContext(
+                hasRequiredLease(config),
+                rangeStatus(config, hash),
                 isDraining(),
                 backend != null,
-                rules.keyed() && grants.isFailing() && !grants.isUsable(nowNanos),
-                recordLoss.isPossible(request, rules, hash, nowNanos),
+                config.keyed() && grants.hasLastGrantFailed() && !grants.hasValidGrant(nowNanos),
+                recordLossDetector.mayHaveLostRecord(request, config, hash, nowNanos),
                 TimeUnit.NANOSECONDS.toMillis(waiter.deadlineNanos() - nowNanos),
                 backend != null
-                        && queue.exceedsKeyShare(hash, rules, backend.info().slots()),
+                        && queue.exceedsKeyShare(hash, config, backend.info().slots()),
                 queue.queued(),
-                rules.maxQueueLength(),
+                config.maxQueueLength(),
                 occupiedSlots(),
                 limit,
-                waitMs,
-                (long) serviceMs,
+                expectedWaitMs,
+                (long) expectedServiceMs,
                 request.rules().map(RequestRules::latencyObjectiveMs).orElse(Long.MAX_VALUE),
-                load.isOverloaded(request.rules(), limit, nowNanos));
+                loadEstimator.isOverloaded(request.rules(), limit, nowNanos));
     }
 
-    private double serviceMs(Execution execution) {
-        return load.serviceMs(execution.request().rules());
+    private double expectedServiceMs(Execution execution) {
+        return loadEstimator.serviceMs(execution.request().rules());
     }
 
     /** Time told to a refused caller, from the work that waits now. */
     private long retryAfterMs(long nowNanos) {
-        int limit = backend == null ? 1 : concurrency.limit(nowNanos);
-        double waitingMs = queue.aheadMs(Place.LAST, this::serviceMs, nowNanos);
-        return load.retryAfterMs(
-                load.expectedWaitMs(waitingMs, occupiedSlots(), limit, Optional.empty()), limit, nowNanos);
+        int limit = backend == null ? 1 : concurrencyLimit.limit(nowNanos);
+        double queuedWorkMs = queue.workAheadMs(SortKey.LAST, this::expectedServiceMs, nowNanos);
+        return loadEstimator.retryAfterMs(
+                loadEstimator.expectedWaitMs(queuedWorkMs, occupiedSlots(), limit, Optional.empty()), limit, nowNanos);
     }
 
-    private RangeStanding standing(ServiceConfig rules, KeyHash hash) {
-        if (!rules.keyed() || ranges.serving(hash).isPresent()) {
-            return RangeStanding.SERVED;
+    private RangeStatus rangeStatus(ServiceConfig config, KeyHash hash) {
+        if (!config.keyed() || ranges.serving(hash).isPresent()) {
+            return RangeStatus.SERVED;
         }
-        return ranges.newest(hash).isPresent() ? RangeStanding.MOVING : RangeStanding.NOT_SERVED;
+        return ranges.newest(hash).isPresent() ? RangeStatus.MOVING : RangeStatus.NOT_SERVED;
     }
 
     /** Starts waiting requests while slots are free. */
     void dispatch() {
-        ServiceConfig rules = runtime.rules();
+        ServiceConfig config = context.serviceConfig();
         while (backend != null && queue.queued() > 0) {
-            if (!hasNeededLease(rules)) {
+            if (!hasRequiredLease(config)) {
                 refuseQueued(ResultCode.LEASE_LAPSED, "the lease is not valid");
                 return;
             }
-            long nowNanos = runtime.nowNanos();
-            int limit = concurrency.limit(nowNanos);
-            if (occupiedSlots() >= limit || (rules.keyed() && !grants.isUsable(nowNanos))) {
+            long nowNanos = context.nowNanos();
+            int limit = concurrencyLimit.limit(nowNanos);
+            if (occupiedSlots() >= limit || (config.keyed() && !grants.hasValidGrant(nowNanos))) {
                 return;
             }
-            startOrRefuse(queue.next(rules, limit, this::serviceMs, nowNanos).orElseThrow(), rules, nowNanos);
+            startOrRefuse(queue.peekNext(config, limit, this::expectedServiceMs, nowNanos).orElseThrow(), config, nowNanos);
         }
     }
 
-    private void startOrRefuse(Execution execution, ServiceConfig rules, long nowNanos) {
+    private void startOrRefuse(Execution execution, ServiceConfig config, long nowNanos) {
         long remainingMs = TimeUnit.NANOSECONDS.toMillis(execution.deadlineNanos() - nowNanos);
         Optional<RangeEntry> entry = ranges.serving(execution.hash());
         if (remainingMs < 1) {
             finishQueued(execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline passed in the queue"));
-        } else if (rules.keyed() && entry.isEmpty()) {
+        } else if (config.keyed() && entry.isEmpty()) {
             finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
         } else {
-            Generation fence = rules.keyed() ? entry.orElseThrow().fence() : Generation.NONE;
-            start(execution, rules, new BackendCall(execution.request().withRemainingMs(remainingMs), fence), nowNanos);
+            Generation fence = config.keyed() ? entry.orElseThrow().fence() : Generation.NONE;
+            start(execution, config, new BackendCall(execution.request().withRemainingMs(remainingMs), fence), nowNanos);
         }
     }
 
     /** Only keys have an owner that another server could replace. */
-    private boolean hasNeededLease(ServiceConfig rules) {
-        return !rules.keyed() || runtime.isLeaseValid();
+    private boolean hasRequiredLease(ServiceConfig config) {
+        return !config.keyed() || context.isLeaseValid();
     }
 
-    private void start(Execution execution, ServiceConfig rules, BackendCall call, long nowNanos) {
-        Backend target = backend;
-        if (!hasNeededLease(rules)) {
+    private void start(Execution execution, ServiceConfig config, BackendCall call, long nowNanos) {
+        AttachedBackend target = backend;
+        if (!hasRequiredLease(config)) {
             finishQueued(execution, CallerAnswer.of(ResultCode.LEASE_LAPSED, "the lease is not valid"));
             return;
         }
         queue.onStart(execution);
         execution.start(target, nowNanos);
         running.add(execution);
-        runtime.metrics().onExecution();
-        runtime.call(() -> target.server().execute(call), (answer, failure) -> onCallEnd(execution, answer, failure));
+        context.metrics().onExecution();
+        context.call(() -> target.server().execute(call), (answer, failure) -> onCallEnd(execution, answer, failure));
     }
 
     private void onCallEnd(Execution execution, CallerAnswer answer, Throwable failure) {
-        long nowNanos = runtime.nowNanos();
+        long nowNanos = context.nowNanos();
         queue.onEnd(execution);
         running.remove(execution);
         CallerAnswer finalAnswer = failure == null && answer != null
@@ -310,40 +310,40 @@
             execution.end(State.ENDED);
         }
         if (finalAnswer.outcome() == Outcome.RUN) {
-            load.onExecuted(execution.request().rules(), nowNanos - execution.startedAtNanos());
+            loadEstimator.onExecuted(execution.request().rules(), nowNanos - execution.startedAtNanos());
         }
-        requests.finish(execution, finalAnswer, nowNanos);
+        requestTable.finish(execution, finalAnswer, nowNanos);
         answerAll(execution, finalAnswer);
-        onEnd.run();
+        onCallEndListener.run();
     }
 
     private CallerAnswer failureAnswer(Execution execution, CrankException failure, long nowNanos) {
         if (failure.code() == ResultCode.OVERLOADED && execution.backend().equals(backend)) {
-            concurrency.onOverload(nowNanos);
+            concurrencyLimit.onOverload(nowNanos);
         } else if (failure.code() == ResultCode.FENCE_REJECTED) {
-            ranges.serving(execution.hash()).ifPresent(entry -> entry.reject(nowNanos));
+            ranges.serving(execution.hash()).ifPresent(entry -> entry.markRejected(nowNanos));
             grants.requestGrant();
         }
-        return CallFailures.answer(failure.code(), execution.isCancelRequested(), () -> retryAfterMs(nowNanos));
+        return CallFailureMapper.toCallerAnswer(failure.code(), execution.isCancelRequested(), () -> retryAfterMs(nowNanos));
     }
 
     void cancel(RequestId id) {
-        parked.take(id)
+        parkedRequests.remove(id)
                 .ifPresent(p -> refuse(
                         p.waiter(), CallerAnswer.of(ResultCode.CANCELLED, "cancelled before its range was served")));
-        Optional<Execution> found = requests.active(id);
+        Optional<Execution> found = requestTable.active(id);
         if (found.isEmpty()) {
             return;
         }
         Execution execution = found.get();
-        boolean shared = execution.hasWaitersBeside(id);
+        boolean shared = execution.hasOtherWaiters(id);
         if (execution.state() == State.QUEUED && !shared) {
             finishQueued(execution, CallerAnswer.of(ResultCode.CANCELLED, "cancelled in the queue"));
             dispatch();
-        } else if (shared || !execution.backend().has(Capability.CANCEL)) {
-            CallerAnswer unknown =
+        } else if (shared || !execution.backend().supports(Capability.CANCEL)) {
+            CallerAnswer answer =
                     CallerAnswer.of(ResultCode.CANCELLED_RUNNING, "cancelled; the request may still be executed");
-            execution.detach(w -> w.id().equals(id)).forEach(w -> answer(w, unknown));
+            execution.removeWaiters(w -> w.id().equals(id)).forEach(w -> answer(w, answer));
         } else {
             execution.requestCancel();
             execution.sendCancel();
@@ -351,22 +351,22 @@
     }
 
     /** Whether a waiting request has no chance: no time is left, or those in time take all that the server can do. */
-    private boolean isHopeless(Execution execution, long nowNanos) {
+    private boolean cannotFinishInTime(Execution execution, long nowNanos) {
         long remainingMs = TimeUnit.NANOSECONDS.toMillis(execution.deadlineNanos() - nowNanos);
-        if (remainingMs < Admission.LEAST_SERVICE_SHARE * serviceMs(execution)) {
+        if (remainingMs < Admission.MIN_SERVICE_TIME_SHARE * expectedServiceMs(execution)) {
             return true;
         }
-        Place place = QueueOrder.place(execution, this::serviceMs, nowNanos);
-        return place.late()
+        SortKey sortKey = QueueOrder.sortKey(execution, this::expectedServiceMs, nowNanos);
+        return sortKey.missesObjective()
                 && backend != null
-                && load.isOverloaded(execution.request().rules(), concurrency.limit(nowNanos), nowNanos);
+                && loadEstimator.isOverloaded(execution.request().rules(), concurrencyLimit.limit(nowNanos), nowNanos);
     }
 
     /** Answers those whose deadline has passed, and stops calls that nobody waits for or that hold up a release. */
     void expire(RangeService rangeService, long nowNanos) {
-        for (Execution execution : List.copyOf(requests.active())) {
+        for (Execution execution : List.copyOf(requestTable.active())) {
             boolean overdue = nowNanos - execution.deadlineNanos() >= 0;
-            if (execution.state() == State.QUEUED && !overdue && isHopeless(execution, nowNanos)) {
+            if (execution.state() == State.QUEUED && !overdue && cannotFinishInTime(execution, nowNanos)) {
                 finishQueued(
                         execution,
                         CallerAnswer.retryLater(
@@ -381,31 +381,31 @@
             ResultCode code = execution.state() == State.QUEUED
                     ? ResultCode.DUPLICATE_RUNNING
                     : ResultCode.DEADLINE_EXPIRED_RUNNING;
-            for (Waiter waiter : execution.detach(w -> nowNanos - w.deadlineNanos() >= 0)) {
+            for (Waiter waiter : execution.removeWaiters(w -> nowNanos - w.deadlineNanos() >= 0)) {
                 answer(waiter, CallerAnswer.of(code, code.description()));
             }
             if (overdue && (!execution.hasWaiters() || rangeService.isReleasing(execution.hash()))) {
                 execution.sendCancel();
             }
         }
-        lostCalls.removeIf(call -> call.isSettled(rangeService.rules(), false, nowNanos));
-        if (!hasNeededLease(runtime.rules())) {
+        lostCalls.removeIf(call -> call.isSettled(rangeService.releasePolicy(), false, nowNanos));
+        if (!hasRequiredLease(context.serviceConfig())) {
             refuseQueued(ResultCode.LEASE_LAPSED, "the lease is not valid");
         }
     }
 
     /** Answers the waiting requests that no served range contains. */
-    void refuseUnserved() {
-        if (runtime.rules().keyed()) {
+    void refuseUnservedRanges() {
+        if (context.serviceConfig().keyed()) {
             for (Execution execution :
-                    queue.matching(e -> ranges.serving(e.hash()).isEmpty())) {
+                    queue.filter(e -> ranges.serving(e.hash()).isEmpty())) {
                 finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
             }
         }
     }
 
     void refuseQueued(ResultCode code, String detail) {
-        for (Execution execution : queue.matching(e -> true)) {
+        for (Execution execution : queue.filter(e -> true)) {
             finishQueued(execution, CallerAnswer.of(code, detail));
         }
     }
@@ -413,8 +413,8 @@
     private void finishQueued(Execution execution, CallerAnswer answer) {
         queue.remove(execution);
         execution.end(State.ENDED);
-        requests.finish(execution, answer, runtime.nowNanos());
-        runtime.logDecision(
+        requestTable.finish(execution, answer, context.nowNanos());
+        context.logDecision(
                 () -> "event=dequeued request=" + execution.request().id() + " code=" + answer.code());
         answerAll(execution, answer);
     }
@@ -433,16 +433,16 @@
     }
 
     private void answerAll(Execution execution, CallerAnswer answer) {
-        execution.detach(w -> true).forEach(w -> answer(w, answer));
+        execution.removeWaiters(w -> true).forEach(w -> answer(w, answer));
     }
 
     private void refuse(Waiter waiter, CallerAnswer answer) {
-        runtime.logDecision(() -> "event=refused request=" + waiter.id() + " code=" + answer.code());
+        context.logDecision(() -> "event=refused request=" + waiter.id() + " code=" + answer.code());
         answer(waiter, answer);
     }
 
     private void answer(Waiter waiter, CallerAnswer answer) {
-        runtime.metrics().onAnswer(answer.code());
+        context.metrics().onAnswer(answer.code());
         waiter.result().complete(answer);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.coriandercrank.gate.internal.BarList.Certainty;
-import org.coriandercrank.gate.internal.RecordTable.Kept;
+import org.coriandercrank.gate.internal.BarredRequestIds.ReportedOutcome;
+import org.coriandercrank.gate.internal.RecordTable.StoredRecord;
 import org.coriandercrank.kernel.code.Outcome;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.IdempotencyKey;
@@ -25,19 +25,19 @@
  * then bars the id, so that what it reported stays true. Not thread safe.
  */
 public final class RequestTable {
-    private record KeyOfHash(KeyHash hash, IdempotencyKey key) {}
+    private record ScopedKey(KeyHash hash, IdempotencyKey key) {}
 
     private final RecordTable records;
-    private final BarList bars;
-    private final ExecutedFilter executed;
+    private final BarredRequestIds barredIds;
+    private final ExecutedIdFilter executedIds;
     private final Map<RequestId, Execution> activeById = new HashMap<>();
-    private final Map<KeyOfHash, Execution> activeByKey = new HashMap<>();
+    private final Map<ScopedKey, Execution> activeByKey = new HashMap<>();
     private final Set<Execution> active = new LinkedHashSet<>();
 
-    public RequestTable(RecordTable records, BarList bars, ExecutedFilter executed) {
+    public RequestTable(RecordTable records, BarredRequestIds barredIds, ExecutedIdFilter executedIds) {
         this.records = records;
-        this.bars = bars;
-        this.executed = executed;
+        this.barredIds = barredIds;
+        this.executedIds = executedIds;
     }
 
     /** What the table says to a submitted request; both parts are empty for a request that it does not know. */
@@ -58,52 +58,52 @@
     }
 
     /** Finds the execution or the answer that a request shares with an earlier one. */
-    public Lookup lookup(CallerRequest request, KeyHash hash, long digest, long nowNanos) {
-        Execution sameId = activeById.get(request.id());
-        if (sameId != null) {
-            return sameId.isSameRequest(hash, digest) ? Lookup.of(sameId) : otherRequestWithId();
+    public Lookup lookup(CallerRequest request, KeyHash hash, long requestDigest, long nowNanos) {
+        Execution activeExecution = activeById.get(request.id());
+        if (activeExecution != null) {
+            return activeExecution.isSameRequest(hash, requestDigest) ? Lookup.of(activeExecution) : requestIdReused();
         }
-        Optional<Kept> kept = records.find(request.id());
-        if (kept.isPresent()) {
-            return kept.get().isSameRequest(hash, digest) ? Lookup.of(kept.get().answer()) : otherRequestWithId();
+        Optional<StoredRecord> stored = records.find(request.id());
+        if (stored.isPresent()) {
+            return stored.get().isSameRequest(hash, requestDigest) ? Lookup.of(stored.get().answer()) : requestIdReused();
         }
-        Optional<Certainty> barred = bars.find(request.id());
-        if (barred.equals(Optional.of(Certainty.NOT_RUN))) {
+        Optional<ReportedOutcome> reportedOutcome = barredIds.find(request.id());
+        if (reportedOutcome.equals(Optional.of(ReportedOutcome.NOT_RUN))) {
             return Lookup.of(ResultCode.BARRED, "the request id was barred");
         }
-        if (barred.isPresent()) {
+        if (reportedOutcome.isPresent()) {
             return Lookup.of(ResultCode.OUTCOME_UNKNOWN, "the request id was barred; it may have been executed before");
         }
-        if (records.lostAnswerOf(request.id())) {
+        if (records.wasEvicted(request.id())) {
             return Lookup.of(ResultCode.OUTCOME_UNKNOWN, "the request was executed; its answer is not kept any more");
         }
         return request.idempotencyKey()
-                .map(key -> lookupKey(request, key, hash, digest, nowNanos))
+                .map(key -> lookupByKey(request, key, hash, requestDigest, nowNanos))
                 .orElse(Lookup.NEW);
     }
 
-    private Lookup lookupKey(CallerRequest request, IdempotencyKey key, KeyHash hash, long digest, long nowNanos) {
-        Execution running = activeByKey.get(new KeyOfHash(hash, key));
-        if (running != null) {
-            return running.digest() == digest ? Lookup.of(running) : reusedKey();
+    private Lookup lookupByKey(CallerRequest request, IdempotencyKey key, KeyHash hash, long requestDigest, long nowNanos) {
+        Execution activeExecution = activeByKey.get(new ScopedKey(hash, key));
+        if (activeExecution != null) {
+            return activeExecution.requestDigest() == requestDigest ? Lookup.of(activeExecution) : idempotencyKeyReused();
         }
-        Optional<Kept> kept = records.find(hash, key);
-        if (kept.isEmpty()) {
+        Optional<StoredRecord> stored = records.find(hash, key);
+        if (stored.isEmpty()) {
             return Lookup.NEW;
         }
-        Kept first = kept.get();
-        if (first.digest() != digest) {
-            return reusedKey();
+        StoredRecord first = stored.get();
+        if (first.requestDigest() != requestDigest) {
+            return idempotencyKeyReused();
         }
-        records.put(new Kept(request.id(), first.key(), hash, digest, first.answer(), first.madeAtNanos()), nowNanos);
+        records.put(new StoredRecord(request.id(), first.idempotencyKey(), hash, requestDigest, first.answer(), first.createdAtNanos()), nowNanos);
         return Lookup.of(first.answer());
     }
 
-    private static Lookup otherRequestWithId() {
+    private static Lookup requestIdReused() {
         return Lookup.of(ResultCode.BAD_REQUEST_ID, "the request id was used before for a different request");
     }
 
-    private static Lookup reusedKey() {
+    private static Lookup idempotencyKeyReused() {
         return Lookup.of(ResultCode.IDEMPOTENCY_KEY_REUSED, "the key was used before for a different request");
     }
 
@@ -113,12 +113,12 @@
         execution
                 .request()
                 .idempotencyKey()
-                .ifPresent(key -> activeByKey.put(new KeyOfHash(execution.hash(), key), execution));
+                .ifPresent(key -> activeByKey.put(new ScopedKey(execution.hash(), key), execution));
     }
 
     /** Adds a waiter and makes its id known. */
-    public void attach(Execution execution, Execution.Waiter waiter) {
-        execution.attach(waiter);
+    public void addWaiter(Execution execution, Execution.Waiter waiter) {
+        execution.addWaiter(waiter);
         activeById.put(waiter.id(), execution);
     }
 
@@ -133,16 +133,16 @@
     /** Ends an execution and keeps its answer if it must not run again. */
     public void finish(Execution execution, CallerAnswer answer, long nowNanos) {
         active.remove(execution);
-        execution.ids().forEach(activeById::remove);
+        execution.requestIds().forEach(activeById::remove);
         Optional<IdempotencyKey> key = execution.request().idempotencyKey();
-        key.ifPresent(k -> activeByKey.remove(new KeyOfHash(execution.hash(), k)));
+        key.ifPresent(k -> activeByKey.remove(new ScopedKey(execution.hash(), k)));
         if (answer.outcome() == Outcome.NOT_RUN) {
             return;
         }
-        for (RequestId id : execution.ids()) {
-            executed.add(id);
-            if (execution.isRunOnce()) {
-                records.put(new Kept(id, key, execution.hash(), execution.digest(), answer, nowNanos), nowNanos);
+        for (RequestId id : execution.requestIds()) {
+            executedIds.add(id);
+            if (execution.isAtMostOnce()) {
+                records.put(new StoredRecord(id, key, execution.hash(), execution.requestDigest(), answer, nowNanos), nowNanos);
             }
         }
     }
@@ -158,23 +158,23 @@
      *       too, so a later query gets the same answer.
      * </ul>
      *
-     * @param memoryReachesBack whether the gate has seen each request that the query can be about
+     * @param historyComplete whether the gate has seen each request that the query can be about
      */
-    public OutcomeAnswer resolve(RequestId id, boolean memoryReachesBack, long nowNanos) {
+    public OutcomeAnswer resolve(RequestId id, boolean historyComplete, long nowNanos) {
         if (activeById.containsKey(id)) {
             return OutcomeAnswer.of(OutcomeAnswer.State.RUNNING);
         }
-        Optional<Kept> kept = records.find(id);
-        if (kept.isPresent()) {
-            return OutcomeAnswer.finished(kept.get().answer());
+        Optional<StoredRecord> stored = records.find(id);
+        if (stored.isPresent()) {
+            return OutcomeAnswer.finished(stored.get().answer());
         }
-        Optional<Certainty> before = bars.find(id);
-        if (before.isPresent()) {
+        Optional<ReportedOutcome> earlierReport = barredIds.find(id);
+        if (earlierReport.isPresent()) {
             return OutcomeAnswer.of(
-                    before.get() == Certainty.NOT_RUN ? OutcomeAnswer.State.BARRED : OutcomeAnswer.State.UNKNOWN);
+                    earlierReport.get() == ReportedOutcome.NOT_RUN ? OutcomeAnswer.State.BARRED : OutcomeAnswer.State.UNKNOWN);
         }
-        boolean notRun = memoryReachesBack && !records.lostAnswerOf(id) && !executed.mayContain(id);
-        boolean barred = bars.bar(id, notRun ? Certainty.NOT_RUN : Certainty.UNKNOWN, nowNanos);
+        boolean notRun = historyComplete && !records.wasEvicted(id) && !executedIds.mayContain(id);
+        boolean barred = barredIds.bar(id, notRun ? ReportedOutcome.NOT_RUN : ReportedOutcome.UNKNOWN, nowNanos);
         return OutcomeAnswer.of(notRun && barred ? OutcomeAnswer.State.BARRED : OutcomeAnswer.State.UNKNOWN);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ServiceTime.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ServiceTimeAverage.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Smoothed time of a call. Not thread safe. */
-public final class ServiceTime {
-    private static final double WEIGHT_OF_NEW = 0.1;
+public final class ServiceTimeAverage {
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     private double meanNanos;
 
     public void onExecuted(long durationNanos) {
-        meanNanos = meanNanos == 0 ? durationNanos : meanNanos + WEIGHT_OF_NEW * (durationNanos - meanNanos);
+        meanNanos = meanNanos == 0 ? durationNanos : meanNanos + SMOOTHING_FACTOR * (durationNanos - meanNanos);
     }
 
     /** Smoothed time of a call; 0 until one has been measured. */
