--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlServices;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -31,7 +31,7 @@
                 HostIdentity.ofAddress(ADDRESS, ADDRESS, ADDRESS, new Region("r"), new FailureDomain("d"));
         try (SystemTimerService timers = new SystemTimerService()) {
             DecisionLog log = new DecisionLog(0, MonotonicClock.SYSTEM);
-            ControlServices services = new ControlServices(
+            ControlDependencies services = new ControlDependencies(
                     synchronizedStore(store), null, new PeerHandlers(), timers, log, new SimpleMeterRegistry());
             timers.every(1, Runnable::run, () -> {
                 synchronized (store) {
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -121,28 +121,28 @@
             Random random = new Random(seed);
             ObjectCache source = new ObjectCache(FetchObject.Kind.MEMBERS);
             ObjectCache copy = new ObjectCache(FetchObject.Kind.MEMBERS);
-            ObjectData stale = source.since(Revision.NONE);
+            ObjectData stale = source.changesSince(Revision.NONE);
             for (long revision = 1; revision < 100; revision++) {
                 String name = "members/m" + random.nextInt(5);
                 boolean deleted = random.nextInt(3) == 0;
                 StoredObject change = new StoredObject(name, new Revision(revision), new byte[] {1}, deleted);
                 source.apply(List.of(change), new Revision(revision), false);
                 if (random.nextInt(4) == 0) {
-                    apply(copy, source.since(copy.completeUpTo()));
+                    apply(copy, source.changesSince(copy.completeUpTo()));
                 }
                 if (random.nextInt(4) == 0) {
                     apply(copy, stale);
                 }
                 if (random.nextInt(4) == 0) {
-                    stale = source.since(
+                    stale = source.changesSince(
                             new Revision(random.nextLong(copy.completeUpTo().value() + 1)));
                 }
             }
-            apply(copy, source.since(copy.completeUpTo()));
-            assertThat(copy.since(Revision.NONE).objects())
+            apply(copy, source.changesSince(copy.completeUpTo()));
+            assertThat(copy.changesSince(Revision.NONE).objects())
                     .as("seed %d", seed)
                     .filteredOn(object -> !object.deleted())
-                    .containsExactlyInAnyOrderElementsOf(source.since(Revision.NONE).objects().stream()
+                    .containsExactlyInAnyOrderElementsOf(source.changesSince(Revision.NONE).objects().stream()
                             .filter(object -> !object.deleted())
                             .toList());
         }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlServices;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -69,7 +69,7 @@
                 new FailureDomain(place.replace('/', '-')));
         TimerService timers = time.timers();
         DecisionLog log = new DecisionLog(LOG_LINES_PER_SECOND, timers.clock());
-        ControlServices services = new ControlServices(store, this, handlers, timers, log, metrics);
+        ControlDependencies services = new ControlDependencies(store, this, handlers, timers, log, metrics);
         control = ControlPlane.create(options, identity, services, this::execute, new Random(seed));
         control.addIncarnationListener((member, reason) -> sealedIncarnations.add(member));
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlServices.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
@@ -15,9 +15,9 @@
  *
  * @param leaseClock clock of the own lease; it should count the time in which the host was suspended, because the votes
  *     of witnesses lapse in that time
- * @param duties makes the duty that the control plane runs on
+ * @param executors makes the duty that the control plane runs on
  */
-public record ControlServices(
+public record ControlDependencies(
         ObjectStore store,
         PeerClient peers,
         PeerHandlers handlers,
@@ -25,9 +25,9 @@
         DecisionLog log,
         MeterRegistry metrics,
         MonotonicClock leaseClock,
-        SerialExecutor.Factory duties) {
+        SerialExecutor.Factory executors) {
     /** Services whose own lease is measured by the clock of the timers. */
-    public ControlServices(
+    public ControlDependencies(
             ObjectStore store,
             PeerClient peers,
             PeerHandlers handlers,
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -36,7 +36,7 @@
     }
 
     /** A control plane on a duty of its own, with handlers registered but not started. */
-    public static ControlPlane create(ControlOptions options, HostIdentity identity, ControlServices services) {
+    public static ControlPlane create(ControlOptions options, HostIdentity identity, ControlDependencies services) {
         return create(options, identity, services, true);
     }
 
@@ -44,13 +44,13 @@
      * A control plane on a duty of its own that joins only after {@link #rejoin(JoinParameters)}. Until then it keeps its
      * view of the other members up to date.
      */
-    public static ControlPlane createWithDeferredJoin(ControlOptions options, HostIdentity identity, ControlServices services) {
+    public static ControlPlane createWithDeferredJoin(ControlOptions options, HostIdentity identity, ControlDependencies services) {
         return create(options, identity, services, false);
     }
 
     private static ControlPlane create(
-            ControlOptions options, HostIdentity identity, ControlServices services, boolean joins) {
-        SerialExecutor duty = services.duties().create("control", RING_CAPACITY);
+            ControlOptions options, HostIdentity identity, ControlDependencies services, boolean joins) {
+        SerialExecutor duty = services.executors().create("control", RING_CAPACITY);
         Random random = new Random(new SecureRandom().nextLong());
         ControlContext context = new ControlContext(options, identity, services, duty, random);
         return new ControlPlane(context, joins, duty::close);
@@ -63,7 +63,7 @@
      * @param random source of member ids and jitter
      */
     public static ControlPlane create(
-            ControlOptions options, HostIdentity identity, ControlServices services, Executor executor, Random random) {
+            ControlOptions options, HostIdentity identity, ControlDependencies services, Executor executor, Random random) {
         ControlContext context = new ControlContext(options, identity, services, executor, random);
         return new ControlPlane(context, true, () -> {});
     }
@@ -89,7 +89,7 @@
 
     /** Adds a listener for seals of this daemon by others. */
     public void addIncarnationListener(IncarnationListener listener) {
-        loop.onSealed(listener);
+        loop.addIncarnationListener(listener);
     }
 
     /**
@@ -121,8 +121,8 @@
     }
 
     /** Joins under a chosen id; the former incarnation must have ended, or never have started. */
-    public CompletableFuture<MemberId> rejoin(JoinParameters choice) {
-        return loop.rejoin(choice);
+    public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
+        return loop.rejoin(parameters);
     }
 
     /** State for operators, at most one tick old. */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
@@ -47,12 +47,12 @@
     private final Map<FetchObject.Kind, ObjectCache> caches = new EnumMap<>(FetchObject.Kind.class);
     private final Map<ServiceName, AssignmentTable> tables = new HashMap<>();
     private final Map<MemberId, VersionedMember> members = new HashMap<>();
-    private final Map<MemberId, Long> learnedNanos = new HashMap<>();
+    private final Map<MemberId, Long> revisionLearnedNanos = new HashMap<>();
     private final List<Consumer<RoutingSnapshot>> listeners = new CopyOnWriteArrayList<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private Configuration configuration = Configuration.EMPTY;
     private Revision configurationRevision = Revision.NONE;
-    private long version;
+    private long snapshotVersion;
     private volatile RoutingSnapshot snapshot;
 
     public ClusterView(ControlContext context, MemberId self) {
@@ -85,14 +85,14 @@
     @Override
     public CompletableFuture<RoutingSnapshot> await(Predicate<RoutingSnapshot> condition, long waitMs) {
         CompletableFuture<RoutingSnapshot> result = new CompletableFuture<>();
-        context.deliver(() -> {
+        context.execute(() -> {
             if (condition.test(snapshot)) {
                 result.complete(snapshot);
                 return;
             }
             Waiter waiter = new Waiter(condition, result);
             waiters.add(waiter);
-            context.services().timers().once(waitMs, context.executor(), () -> expire(waiter));
+            context.dependencies().timers().once(waitMs, context.executor(), () -> expire(waiter));
         });
         return result;
     }
@@ -103,8 +103,8 @@
     }
 
     /** Number of snapshots published so far. */
-    public long version() {
-        return version;
+    public long snapshotVersion() {
+        return snapshotVersion;
     }
 
     /** Every change of a kind up to this revision is known. */
@@ -119,18 +119,18 @@
                 completeUpTo(FetchObject.Kind.ASSIGNMENTS));
     }
 
-    public ObjectData since(FetchObject.Kind kind, Revision newerThan) {
-        return caches.get(kind).since(newerThan);
+    public ObjectData changesSince(FetchObject.Kind kind, Revision newerThan) {
+        return caches.get(kind).changesSince(newerThan);
     }
 
     /** Takes over changes; whether any was news. See {@link ObjectCache#apply}. */
     public boolean apply(FetchObject.Kind kind, List<StoredObject> changes, Revision upTo, boolean reset) {
-        List<StoredObject> news = caches.get(kind).apply(changes, upTo, reset);
-        news.forEach(change -> decode(kind, change));
-        if (!news.isEmpty()) {
+        List<StoredObject> applied = caches.get(kind).apply(changes, upTo, reset);
+        applied.forEach(change -> decode(kind, change));
+        if (!applied.isEmpty()) {
             publish(snapshot.self());
         }
-        return !news.isEmpty();
+        return !applied.isEmpty();
     }
 
     /** Takes over a member record that was just written or read. */
@@ -138,7 +138,7 @@
         Member member = known.member();
         StoredObject object =
                 StoredObject.of(ObjectNames.member(member.id()), known.revision(), JsonCodec.encode(member));
-        if (caches.get(FetchObject.Kind.MEMBERS).applyOne(object)) {
+        if (caches.get(FetchObject.Kind.MEMBERS).applySingle(object)) {
             decode(FetchObject.Kind.MEMBERS, object);
             publish(snapshot.self());
         }
@@ -146,15 +146,15 @@
 
     /** Takes over a single object that a peer sent unasked; nothing else up to its revision becomes known. */
     public void applyPushed(FetchObject.Kind kind, StoredObject object) {
-        if (object.name().startsWith(prefix(kind)) && caches.get(kind).applyOne(object)) {
+        if (object.name().startsWith(prefix(kind)) && caches.get(kind).applySingle(object)) {
             decode(kind, object);
             publish(snapshot.self());
         }
     }
 
     /** When this daemon learned of the current revision of a member's record. */
-    public OptionalLong learnedNanos(MemberId member) {
-        Long learned = learnedNanos.get(member);
+    public OptionalLong revisionLearnedNanos(MemberId member) {
+        Long learned = revisionLearnedNanos.get(member);
         return learned == null ? OptionalLong.empty() : OptionalLong.of(learned);
     }
 
@@ -189,7 +189,7 @@
         MemberId id = new MemberId(change.name().substring(ObjectNames.MEMBERS_PREFIX.length()));
         if (change.deleted()) {
             members.remove(id);
-            learnedNanos.remove(id);
+            revisionLearnedNanos.remove(id);
             return;
         }
         Member member = JsonCodec.decode(change.value(), Member.class);
@@ -197,7 +197,7 @@
             throw new IllegalArgumentException("record of " + member.id() + " under the name " + change.name());
         }
         members.put(id, new VersionedMember(member, change.revision()));
-        learnedNanos.put(id, context.nowNanos());
+        revisionLearnedNanos.put(id, context.nowNanos());
     }
 
     private void decodeTable(StoredObject change) {
@@ -211,7 +211,7 @@
 
     private void publish(MemberId self) {
         RoutingSnapshot next = new RoutingSnapshot(self, configurationRevision, configuration, tables, members);
-        version++;
+        snapshotVersion++;
         snapshot = next;
         for (Consumer<RoutingSnapshot> listener : listeners) {
             try {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import org.coriandercrank.control.ControlOptions;
-import org.coriandercrank.control.ControlServices;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -20,30 +20,30 @@
  * @param executor runs tasks one at a time; its thread is the control thread
  */
 public record ControlContext(
-        ControlOptions options, HostIdentity identity, ControlServices services, Executor executor, Random random) {
+        ControlOptions options, HostIdentity identity, ControlDependencies dependencies, Executor executor, Random random) {
     private static final long REJECTED_RETRY_MS = 5;
     private static final double JITTER = 0.5;
 
     public long nowNanos() {
-        return services.timers().clock().nowNanos();
+        return dependencies.timers().clock().nowNanos();
     }
 
     /** Time on the clock of the own lease. */
-    public long holderNowNanos() {
-        return services.leaseClock().nowNanos();
+    public long leaseNowNanos() {
+        return dependencies.leaseClock().nowNanos();
     }
 
     /** Runs a task on the control thread; one that finds the ring full is retried, because its result is awaited. */
-    public void deliver(Runnable task) {
+    public void execute(Runnable task) {
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            services.timers().once(REJECTED_RETRY_MS, executor, task);
+            dependencies.timers().once(REJECTED_RETRY_MS, executor, task);
         }
     }
 
     /** Computes an answer on the control thread; fails with {@code OVERLOADED} if the ring is full. */
-    public <T> CompletableFuture<T> answer(Supplier<T> task) {
+    public <T> CompletableFuture<T> submit(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         try {
             executor.execute(() -> {
@@ -63,10 +63,10 @@
      * Makes a call from the control thread and reports its result there, once: either the value or a failure, which is
      * {@code CALL_TIMEOUT} after the time-out.
      */
-    public <T> void call(
-            Supplier<CompletableFuture<T>> call, long timeoutMs, BiConsumer<T, CrankException> onControlThread) {
-        BoundedCall<T> bounded = new BoundedCall<>(onControlThread);
-        TimerService.Subscription timeout = services.timers().once(timeoutMs, executor, bounded::expire);
+    public <T> void callWithTimeout(
+            Supplier<CompletableFuture<T>> call, long timeoutMs, BiConsumer<T, CrankException> callback) {
+        PendingCall<T> pending = new PendingCall<>(callback);
+        TimerService.Subscription timeout = dependencies.timers().once(timeoutMs, executor, pending::timeOut);
         CompletableFuture<T> future;
         try {
             future = call.get();
@@ -75,7 +75,7 @@
         }
         future.whenComplete((value, failure) -> {
             timeout.cancel();
-            deliver(() -> bounded.settle(value, failure));
+            execute(() -> pending.complete(value, failure));
         });
     }
 
@@ -85,26 +85,26 @@
     }
 
     public void log(Supplier<String> line) {
-        services.log().log(line);
+        dependencies.log().log(line);
     }
 
     /** Reports the first of result and time-out. Control thread only. */
-    private static final class BoundedCall<T> {
-        private final BiConsumer<T, CrankException> report;
-        private boolean settled;
+    private static final class PendingCall<T> {
+        private final BiConsumer<T, CrankException> callback;
+        private boolean completed;
 
-        BoundedCall(BiConsumer<T, CrankException> report) {
-            this.report = report;
+        PendingCall(BiConsumer<T, CrankException> callback) {
+            this.callback = callback;
         }
 
-        void expire() {
-            settle(null, new CrankException(ResultCode.CALL_TIMEOUT, "no answer in time"));
+        void timeOut() {
+            complete(null, new CrankException(ResultCode.CALL_TIMEOUT, "no answer in time"));
         }
 
-        void settle(T value, Throwable failure) {
-            if (!settled) {
-                settled = true;
-                report.accept(value, failure == null ? null : CrankException.of(failure));
+        void complete(T value, Throwable failure) {
+            if (!completed) {
+                completed = true;
+                callback.accept(value, failure == null ? null : CrankException.of(failure));
             }
         }
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -45,14 +45,14 @@
     private final ClusterView view;
     private final Dissemination dissemination;
     private final ControlMetrics metrics;
-    private final TakeoverDuty takeovers;
-    private final PredecessorDuty predecessors;
-    private final List<IncarnationListener> sealListeners = new CopyOnWriteArrayList<>();
+    private final TakeoverCoordinator takeovers;
+    private final PredecessorSealer predecessors;
+    private final List<IncarnationListener> incarnationListeners = new CopyOnWriteArrayList<>();
     private volatile Membership membership;
     private volatile ControlStatus status;
     private volatile TimerService.Subscription timer = () -> {};
     private long lastTickNanos;
-    private boolean mayJoin;
+    private boolean joinRequested;
 
     /**
      * A loop.
@@ -61,27 +61,27 @@
      */
     public ControlLoop(ControlContext context, Optional<JoinParameters> initial) {
         this.context = context;
-        mayJoin = initial.isPresent();
-        JoinParameters choice = initial.orElseGet(() -> new JoinParameters(newMemberId(context), false));
-        MemberId self = choice.id();
+        joinRequested = initial.isPresent();
+        JoinParameters parameters = initial.orElseGet(() -> new JoinParameters(newMemberId(context), false));
+        MemberId self = parameters.id();
         view = new ClusterView(context, self);
         metrics = new ControlMetrics(
-                context.services().metrics(),
+                context.dependencies().metrics(),
                 () -> status.leaseRemainingMs(),
                 () -> status.takeovers().size());
         dissemination = new Dissemination(context, view, metrics);
-        takeovers = new TakeoverDuty(context, view, metrics, self);
-        predecessors = new PredecessorDuty(context, view);
-        membership = newMembership(choice);
+        takeovers = new TakeoverCoordinator(context, view, metrics, self);
+        predecessors = new PredecessorSealer(context, view);
+        membership = newMembership(parameters);
         lastTickNanos = context.nowNanos();
         status = buildStatus();
-        registerHandlers(context.services().handlers());
+        registerHandlers(context.dependencies().handlers());
         view.subscribe(this::viewChanged);
     }
 
     public void start() {
-        timer = context.services().timers().every(context.options().tickMs(), context.executor(), this::tick);
-        context.deliver(this::tick);
+        timer = context.dependencies().timers().every(context.options().tickMs(), context.executor(), this::tick);
+        context.execute(this::tick);
     }
 
     public MemberId self() {
@@ -93,23 +93,23 @@
     }
 
     public LeaseView lease() {
-        return () -> context.nowNanos() + membership.validUntilNanos() - context.holderNowNanos();
+        return () -> context.nowNanos() + membership.validUntilNanos() - context.leaseNowNanos();
     }
 
-    public void onSealed(IncarnationListener listener) {
-        sealListeners.add(listener);
+    public void addIncarnationListener(IncarnationListener listener) {
+        incarnationListeners.add(listener);
     }
 
     public void backendAnnounced(BackendInfo backend) {
-        context.deliver(() -> membership.backendAnnounced(backend));
+        context.execute(() -> membership.backendAnnounced(backend));
     }
 
     public CompletableFuture<Void> leave() {
-        return context.answer(() -> membership.leave()).thenCompose(done -> done);
+        return context.submit(() -> membership.leave()).thenCompose(done -> done);
     }
 
     public CompletableFuture<Void> sealSelf() {
-        return context.answer(() -> membership.sealSelf()).thenCompose(done -> done);
+        return context.submit(() -> membership.sealSelf()).thenCompose(done -> done);
     }
 
     /**
@@ -117,25 +117,25 @@
      * joined. Only for an incarnation that may be resumed, which nobody else does.
      */
     public CompletableFuture<Void> abandon() {
-        return context.answer(() -> {
+        return context.submit(() -> {
             membership.abandon();
             return null;
         });
     }
 
     /** Replaces a membership that has ended or was never started by one under another id. */
-    public CompletableFuture<MemberId> rejoin(JoinParameters choice) {
-        return context.answer(() -> {
+    public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
+        return context.submit(() -> {
             if (membership.isStarted() && !membership.isEnded()) {
                 throw new CrankException(ResultCode.INTERNAL, "incarnation " + membership.id() + " has not ended");
             }
             MemberId former = membership.id();
-            mayJoin = true;
-            membership = newMembership(choice);
-            takeovers.restart(choice.id());
-            view.setSelf(choice.id());
-            context.log(() -> "event=rejoin former=" + former + " member=" + choice.id());
-            return choice.id();
+            joinRequested = true;
+            membership = newMembership(parameters);
+            takeovers.selfChanged(parameters.id());
+            view.setSelf(parameters.id());
+            context.log(() -> "event=rejoin former=" + former + " member=" + parameters.id());
+            return parameters.id();
         });
     }
 
@@ -154,38 +154,38 @@
                 + Long.toString(context.random().nextLong(MEMBER_ID_RANDOM_BOUND), Character.MAX_RADIX));
     }
 
-    private Membership newMembership(JoinParameters choice) {
-        return new Membership(context, choice, view, dissemination, metrics, this::sealed);
+    private Membership newMembership(JoinParameters parameters) {
+        return new Membership(context, parameters, view, dissemination, metrics, this::incarnationEnded);
     }
 
     private void registerHandlers(PeerHandlers handlers) {
-        handlers.register(Heartbeat.class, (sender, heartbeat) -> context.answer(() -> heartbeat(sender, heartbeat)));
+        handlers.register(Heartbeat.class, (sender, heartbeat) -> context.submit(() -> handleHeartbeat(sender, heartbeat)));
         handlers.register(
                 RefusalRequest.class,
                 (sender, request) ->
-                        context.answer(() -> takeovers.witnessDuty().refuse(membership.id(), sender, request)));
+                        context.submit(() -> takeovers.witnessService().refuse(membership.id(), sender, request)));
         handlers.register(RefusalNotice.class, (sender, notice) -> {
-            context.deliver(() -> refused(notice));
+            context.execute(() -> handleRefusalNotice(notice));
             return null;
         });
         handlers.register(ObjectData.class, (sender, data) -> {
-            context.deliver(() -> data.objects().forEach(object -> view.applyPushed(data.kind(), object)));
+            context.execute(() -> data.objects().forEach(object -> view.applyPushed(data.kind(), object)));
             return null;
         });
         handlers.register(
                 FetchObject.class,
-                (sender, fetch) -> context.answer(() -> view.since(fetch.kind(), fetch.newerThan())));
+                (sender, fetch) -> context.submit(() -> view.changesSince(fetch.kind(), fetch.newerThan())));
     }
 
-    private HeartbeatAck heartbeat(MemberId sender, Heartbeat heartbeat) {
-        boolean granted = takeovers.witnessDuty().heartbeat(heartbeat.member(), heartbeat.recordRevision());
-        dissemination.peerDigest(sender, heartbeat.digest());
+    private HeartbeatAck handleHeartbeat(MemberId sender, Heartbeat heartbeat) {
+        boolean granted = takeovers.witnessService().acceptHeartbeat(heartbeat.member(), heartbeat.recordRevision());
+        dissemination.digestReceived(sender, heartbeat.digest());
         return new HeartbeatAck(membership.id(), heartbeat.sequence(), granted, view.digest());
     }
 
-    private void refused(RefusalNotice notice) {
+    private void handleRefusalNotice(RefusalNotice notice) {
         if (notice.member().equals(membership.id())) {
-            membership.refused(notice.recordRevision(), context.holderNowNanos());
+            membership.refusalReceived(notice.recordRevision(), context.leaseNowNanos());
         }
     }
 
@@ -196,11 +196,11 @@
         if (gapNanos > PAUSE_NANOS) {
             context.log(() ->
                     "event=control-pause gapMs=" + gapNanos / NANOS_PER_MS + " leaseRemainingMs=" + leaseRemainingMs());
-            membership.resumed(context.holderNowNanos());
-            takeovers.resumed(now);
+            membership.processResumed(context.leaseNowNanos());
+            takeovers.processResumed(now);
         }
-        if (mayJoin) {
-            membership.tick(context.holderNowNanos());
+        if (joinRequested) {
+            membership.tick(context.leaseNowNanos());
         }
         if (dissemination.isListed()) {
             takeovers.tick(now);
@@ -208,7 +208,7 @@
                 predecessors.tick(membership.id());
             }
         }
-        dissemination.tick(membership.wanted(), membership.suspects(), now);
+        dissemination.tick(membership.desired(), membership.suspects(), now);
         status = buildStatus();
     }
 
@@ -217,18 +217,18 @@
         takeovers.viewChanged(snapshot);
     }
 
-    private void sealed(MemberId member, String reason) {
-        sealListeners.forEach(listener -> listener.incarnationEnded(member, reason));
+    private void incarnationEnded(MemberId member, String reason) {
+        incarnationListeners.forEach(listener -> listener.incarnationEnded(member, reason));
     }
 
     private long leaseRemainingMs() {
-        long remaining = membership.validUntilNanos() - context.holderNowNanos();
+        long remaining = membership.validUntilNanos() - context.leaseNowNanos();
         return Math.max(0, remaining / NANOS_PER_MS);
     }
 
     private ControlStatus buildStatus() {
-        long nowNanos = context.holderNowNanos();
-        Member wanted = membership.wanted();
+        long nowNanos = context.leaseNowNanos();
+        Member wanted = membership.desired();
         List<ControlStatus.WitnessStatus> witnesses = wanted.witnesses().stream()
                 .map(witness -> new ControlStatus.WitnessStatus(witness, voteAgeMs(witness, nowNanos)))
                 .toList();
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlMetrics.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlMetrics.java
@@ -10,7 +10,7 @@
     private final Counter heartbeats;
     private final Counter refusals;
     private final Counter seals;
-    private final Counter ends;
+    private final Counter endedIncarnations;
     private final Counter fetches;
     private final Counter recordWrites;
 
@@ -18,7 +18,7 @@
         heartbeats = registry.counter("crank.control.heartbeats.sent");
         refusals = registry.counter("crank.control.refusals");
         seals = registry.counter("crank.control.seals");
-        ends = registry.counter("crank.control.incarnations.ended");
+        endedIncarnations = registry.counter("crank.control.incarnations.ended");
         fetches = registry.counter("crank.control.fetches");
         recordWrites = registry.counter("crank.control.record.writes");
         Gauge.builder("crank.lease.remaining.ms", leaseRemainingMs).register(registry);
@@ -29,16 +29,16 @@
         heartbeats.increment();
     }
 
-    public void refused() {
+    public void refusalGranted() {
         refusals.increment();
     }
 
-    public void sealed() {
+    public void memberSealed() {
         seals.increment();
     }
 
     public void incarnationEnded() {
-        ends.increment();
+        endedIncarnations.increment();
     }
 
     public void fetched() {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -28,12 +28,12 @@
  */
 public final class Dissemination {
     /** Standing still for this many watch waits makes the next in rank watch the store. */
-    private static final double FALLBACK_WAITS = 2.5;
+    private static final double FALLBACK_AFTER_WAITS = 2.5;
 
-    private static final double FALLBACK_WAITS_PER_RANK = 1;
+    private static final double EXTRA_WAITS_PER_RANK = 1;
     private static final int MAX_FALLBACK_RANK = 8;
     private static final long FETCH_TIMEOUT_MS = 1_000;
-    private static final long FIRST_RETRY_MS = 200;
+    private static final long INITIAL_RETRY_MS = 200;
     private static final long MAX_RETRY_MS = 1_000;
 
     /** Many daemons may watch as fallback during an outage of the store, so they retry rarely. */
@@ -42,15 +42,15 @@
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** State of the transfers of one kind. */
-    private static final class Feed {
+    private static final class SyncState {
         private final FetchObject.Kind kind;
         private boolean listed;
         private boolean storeCallInFlight;
         private boolean fetchInFlight;
-        private long retryMs = FIRST_RETRY_MS;
+        private long retryMs = INITIAL_RETRY_MS;
         private long retryAtNanos;
 
-        Feed(FetchObject.Kind kind, long nowNanos) {
+        SyncState(FetchObject.Kind kind, long nowNanos) {
             this.kind = kind;
             this.retryAtNanos = nowNanos;
         }
@@ -59,8 +59,8 @@
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
-    private final Map<FetchObject.Kind, Feed> feeds = new EnumMap<>(FetchObject.Kind.class);
-    private final int fallbackSpread;
+    private final Map<FetchObject.Kind, SyncState> syncStates = new EnumMap<>(FetchObject.Kind.class);
+    private final int fallbackRankOffset;
     private final long startedNanos;
     private long lastAdvanceNanos;
     private long lastPeerAdvanceNanos;
@@ -69,25 +69,25 @@
     private int rank;
     private boolean relay;
     private boolean fallback;
-    private boolean newsToPush;
+    private boolean pushPending;
 
     public Dissemination(ControlContext context, ClusterView view, ControlMetrics metrics) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
-        this.fallbackSpread = context.random().nextInt(MAX_FALLBACK_RANK);
+        this.fallbackRankOffset = context.random().nextInt(MAX_FALLBACK_RANK);
         long now = context.nowNanos();
         lastAdvanceNanos = now;
         lastPeerAdvanceNanos = now;
         startedNanos = now;
         for (FetchObject.Kind kind : FetchObject.Kind.values()) {
-            feeds.put(kind, new Feed(kind, now));
+            syncStates.put(kind, new SyncState(kind, now));
         }
     }
 
     /** Whether the store has been listed once, so that the view is usable. */
     public boolean isListed() {
-        return feeds.values().stream().allMatch(feed -> feed.listed);
+        return syncStates.values().stream().allMatch(sync -> sync.listed);
     }
 
     public boolean isRelay() {
@@ -99,10 +99,10 @@
     }
 
     /** Whether something was learned that peers may not know; the answer resets it. */
-    public boolean takeNewsToPush() {
-        boolean news = newsToPush;
-        newsToPush = false;
-        return news;
+    public boolean consumePushPending() {
+        boolean pending = pushPending;
+        pushPending = false;
+        return pending;
     }
 
     /**
@@ -112,36 +112,36 @@
      * @param suspects members that do not answer this daemon
      */
     public void tick(Member self, Set<MemberId> suspects, long nowNanos) {
-        chooseRole(self, suspects, nowNanos);
-        for (Feed feed : feeds.values()) {
-            if (feed.storeCallInFlight || nowNanos - feed.retryAtNanos < 0) {
+        updateRoles(self, suspects, nowNanos);
+        for (SyncState sync : syncStates.values()) {
+            if (sync.storeCallInFlight || nowNanos - sync.retryAtNanos < 0) {
                 continue;
             }
-            if (!feed.listed) {
-                list(feed);
-            } else if (isWatching() || isSettling(nowNanos)) {
-                watch(feed, context.options().watchWaitMs());
-            } else if (feed.kind == FetchObject.Kind.CONFIGURATION
+            if (!sync.listed) {
+                list(sync);
+            } else if (isWatching() || isStartupWatchActive(nowNanos)) {
+                watch(sync, context.options().watchWaitMs());
+            } else if (sync.kind == FetchObject.Kind.CONFIGURATION
                     && context.options().configurationWatchWaitMs() > 0) {
-                watch(feed, context.options().configurationWatchWaitMs());
+                watch(sync, context.options().configurationWatchWaitMs());
             }
         }
     }
 
     /** Whether the daemon started so recently that it may know only members that ended with it. */
-    private boolean isSettling(long nowNanos) {
+    private boolean isStartupWatchActive(long nowNanos) {
         return nowNanos - startedNanos < context.options().startupWatchMs() * NANOS_PER_MS;
     }
 
     /** Digest of a peer; fetches what it knows beyond this daemon. */
-    public void peerDigest(MemberId peer, Digest digest) {
+    public void digestReceived(MemberId peer, Digest digest) {
         fetchIfAhead(peer, FetchObject.Kind.CONFIGURATION, digest.configuration());
         fetchIfAhead(peer, FetchObject.Kind.MEMBERS, digest.members());
         fetchIfAhead(peer, FetchObject.Kind.ASSIGNMENTS, digest.assignments());
     }
 
-    private void chooseRole(Member self, Set<MemberId> suspects, long nowNanos) {
-        long version = view.version();
+    private void updateRoles(Member self, Set<MemberId> suspects, long nowNanos) {
+        long version = view.snapshotVersion();
         if (version != rankedVersion || !suspects.equals(rankedSuspects)) {
             rankedVersion = version;
             rankedSuspects = Set.copyOf(suspects);
@@ -150,10 +150,10 @@
         boolean newRelay = rank == 0 || self.witnesses().isEmpty();
         if (newRelay != relay) {
             relay = newRelay;
-            feeds.values().forEach(feed -> feed.retryAtNanos = nowNanos);
+            syncStates.values().forEach(sync -> sync.retryAtNanos = nowNanos);
             context.log(() -> "event=relay member=" + self.id() + " active=" + newRelay + " rank=" + rank);
         }
-        boolean newFallback = !relay && (fallback ? keepsFallback(nowNanos) : isStale(rank, nowNanos));
+        boolean newFallback = !relay && (fallback ? isFallbackStillNeeded(nowNanos) : isFallbackDue(rank, nowNanos));
         if (newFallback != fallback) {
             fallback = newFallback;
             context.log(() -> "event=fallback-watch member=" + self.id() + " active=" + newFallback + " rank=" + rank);
@@ -173,96 +173,96 @@
         if (!alive.contains(self.id())) {
             return alive.size();
         }
-        long hash = Rendezvous.hash(self.region().value(), self.id());
+        long hash = RendezvousHash.hash(self.region().value(), self.id());
         return (int) alive.stream()
-                .filter(member -> Rendezvous.hash(self.region().value(), member) < hash)
+                .filter(member -> RendezvousHash.hash(self.region().value(), member) < hash)
                 .count();
     }
 
     /** The wait grows with the rank up to a limit, beyond which a random part keeps a fleet from watching at once. */
-    private boolean isStale(int rank, long nowNanos) {
-        int step = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackSpread;
-        double waits = FALLBACK_WAITS + FALLBACK_WAITS_PER_RANK * Math.max(0, step);
+    private boolean isFallbackDue(int rank, long nowNanos) {
+        int step = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackRankOffset;
+        double waits = FALLBACK_AFTER_WAITS + EXTRA_WAITS_PER_RANK * Math.max(0, step);
         return nowNanos - lastAdvanceNanos > waits * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
-    private boolean keepsFallback(long nowNanos) {
+    private boolean isFallbackStillNeeded(long nowNanos) {
         return nowNanos - lastPeerAdvanceNanos > 2 * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
-    private void list(Feed feed) {
-        feed.storeCallInFlight = true;
-        context.call(
-                () -> context.services().store().list(ClusterView.prefix(feed.kind)),
+    private void list(SyncState sync) {
+        sync.storeCallInFlight = true;
+        context.callWithTimeout(
+                () -> context.dependencies().store().list(ClusterView.prefix(sync.kind)),
                 context.options().listTimeoutMs(),
                 (batch, failure) -> {
-                    feed.storeCallInFlight = false;
+                    sync.storeCallInFlight = false;
                     if (failure == null) {
-                        feed.listed = true;
-                        storeAnswered(feed, new WatchBatch(batch.upTo(), batch.changes(), true));
+                        sync.listed = true;
+                        storeAnswered(sync, new WatchBatch(batch.upTo(), batch.changes(), true));
                     } else {
-                        storeFailed(feed, "list", failure);
+                        storeFailed(sync, "list", failure);
                     }
                 });
     }
 
-    private void watch(Feed feed, long waitMs) {
-        feed.storeCallInFlight = true;
-        Revision after = view.completeUpTo(feed.kind);
-        context.call(
-                () -> context.services().store().watch(ClusterView.prefix(feed.kind), after, waitMs),
+    private void watch(SyncState sync, long waitMs) {
+        sync.storeCallInFlight = true;
+        Revision after = view.completeUpTo(sync.kind);
+        context.callWithTimeout(
+                () -> context.dependencies().store().watch(ClusterView.prefix(sync.kind), after, waitMs),
                 waitMs + context.options().storeTimeoutMs(),
                 (batch, failure) -> {
-                    feed.storeCallInFlight = false;
+                    sync.storeCallInFlight = false;
                     if (failure == null) {
-                        storeAnswered(feed, batch);
+                        storeAnswered(sync, batch);
                     } else {
-                        storeFailed(feed, "watch", failure);
+                        storeFailed(sync, "watch", failure);
                     }
                 });
     }
 
-    private void storeAnswered(Feed feed, WatchBatch batch) {
-        feed.retryMs = FIRST_RETRY_MS;
+    private void storeAnswered(SyncState sync, WatchBatch batch) {
+        sync.retryMs = INITIAL_RETRY_MS;
         long now = context.nowNanos();
-        feed.retryAtNanos = now;
-        ObjectData data = new ObjectData(feed.kind, batch.upTo(), batch.reset(), batch.changes());
-        if (!apply(feed.kind, data, now) && isWatching()) {
-            storeIsIdle(now);
+        sync.retryAtNanos = now;
+        ObjectData data = new ObjectData(sync.kind, batch.upTo(), batch.reset(), batch.changes());
+        if (!apply(sync.kind, data, now) && isWatching()) {
+            storeUnchanged(now);
         }
     }
 
     /** The store itself has nothing newer, so standing still is no sign of a lost relay. */
-    private void storeIsIdle(long nowNanos) {
+    private void storeUnchanged(long nowNanos) {
         lastAdvanceNanos = nowNanos;
         fallback = false;
     }
 
-    private void storeFailed(Feed feed, String operation, CrankException failure) {
-        long retryMs = context.jitteredMs(feed.retryMs);
-        feed.retryAtNanos = context.nowNanos() + retryMs * NANOS_PER_MS;
-        feed.retryMs = Math.min(2 * feed.retryMs, fallback ? MAX_FALLBACK_RETRY_MS : MAX_RETRY_MS);
-        context.log(() -> "event=store-retry operation=" + operation + " kind=" + feed.kind + " code=" + failure.code()
+    private void storeFailed(SyncState sync, String operation, CrankException failure) {
+        long retryMs = context.jitteredMs(sync.retryMs);
+        sync.retryAtNanos = context.nowNanos() + retryMs * NANOS_PER_MS;
+        sync.retryMs = Math.min(2 * sync.retryMs, fallback ? MAX_FALLBACK_RETRY_MS : MAX_RETRY_MS);
+        context.log(() -> "event=store-retry operation=" + operation + " kind=" + sync.kind + " code=" + failure.code()
                 + " retryMs=" + retryMs);
     }
 
     private void fetchIfAhead(MemberId peer, FetchObject.Kind kind, Revision peerRevision) {
-        Feed feed = feeds.get(kind);
+        SyncState sync = syncStates.get(kind);
         Revision known = view.completeUpTo(kind);
-        if (feed.fetchInFlight || !feed.listed || !peerRevision.isNewerThan(known)) {
+        if (sync.fetchInFlight || !sync.listed || !peerRevision.isNewerThan(known)) {
             return;
         }
         view.member(peer).ifPresent(record -> {
-            feed.fetchInFlight = true;
+            sync.fetchInFlight = true;
             metrics.fetched();
             PeerTarget target = PeerTarget.of(record.member());
-            context.call(
-                    () -> context.services()
+            context.callWithTimeout(
+                    () -> context.dependencies()
                             .peers()
                             .call(target, new FetchObject(kind, known), ObjectData.class, FETCH_TIMEOUT_MS),
                     FETCH_TIMEOUT_MS,
                     (data, failure) -> {
-                        feed.fetchInFlight = false;
+                        sync.fetchInFlight = false;
                         if (failure == null && data.kind() == kind && apply(kind, data, context.nowNanos())) {
                             lastPeerAdvanceNanos = context.nowNanos();
                         }
@@ -273,7 +273,7 @@
     /** Whether the digest advanced. */
     private boolean apply(FetchObject.Kind kind, ObjectData data, long nowNanos) {
         Revision before = view.completeUpTo(kind);
-        newsToPush |= view.apply(kind, data.objects(), data.upTo(), data.reset());
+        pushPending |= view.apply(kind, data.objects(), data.upTo(), data.reset());
         boolean advanced = view.completeUpTo(kind).isNewerThan(before);
         if (advanced) {
             lastAdvanceNanos = nowNanos;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -46,46 +46,46 @@
     private final ClusterView view;
     private final Dissemination dissemination;
     private final ControlMetrics metrics;
-    private final IncarnationListener sealListener;
+    private final IncarnationListener incarnationListener;
     private final MemberId id;
     private final boolean mayResume;
-    private final Map<MemberId, Long> namedNanos = new HashMap<>();
+    private final Map<MemberId, Long> selectedNanos = new HashMap<>();
     private final Map<MemberId, Long> suspectUntilNanos = new HashMap<>();
     private final long startedNanos;
-    private final CompletableFuture<Void> leaving = new CompletableFuture<>();
-    private final CompletableFuture<Void> sealed = new CompletableFuture<>();
+    private final CompletableFuture<Void> leaveFuture = new CompletableFuture<>();
+    private final CompletableFuture<Void> sealFuture = new CompletableFuture<>();
     private Optional<LeaseHolder> holder = Optional.empty();
-    private Member wanted;
-    private long reviewedNanos;
-    private long reviewedVersion;
-    private Set<MemberId> reviewedSuspects = Set.of();
-    private long rebalanceNanos;
+    private Member desired;
+    private long lastReviewNanos;
+    private long lastReviewVersion;
+    private Set<MemberId> lastReviewSuspects = Set.of();
+    private long nextRebalanceNanos;
     private long lastHeartbeatNanos;
-    private long aliveSinceNanos;
+    private long observedSinceNanos;
     private boolean abandoned;
     private volatile long validUntilNanos;
 
     public Membership(
             ControlContext context,
-            JoinParameters choice,
+            JoinParameters parameters,
             ClusterView view,
             Dissemination dissemination,
             ControlMetrics metrics,
-            IncarnationListener sealListener) {
+            IncarnationListener incarnationListener) {
         this.context = context;
-        this.id = choice.id();
-        this.mayResume = choice.mayResume();
+        this.id = parameters.id();
+        this.mayResume = parameters.mayResume();
         this.view = view;
         this.dissemination = dissemination;
         this.metrics = metrics;
-        this.sealListener = sealListener;
-        long now = context.holderNowNanos();
+        this.incarnationListener = incarnationListener;
+        long now = context.leaseNowNanos();
         this.startedNanos = now;
         this.validUntilNanos = now;
-        this.aliveSinceNanos = now;
-        this.reviewedNanos = now;
-        this.rebalanceNanos = now + nextRebalanceNanos();
-        this.wanted = new Member(
+        this.observedSinceNanos = now;
+        this.lastReviewNanos = now;
+        this.nextRebalanceNanos = now + rebalanceDelayNanos();
+        this.desired = new Member(
                 id,
                 context.identity().peerAddress(),
                 context.identity().callerAddress(),
@@ -111,8 +111,8 @@
     }
 
     /** The record as this daemon wants it; its witnesses may not be in force yet. */
-    public Member wanted() {
-        return wanted;
+    public Member desired() {
+        return desired;
     }
 
     public boolean isEnded() {
@@ -142,14 +142,14 @@
     }
 
     /** The process did not run for a while, so the silence of others until now means nothing. */
-    public void resumed(long nowNanos) {
-        aliveSinceNanos = nowNanos;
+    public void processResumed(long nowNanos) {
+        observedSinceNanos = nowNanos;
     }
 
     /** Evaluates the lease, then does what is due. Joins once the store has been listed. */
     public void tick(long nowNanos) {
         if (holder.isEmpty()) {
-            boolean stopped = leaving.isDone() || sealed.isDone();
+            boolean stopped = leaveFuture.isDone() || sealFuture.isDone();
             if (dissemination.isListed() && !stopped) {
                 join(nowNanos);
             }
@@ -157,81 +157,81 @@
         }
         LeaseHolder lease = holder.get();
         perform(lease.tick(nowNanos));
-        if (nowNanos - reviewedNanos >= WITNESS_REVIEW_NANOS && !lease.isEnded()) {
-            reviewedNanos = nowNanos;
+        if (nowNanos - lastReviewNanos >= WITNESS_REVIEW_NANOS && !lease.isEnded()) {
+            lastReviewNanos = nowNanos;
             reviewWitnesses(nowNanos);
         }
         long spacingNanos = TimeUnit.MILLISECONDS.toNanos(context.options().minPushIntervalMs());
-        if (nowNanos - lastHeartbeatNanos >= spacingNanos && dissemination.takeNewsToPush()) {
+        if (nowNanos - lastHeartbeatNanos >= spacingNanos && dissemination.consumePushPending()) {
             perform(lease.heartbeatNow(nowNanos));
         }
     }
 
     /** A backend server announced itself; an unchanged announcement has no effect. */
     public void backendAnnounced(BackendInfo backend) {
-        if (wanted.state() == MemberState.JOINING || wanted.state() == MemberState.ACTIVE) {
-            want(wanted.withBackend(backend).withState(MemberState.ACTIVE));
+        if (desired.state() == MemberState.JOINING || desired.state() == MemberState.ACTIVE) {
+            updateDesired(desired.withBackend(backend).withState(MemberState.ACTIVE));
         }
     }
 
     /** Asks for no new ranges; done when the record says so. Before the join it prevents the join. */
     public CompletableFuture<Void> leave() {
         if (holder.isEmpty()) {
-            leaving.complete(null);
+            leaveFuture.complete(null);
         }
-        if (wanted.state() == MemberState.JOINING || wanted.state() == MemberState.ACTIVE) {
-            want(wanted.withState(MemberState.LEAVING));
+        if (desired.state() == MemberState.JOINING || desired.state() == MemberState.ACTIVE) {
+            updateDesired(desired.withState(MemberState.LEAVING));
         }
-        return leaving;
+        return leaveFuture;
     }
 
     /** Ends the lease at once and seals the own record; done when it is sealed. */
     public CompletableFuture<Void> sealSelf() {
         if (holder.isEmpty()) {
-            sealed.complete(null);
+            sealFuture.complete(null);
         }
-        want(wanted.withState(MemberState.SEALED));
-        return sealed;
+        updateDesired(desired.withState(MemberState.SEALED));
+        return sealFuture;
     }
 
     /** Gives up the lease without writing; results of calls that are still on their way change nothing. */
     public void abandon() {
         abandoned = true;
         validUntilNanos = startedNanos;
-        leaving.complete(null);
-        sealed.complete(null);
+        leaveFuture.complete(null);
+        sealFuture.complete(null);
     }
 
     /** A witness refused this member. */
-    public void refused(Revision recordRevision, long nowNanos) {
+    public void refusalReceived(Revision recordRevision, long nowNanos) {
         context.log(() -> "event=refusal-received member=" + id + " revision=" + recordRevision);
-        holder.ifPresent(lease -> perform(lease.refused(recordRevision, nowNanos)));
+        holder.ifPresent(lease -> perform(lease.refusalReceived(recordRevision, nowNanos)));
     }
 
     /** Looks for a seal of the own record in the view. */
     public void viewChanged() {
         Optional<VersionedMember> own = view.member(id);
         if (own.isPresent() && own.get().member().state() == MemberState.SEALED) {
-            holder.ifPresent(lease -> perform(lease.sealSeen()));
+            holder.ifPresent(lease -> perform(lease.recordSealed()));
         }
     }
 
     private void join(long nowNanos) {
-        wanted = wanted.withWitnesses(chooseWitnesses(false));
-        holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), wanted, nowNanos, mayResume));
-        noteNamed(nowNanos);
-        context.log(() -> "event=join member=" + id + " state=" + wanted.state() + " witnesses=" + wanted.witnesses());
+        desired = desired.withWitnesses(chooseWitnesses(false));
+        holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), desired, nowNanos, mayResume));
+        updateSelectionTimes(nowNanos);
+        context.log(() -> "event=join member=" + id + " state=" + desired.state() + " witnesses=" + desired.witnesses());
         perform(holder.get().tick(nowNanos));
     }
 
-    private void want(Member record) {
-        if (record.equals(wanted)) {
+    private void updateDesired(Member record) {
+        if (record.equals(desired)) {
             return;
         }
-        wanted = record;
+        desired = record;
         holder.ifPresent(lease -> {
             lease.setDesired(record);
-            perform(lease.tick(context.holderNowNanos()));
+            perform(lease.tick(context.leaseNowNanos()));
         });
     }
 
@@ -239,50 +239,50 @@
         suspectUntilNanos.values().removeIf(until -> nowNanos - until >= 0);
         long lostNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessTimeoutMs());
         long retryNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryDelayMs());
-        for (MemberId witness : wanted.witnesses()) {
-            if (nowNanos - lastHeardNanos(witness) > lostNanos) {
+        for (MemberId witness : desired.witnesses()) {
+            if (nowNanos - lastContactNanos(witness) > lostNanos) {
                 suspectUntilNanos.put(witness, nowNanos + retryNanos);
             } else {
                 suspectUntilNanos.remove(witness);
             }
         }
-        boolean rebalance = nowNanos - rebalanceNanos >= 0;
+        boolean rebalance = nowNanos - nextRebalanceNanos >= 0;
         if (rebalance) {
-            rebalanceNanos = nowNanos + nextRebalanceNanos();
+            nextRebalanceNanos = nowNanos + rebalanceDelayNanos();
         }
-        long version = view.version();
+        long version = view.snapshotVersion();
         Set<MemberId> suspects = suspects();
-        if (!rebalance && version == reviewedVersion && suspects.equals(reviewedSuspects)) {
+        if (!rebalance && version == lastReviewVersion && suspects.equals(lastReviewSuspects)) {
             return;
         }
-        reviewedVersion = version;
-        reviewedSuspects = suspects;
+        lastReviewVersion = version;
+        lastReviewSuspects = suspects;
         List<MemberId> witnesses = chooseWitnesses(rebalance);
-        if (!witnesses.equals(wanted.witnesses())) {
-            context.log(() -> "event=witness-change member=" + id + " from=" + wanted.witnesses() + " to=" + witnesses
+        if (!witnesses.equals(desired.witnesses())) {
+            context.log(() -> "event=witness-change member=" + id + " from=" + desired.witnesses() + " to=" + witnesses
                     + " suspects=" + suspectUntilNanos.keySet());
-            want(wanted.withWitnesses(witnesses));
-            noteNamed(nowNanos);
+            updateDesired(desired.withWitnesses(witnesses));
+            updateSelectionTimes(nowNanos);
         }
     }
 
     /** Latest of the vote of a witness, its choice, and the time from which its silence counts. */
-    private long lastHeardNanos(MemberId witness) {
-        long heard = aliveSinceNanos;
-        Long named = namedNanos.get(witness);
-        if (named != null && named - heard > 0) {
-            heard = named;
+    private long lastContactNanos(MemberId witness) {
+        long contact = observedSinceNanos;
+        Long selected = selectedNanos.get(witness);
+        if (selected != null && selected - contact > 0) {
+            contact = selected;
         }
         OptionalLong voted = lastVoteNanos(witness);
-        if (voted.isPresent() && voted.getAsLong() - heard > 0) {
-            heard = voted.getAsLong();
+        if (voted.isPresent() && voted.getAsLong() - contact > 0) {
+            contact = voted.getAsLong();
         }
-        return heard;
+        return contact;
     }
 
-    private void noteNamed(long nowNanos) {
-        namedNanos.keySet().retainAll(wanted.witnesses());
-        wanted.witnesses().forEach(witness -> namedNanos.putIfAbsent(witness, nowNanos));
+    private void updateSelectionTimes(long nowNanos) {
+        selectedNanos.keySet().retainAll(desired.witnesses());
+        desired.witnesses().forEach(witness -> selectedNanos.putIfAbsent(witness, nowNanos));
     }
 
     private List<MemberId> chooseWitnesses(boolean rebalance) {
@@ -291,10 +291,10 @@
                 .filter(member -> !member.id().equals(id))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .toList();
-        return WitnessSelector.select(wanted, others, suspectUntilNanos.keySet(), wanted.witnesses(), rebalance);
+        return WitnessSelector.select(desired, others, suspectUntilNanos.keySet(), desired.witnesses(), rebalance);
     }
 
-    private long nextRebalanceNanos() {
+    private long rebalanceDelayNanos() {
         return TimeUnit.MILLISECONDS.toNanos(
                 context.jitteredMs(context.options().rebalanceIntervalMs()));
     }
@@ -312,20 +312,20 @@
             } else if (action instanceof HolderAction.ReadRecord read) {
                 readRecord(read);
             } else if (action instanceof HolderAction.End end) {
-                ended(end.reason());
+                incarnationEnded(end.reason());
             }
         }
     }
 
     private void sendHeartbeat(HolderAction.SendHeartbeat action) {
-        lastHeartbeatNanos = context.holderNowNanos();
+        lastHeartbeatNanos = context.leaseNowNanos();
         view.member(action.witness()).ifPresent(record -> {
             metrics.heartbeatSent();
             PeerTarget target = PeerTarget.of(record.member());
             Heartbeat heartbeat = new Heartbeat(id, action.recordRevision(), action.sequence(), view.digest());
             long timeoutMs = context.options().ttlMs();
-            context.call(
-                    () -> context.services().peers().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
+            context.callWithTimeout(
+                    () -> context.dependencies().peers().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
                     timeoutMs,
                     (ack, failure) -> {
                         if (failure == null && ack.witness().equals(action.witness())) {
@@ -338,20 +338,20 @@
     private void heartbeatAnswered(HeartbeatAck ack) {
         suspectUntilNanos.remove(ack.witness());
         perform(holder.orElseThrow()
-                .heartbeatAnswered(ack.witness(), ack.sequence(), ack.granted(), context.holderNowNanos()));
-        dissemination.peerDigest(ack.witness(), ack.digest());
+                .heartbeatAnswered(ack.witness(), ack.sequence(), ack.granted(), context.leaseNowNanos()));
+        dissemination.digestReceived(ack.witness(), ack.digest());
     }
 
     private void writeRecord(HolderAction.WriteRecord write) {
         LeaseHolder lease = holder.orElseThrow();
         metrics.recordWritten();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(id), JsonCodec.encode(write.record()), write.expected()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
-                    long now = context.holderNowNanos();
+                    long now = context.leaseNowNanos();
                     if (failure == null) {
                         perform(lease.writeSucceeded(write.operation(), revision, now));
                         view.applyMember(new VersionedMember(write.record(), revision));
@@ -377,14 +377,14 @@
 
     private void readRecord(HolderAction.ReadRecord read) {
         LeaseHolder lease = holder.orElseThrow();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .get(ObjectNames.member(id))
                         .thenApply(object -> object.map(Membership::decode)),
                 context.options().storeTimeoutMs(),
                 (found, failure) -> {
-                    long now = context.holderNowNanos();
+                    long now = context.leaseNowNanos();
                     if (failure != null) {
                         lease.readFailed(read.operation(), now);
                         return;
@@ -405,18 +405,18 @@
                     + confirmed().orElseThrow().revision() + " state=" + record.state() + " witnesses="
                     + record.witnesses());
             if (record.state() == MemberState.LEAVING) {
-                leaving.complete(null);
+                leaveFuture.complete(null);
             }
         });
     }
 
-    private void ended(String reason) {
+    private void incarnationEnded(String reason) {
         metrics.incarnationEnded();
         logger.atInfo().log("event=incarnation-ended member=%s reason=%s", id, reason);
-        leaving.complete(null);
-        sealed.complete(null);
-        if (wanted.state() != MemberState.SEALED) {
-            sealListener.incarnationEnded(id, reason);
+        leaveFuture.complete(null);
+        sealFuture.complete(null);
+        if (desired.state() != MemberState.SEALED) {
+            incarnationListener.incarnationEnded(id, reason);
         }
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
@@ -21,15 +21,15 @@
  * a deleted one does not come back, because a change at or below that revision is already contained. Not thread safe.
  */
 public final class ObjectCache {
-    private static final int MAX_DELETIONS = 1_024;
+    private static final int MAX_TOMBSTONES = 1_024;
 
     private final FetchObject.Kind kind;
     private final Map<String, StoredObject> objects = new HashMap<>();
-    private final LinkedHashMap<String, StoredObject> deletions = new LinkedHashMap<>();
+    private final LinkedHashMap<String, StoredObject> tombstones = new LinkedHashMap<>();
     private Revision completeUpTo = Revision.NONE;
 
-    /** Every deletion after this revision is in {@link #deletions}. */
-    private Revision deletionsSince = Revision.NONE;
+    /** Every deletion after this revision is in {@link #tombstones}. */
+    private Revision tombstonesCompleteSince = Revision.NONE;
 
     public ObjectCache(FetchObject.Kind kind) {
         this.kind = kind;
@@ -51,42 +51,42 @@
      * @param reset whether the changes are a whole listing
      */
     public List<StoredObject> apply(List<StoredObject> changes, Revision upTo, boolean reset) {
-        List<StoredObject> news = new ArrayList<>();
+        List<StoredObject> applied = new ArrayList<>();
         if (reset && completeUpTo.isNewerThan(upTo)) {
-            return news;
+            return applied;
         }
         for (StoredObject change : changes) {
             if (change.revision().isNewerThan(completeUpTo) && put(change)) {
-                news.add(change);
+                applied.add(change);
             }
         }
         if (reset) {
-            removeMissing(changes, upTo, news);
+            removeMissing(changes, upTo, applied);
         }
         if (upTo.isNewerThan(completeUpTo)) {
             completeUpTo = upTo;
         }
-        return news;
+        return applied;
     }
 
     /** Takes over a single object, for example one written by this daemon; whether it was news. */
-    public boolean applyOne(StoredObject change) {
+    public boolean applySingle(StoredObject change) {
         return change.revision().isNewerThan(completeUpTo) && put(change);
     }
 
     /** All changes after a revision, or the whole listing if the deletions since then are no longer known. */
-    public ObjectData since(Revision newerThan) {
+    public ObjectData changesSince(Revision newerThan) {
         if (!completeUpTo.isNewerThan(newerThan)) {
             return new ObjectData(kind, completeUpTo, false, List.of());
         }
-        if (deletionsSince.isNewerThan(newerThan)) {
+        if (tombstonesCompleteSince.isNewerThan(newerThan)) {
             return new ObjectData(kind, completeUpTo, true, List.copyOf(objects.values()));
         }
         List<StoredObject> changes = new ArrayList<>();
         objects.values().stream()
                 .filter(object -> object.revision().isNewerThan(newerThan))
                 .forEach(changes::add);
-        deletions.values().stream()
+        tombstones.values().stream()
                 .filter(object -> object.revision().isNewerThan(newerThan))
                 .forEach(changes::add);
         return new ObjectData(kind, completeUpTo, false, changes);
@@ -96,11 +96,11 @@
         if (!change.revision().isNewerThan(knownRevision(change.name()))) {
             return false;
         }
-        deletions.remove(change.name());
+        tombstones.remove(change.name());
         if (change.deleted()) {
             objects.remove(change.name());
-            deletions.put(change.name(), change);
-            forgetOldDeletions();
+            tombstones.put(change.name(), change);
+            evictOldTombstones();
         } else {
             objects.put(change.name(), change);
         }
@@ -108,30 +108,30 @@
     }
 
     private Revision knownRevision(String name) {
-        StoredObject known = objects.containsKey(name) ? objects.get(name) : deletions.get(name);
+        StoredObject known = objects.containsKey(name) ? objects.get(name) : tombstones.get(name);
         return known == null ? Revision.NONE : known.revision();
     }
 
-    private void removeMissing(List<StoredObject> listing, Revision upTo, List<StoredObject> news) {
+    private void removeMissing(List<StoredObject> listing, Revision upTo, List<StoredObject> applied) {
         Set<String> listed = new HashSet<>();
         listing.forEach(object -> listed.add(object.name()));
         for (StoredObject object : List.copyOf(objects.values())) {
             if (!listed.contains(object.name()) && !object.revision().isNewerThan(upTo)) {
                 objects.remove(object.name());
-                news.add(new StoredObject(object.name(), upTo, new byte[0], true));
+                applied.add(new StoredObject(object.name(), upTo, new byte[0], true));
             }
         }
-        deletions.values().removeIf(deletion -> !deletion.revision().isNewerThan(upTo));
-        deletionsSince = upTo;
+        tombstones.values().removeIf(tombstone -> !tombstone.revision().isNewerThan(upTo));
+        tombstonesCompleteSince = upTo;
     }
 
-    private void forgetOldDeletions() {
-        while (deletions.size() > MAX_DELETIONS) {
-            Iterator<StoredObject> oldest = deletions.values().iterator();
-            Revision forgotten = oldest.next().revision();
+    private void evictOldTombstones() {
+        while (tombstones.size() > MAX_TOMBSTONES) {
+            Iterator<StoredObject> oldest = tombstones.values().iterator();
+            Revision evicted = oldest.next().revision();
             oldest.remove();
-            if (forgotten.isNewerThan(deletionsSince)) {
-                deletionsSince = forgotten;
+            if (evicted.isNewerThan(tombstonesCompleteSince)) {
+                tombstonesCompleteSince = evicted;
             }
         }
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorSealer.java
@@ -15,22 +15,22 @@
  * <p>The address has one process at a time, so the former ones have ended, and so have the grants of a backend server
  * that was replaced. Without this their ranges would wait until witnesses find the members silent. Control thread only.
  */
-final class PredecessorDuty {
+final class PredecessorSealer {
     private final ControlContext context;
     private final ClusterView view;
-    private final Set<MemberId> inFlight = new HashSet<>();
+    private final Set<MemberId> sealRequested = new HashSet<>();
     private long checkedVersion = -1;
-    private List<VersionedMember> left = List.of();
+    private List<VersionedMember> predecessors = List.of();
 
-    PredecessorDuty(ControlContext context, ClusterView view) {
+    PredecessorSealer(ControlContext context, ClusterView view) {
         this.context = context;
         this.view = view;
     }
 
     void tick(MemberId self) {
-        if (view.version() != checkedVersion) {
-            checkedVersion = view.version();
-            left = view.current().members().values().stream()
+        if (view.snapshotVersion() != checkedVersion) {
+            checkedVersion = view.snapshotVersion();
+            predecessors = view.current().members().values().stream()
                     .filter(known -> !known.member().id().equals(self))
                     .filter(known -> known.member().state() != MemberState.SEALED)
                     .filter(known -> known.member()
@@ -38,8 +38,8 @@
                             .equals(context.identity().peerAddress()))
                     .toList();
         }
-        for (VersionedMember known : left) {
-            if (inFlight.add(known.member().id())) {
+        for (VersionedMember known : predecessors) {
+            if (sealRequested.add(known.member().id())) {
                 seal(known);
             }
         }
@@ -48,8 +48,8 @@
     private void seal(VersionedMember known) {
         MemberId member = known.member().id();
         VersionedMember sealed = new VersionedMember(known.member().withState(MemberState.SEALED), known.revision());
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(member), JsonCodec.encode(sealed.member()), sealed.revision()),
                 context.options().storeTimeoutMs(),
@@ -66,6 +66,6 @@
 
     private void retryLater(MemberId member) {
         long delayMs = context.jitteredMs(context.options().storeTimeoutMs());
-        context.services().timers().once(delayMs, context.executor(), () -> inFlight.remove(member));
+        context.dependencies().timers().once(delayMs, context.executor(), () -> sealRequested.remove(member));
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -23,7 +23,7 @@
 import org.coriandercrank.lease.TakeoverAction;
 
 /** Finds members that are no longer heard of and drives a {@link Takeover} for each. Control thread only. */
-public final class TakeoverDuty {
+public final class TakeoverCoordinator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MS = 1_000_000;
     private static final int MAX_RANK = 10;
@@ -36,42 +36,42 @@
     private final ControlMetrics metrics;
     private final Map<MemberId, Takeover> running = new HashMap<>();
     private final Map<MemberId, Long> stuckAtNanos = new HashMap<>();
-    private final WitnessDuty witnessDuty;
-    private List<VersionedMember> charges = List.of();
-    private long chargesVersion = -1;
+    private final WitnessService witnessService;
+    private List<VersionedMember> eligibleMembers = List.of();
+    private long eligibleVersion = -1;
     private MemberId self;
-    private long aliveSinceNanos;
+    private long observedSinceNanos;
 
-    public TakeoverDuty(ControlContext context, ClusterView view, ControlMetrics metrics, MemberId self) {
+    public TakeoverCoordinator(ControlContext context, ClusterView view, ControlMetrics metrics, MemberId self) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
         this.self = self;
-        this.aliveSinceNanos = context.nowNanos();
-        this.witnessDuty = new WitnessDuty(context, view, metrics, this::heardOf);
+        this.observedSinceNanos = context.nowNanos();
+        this.witnessService = new WitnessService(context, view, metrics, this::heartbeatAcknowledged);
     }
 
     /** The votes of this daemon, which tell who is alive. */
-    public WitnessDuty witnessDuty() {
-        return witnessDuty;
+    public WitnessService witnessService() {
+        return witnessService;
     }
 
     /** This daemon has a new member id; takeovers of the former incarnation are dropped. */
-    public void restart(MemberId newSelf) {
+    public void selfChanged(MemberId newSelf) {
         self = newSelf;
         running.clear();
     }
 
     /** The process did not run for a while, so the silence of others until now means nothing. */
-    public void resumed(long nowNanos) {
-        aliveSinceNanos = nowNanos;
+    public void processResumed(long nowNanos) {
+        observedSinceNanos = nowNanos;
         running.clear();
     }
 
     /** Starts takeovers of members not heard of and advances the running ones. */
     public void tick(long nowNanos) {
-        findCharges();
-        for (VersionedMember known : charges) {
+        refreshEligibleMembers();
+        for (VersionedMember known : eligibleMembers) {
             if (isSuspect(known, nowNanos)
                     && !running.containsKey(known.member().id())) {
                 start(known, nowNanos);
@@ -109,58 +109,58 @@
         for (Takeover takeover : List.copyOf(running.values())) {
             MemberId member = takeover.target().member().id();
             VersionedMember record = snapshot.members().get(member);
-            if (record == null || !mayTake(record.member())) {
+            if (record == null || !mayTakeOver(record.member())) {
                 running.remove(member);
             } else {
-                takeover.recordLearned(record, now);
+                takeover.recordUpdated(record, now);
                 finishIfDone(takeover);
             }
         }
     }
 
-    private void heardOf(MemberId member) {
+    private void heartbeatAcknowledged(MemberId member) {
         if (running.remove(member) != null) {
             context.log(() -> "event=takeover-dropped member=" + member + " reason=heard-of");
         }
     }
 
     /** Finds the members that this daemon may take over; only a new snapshot changes them. */
-    private void findCharges() {
-        if (view.version() != chargesVersion) {
-            chargesVersion = view.version();
-            charges = view.current().members().values().stream()
+    private void refreshEligibleMembers() {
+        if (view.snapshotVersion() != eligibleVersion) {
+            eligibleVersion = view.snapshotVersion();
+            eligibleMembers = view.current().members().values().stream()
                     .filter(known -> !known.member().id().equals(self))
                     .filter(known -> known.member().state() != MemberState.SEALED)
-                    .filter(known -> mayTake(known.member()))
+                    .filter(known -> mayTakeOver(known.member()))
                     .toList();
         }
     }
 
     private boolean isSuspect(VersionedMember known, long nowNanos) {
-        return nowNanos - lastHeardNanos(known.member().id())
+        return nowNanos - lastContactNanos(known.member().id())
                 > context.options().leaseTiming().expiryNanos();
     }
 
-    private boolean mayTake(Member member) {
+    private boolean mayTakeOver(Member member) {
         return member.witnesses().isEmpty() || member.witnesses().contains(self);
     }
 
     /** A new revision of the record is a sign of life too; a member without witnesses gives no other. */
-    private long lastHeardNanos(MemberId member) {
-        long heard = aliveSinceNanos;
-        for (OptionalLong sign : List.of(view.learnedNanos(member), witnessDuty.lastAckNanos(member))) {
-            if (sign.isPresent() && sign.getAsLong() - heard > 0) {
-                heard = sign.getAsLong();
+    private long lastContactNanos(MemberId member) {
+        long contact = observedSinceNanos;
+        for (OptionalLong sign : List.of(view.revisionLearnedNanos(member), witnessService.lastAckNanos(member))) {
+            if (sign.isPresent() && sign.getAsLong() - contact > 0) {
+                contact = sign.getAsLong();
             }
         }
-        return heard;
+        return contact;
     }
 
     private void start(VersionedMember known, long nowNanos) {
         Member member = known.member();
         int rank = rank(member);
         long delayNanos = TimeUnit.MILLISECONDS.toNanos(rank * context.options().takeoverRankDelayMs());
-        long knownSinceNanos = view.learnedNanos(member.id()).orElse(nowNanos);
+        long knownSinceNanos = view.revisionLearnedNanos(member.id()).orElse(nowNanos);
         running.put(
                 member.id(),
                 new Takeover(context.options().leaseTiming(), known, knownSinceNanos, nowNanos + delayNanos));
@@ -171,7 +171,7 @@
     private int rank(Member member) {
         int index = member.witnesses().indexOf(self);
         if (index < 0) {
-            index = Rendezvous.order(
+            index = RendezvousHash.order(
                             member.id().value(), view.current().members().keySet())
                     .indexOf(self);
         }
@@ -180,7 +180,7 @@
 
     private void perform(Takeover takeover, List<TakeoverAction> actions) {
         for (TakeoverAction action : actions) {
-            if (action instanceof TakeoverAction.AskRefusal ask) {
+            if (action instanceof TakeoverAction.RequestRefusal ask) {
                 askRefusal(takeover, ask);
             } else if (action instanceof TakeoverAction.Seal seal) {
                 seal(takeover, seal);
@@ -190,27 +190,27 @@
         }
     }
 
-    private void askRefusal(Takeover takeover, TakeoverAction.AskRefusal ask) {
+    private void askRefusal(Takeover takeover, TakeoverAction.RequestRefusal ask) {
         RefusalRequest request = new RefusalRequest(takeover.target().member().id(), ask.recordRevision());
         if (ask.witness().equals(self)) {
-            answered(takeover, ask, witnessDuty.refuse(self, self, request));
+            refusalAnswered(takeover, ask, witnessService.refuse(self, self, request));
             return;
         }
         view.member(ask.witness()).ifPresent(witness -> {
             long timeoutMs = context.options().heartbeatMs();
             PeerTarget target = PeerTarget.of(witness.member());
-            context.call(
-                    () -> context.services().peers().call(target, request, RefusalAnswer.class, timeoutMs),
+            context.callWithTimeout(
+                    () -> context.dependencies().peers().call(target, request, RefusalAnswer.class, timeoutMs),
                     timeoutMs,
                     (answer, failure) -> {
                         if (failure == null && answer.witness().equals(ask.witness())) {
-                            answered(takeover, ask, answer);
+                            refusalAnswered(takeover, ask, answer);
                         }
                     });
         });
     }
 
-    private void answered(Takeover takeover, TakeoverAction.AskRefusal ask, RefusalAnswer answer) {
+    private void refusalAnswered(Takeover takeover, TakeoverAction.RequestRefusal ask, RefusalAnswer answer) {
         if (isRunning(takeover)) {
             Revision revision = ask.recordRevision();
             long retryAfterNanos = answer.retryAfterMs() * NANOS_PER_MS;
@@ -225,14 +225,14 @@
         MemberId member = seal.sealed().id();
         context.log(() -> "event=seal-attempt member=" + member + " revision=" + seal.expected() + " refusals="
                 + takeover.refusalCount());
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(member), JsonCodec.encode(seal.sealed()), seal.expected()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
                     if (failure == null) {
-                        metrics.sealed();
+                        metrics.memberSealed();
                         context.log(() -> "event=sealed member=" + member + " revision=" + revision + " taker=" + self);
                         takeover.sealSucceeded(seal.operation(), revision, context.nowNanos());
                         view.applyMember(new VersionedMember(seal.sealed(), revision));
@@ -249,14 +249,14 @@
         if (failure.code() == ResultCode.STORE_UNAVAILABLE) {
             takeover.storeFailed(seal.operation(), context.nowNanos());
         } else if (isRunning(takeover)) {
-            perform(takeover, takeover.sealUnresolved(seal.operation(), context.nowNanos()));
+            perform(takeover, takeover.sealNotConfirmed(seal.operation(), context.nowNanos()));
         }
     }
 
     private void read(Takeover takeover, TakeoverAction.ReadRecord read) {
         MemberId member = takeover.target().member().id();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .get(ObjectNames.member(member))
                         .thenApply(object -> object.map(Membership::decode)),
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
@@ -22,19 +22,19 @@
  * Not thread safe; made for one choice.
  */
 public final class WitnessSelector {
-    private static final int MIN_FLEET = 3;
-    private static final int LARGE_REGION = 5;
-    private static final int FEW_WITNESSES = 2;
-    private static final int MANY_WITNESSES = 4;
+    private static final int MIN_CLUSTER_SIZE = 3;
+    private static final int LARGE_REGION_SIZE = 5;
+    private static final int SMALL_REGION_WITNESSES = 2;
+    private static final int LARGE_REGION_WITNESSES = 4;
 
     /** A smaller difference of duties is not worth a write. */
-    private static final int MIN_DUTY_DIFFERENCE = 2;
+    private static final int MIN_LOAD_DIFFERENCE = 2;
 
     private final Member self;
     private final Collection<Member> others;
     private final Set<MemberId> suspects;
     private final List<MemberId> current;
-    private final Map<MemberId, Integer> duties = new HashMap<>();
+    private final Map<MemberId, Integer> witnessLoad = new HashMap<>();
     private final Set<MemberId> chosen = new LinkedHashSet<>();
 
     private WitnessSelector(Member self, Collection<Member> others, Set<MemberId> suspects, List<MemberId> current) {
@@ -42,7 +42,7 @@
         this.others = others;
         this.suspects = suspects;
         this.current = current;
-        others.forEach(member -> member.witnesses().forEach(witness -> duties.merge(witness, 1, Integer::sum)));
+        others.forEach(member -> member.witnesses().forEach(witness -> witnessLoad.merge(witness, 1, Integer::sum)));
     }
 
     /**
@@ -66,62 +66,62 @@
         Predicate<Member> usable = member -> !suspects.contains(member.id());
         Set<MemberId> kept = new HashSet<>(current);
         if (rebalance) {
-            mostBusyReplaceable(usable.and(inDomain), usable.and(inRegion).and(inDomain.negate()))
+            mostLoadedReplaceable(usable.and(inDomain), usable.and(inRegion).and(inDomain.negate()))
                     .ifPresent(kept::remove);
         }
-        take(usable.and(inDomain), count / 2, kept);
-        take(usable.and(inRegion).and(inDomain.negate()), count, kept);
-        take(usable.and(inRegion), count, kept);
-        take(usable, count, kept);
-        take(member -> true, count, Set.copyOf(current));
+        addFromGroup(usable.and(inDomain), count / 2, kept);
+        addFromGroup(usable.and(inRegion).and(inDomain.negate()), count, kept);
+        addFromGroup(usable.and(inRegion), count, kept);
+        addFromGroup(usable, count, kept);
+        addFromGroup(member -> true, count, Set.copyOf(current));
         return inCurrentOrder();
     }
 
     private int witnessCount() {
-        if (others.size() + 1 < MIN_FLEET) {
+        if (others.size() + 1 < MIN_CLUSTER_SIZE) {
             return 0;
         }
         long inRegion =
                 others.stream().filter(m -> m.region().equals(self.region())).count() + 1;
-        return inRegion >= LARGE_REGION ? MANY_WITNESSES : FEW_WITNESSES;
+        return inRegion >= LARGE_REGION_SIZE ? LARGE_REGION_WITNESSES : SMALL_REGION_WITNESSES;
     }
 
-    private int duties(MemberId member) {
-        return duties.getOrDefault(member, 0);
+    private int witnessLoad(MemberId member) {
+        return witnessLoad.getOrDefault(member, 0);
     }
 
     /** The current witness with the most duties for which its group has a member with clearly fewer. */
     @SafeVarargs
-    private Optional<MemberId> mostBusyReplaceable(Predicate<Member>... groups) {
+    private Optional<MemberId> mostLoadedReplaceable(Predicate<Member>... groups) {
         Optional<MemberId> result = Optional.empty();
         for (Predicate<Member> group : groups) {
             List<MemberId> members =
                     others.stream().filter(group).map(Member::id).toList();
-            Optional<MemberId> busy =
-                    members.stream().filter(current::contains).max(Comparator.comparingInt(this::duties));
-            Optional<MemberId> idle = members.stream()
+            Optional<MemberId> mostLoaded =
+                    members.stream().filter(current::contains).max(Comparator.comparingInt(this::witnessLoad));
+            Optional<MemberId> leastLoaded = members.stream()
                     .filter(member -> !current.contains(member))
-                    .min(Comparator.comparingInt(this::duties));
-            boolean replaceable = busy.isPresent()
-                    && idle.isPresent()
-                    && duties(busy.get()) - duties(idle.get()) >= MIN_DUTY_DIFFERENCE;
-            if (replaceable && (result.isEmpty() || duties(busy.get()) > duties(result.get()))) {
-                result = busy;
+                    .min(Comparator.comparingInt(this::witnessLoad));
+            boolean replaceable = mostLoaded.isPresent()
+                    && leastLoaded.isPresent()
+                    && witnessLoad(mostLoaded.get()) - witnessLoad(leastLoaded.get()) >= MIN_LOAD_DIFFERENCE;
+            if (replaceable && (result.isEmpty() || witnessLoad(mostLoaded.get()) > witnessLoad(result.get()))) {
+                result = mostLoaded;
             }
         }
         return result;
     }
 
-    private void take(Predicate<Member> group, int limit, Set<MemberId> kept) {
-        Comparator<MemberId> byDuties = Comparator.comparing(this::duties);
-        fill(group.and(member -> kept.contains(member.id())), limit, byDuties);
-        fill(
+    private void addFromGroup(Predicate<Member> group, int limit, Set<MemberId> kept) {
+        Comparator<MemberId> byLoad = Comparator.comparing(this::witnessLoad);
+        addInOrder(group.and(member -> kept.contains(member.id())), limit, byLoad);
+        addInOrder(
                 group,
                 limit,
-                byDuties.thenComparing(Rendezvous.comparator(self.id().value())));
+                byLoad.thenComparing(RendezvousHash.comparator(self.id().value())));
     }
 
-    private void fill(Predicate<Member> group, int limit, Comparator<MemberId> order) {
+    private void addInOrder(Predicate<Member> group, int limit, Comparator<MemberId> order) {
         if (chosen.size() < limit) {
             others.stream()
                     .filter(group)
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
@@ -14,31 +14,31 @@
  * This daemon as witness of others. The votes outlive an incarnation, because refusals given by the process stay true.
  * Control thread only.
  */
-public final class WitnessDuty {
+public final class WitnessService {
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
     private final Witness witness;
-    private final Consumer<MemberId> aliveListener;
+    private final Consumer<MemberId> heartbeatListener;
 
     /** Makes a witness that tells the listener of each member whose heartbeat it acknowledges. */
-    public WitnessDuty(
-            ControlContext context, ClusterView view, ControlMetrics metrics, Consumer<MemberId> aliveListener) {
+    public WitnessService(
+            ControlContext context, ClusterView view, ControlMetrics metrics, Consumer<MemberId> heartbeatListener) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
-        this.aliveListener = aliveListener;
+        this.heartbeatListener = heartbeatListener;
         this.witness =
                 new Witness(context.options().leaseTiming(), context.options().maxWitnessedMembers());
     }
 
     /** Whether a heartbeat is acknowledged. */
-    public boolean heartbeat(MemberId member, Revision recordRevision) {
-        boolean granted = witness.heartbeat(member, recordRevision, context.nowNanos());
+    public boolean acceptHeartbeat(MemberId member, Revision recordRevision) {
+        boolean granted = witness.acceptHeartbeat(member, recordRevision, context.nowNanos());
         if (granted) {
-            aliveListener.accept(member);
+            heartbeatListener.accept(member);
         } else {
             context.log(() -> "event=heartbeat-refused member=" + member + " revision=" + recordRevision);
         }
@@ -47,13 +47,13 @@
 
     /** Answers a taker; a refused member is told, so that it can rewrite its record if it is alive. */
     public RefusalAnswer refuse(MemberId self, MemberId taker, RefusalRequest request) {
-        Witness.Decision decision = witness.refuse(request.member(), request.recordRevision(), context.nowNanos());
+        Witness.RefusalDecision decision = witness.requestRefusal(request.member(), request.recordRevision(), context.nowNanos());
         if (decision.granted()) {
-            metrics.refused();
+            metrics.refusalGranted();
             context.log(() -> "event=refusal member=" + request.member() + " revision=" + request.recordRevision()
                     + " taker=" + taker);
             view.member(request.member())
-                    .ifPresent(record -> context.services()
+                    .ifPresent(record -> context.dependencies()
                             .peers()
                             .send(
                                     PeerTarget.of(record.member()),
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Collectors;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlServices;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.ControlStatus;
 import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.daemon.internal.LocalGate;
@@ -268,8 +268,8 @@
                 options.gate());
     }
 
-    private ControlServices controlServices() {
-        return new ControlServices(
+    private ControlDependencies controlServices() {
+        return new ControlDependencies(
                 services.store(),
                 peers,
                 handlers,
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
@@ -12,7 +12,7 @@
 /**
  * What a {@link DaemonHost} uses of its process, which closes it. Immutable.
  *
- * @param holderClock clock of the own lease, see {@link org.coriandercrank.control.ControlServices}
+ * @param holderClock clock of the own lease, see {@link org.coriandercrank.control.ControlDependencies}
  * @param duties makes the duties of the parts
  */
 public record HostServices(
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
@@ -56,7 +56,7 @@
     void refusalLeadsToARewrite() {
         join();
         answerHeartbeats(holder.tick(MS), MS, A, B);
-        assertThat(writes(holder.refused(new Revision(10), 2 * MS)))
+        assertThat(writes(holder.refusalReceived(new Revision(10), 2 * MS)))
                 .singleElement()
                 .extracting(HolderAction.WriteRecord::expected)
                 .isEqualTo(new Revision(10));
@@ -76,7 +76,7 @@
     void sealedRecordEndsTheIncarnation() {
         join();
         HolderAction.WriteRecord write =
-                writes(holder.refused(new Revision(10), MS)).get(0);
+                writes(holder.refusalReceived(new Revision(10), MS)).get(0);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
                 holder.writeConflicted(write.operation(), 2 * MS).get(0);
         Member sealed = write.record().withState(MemberState.SEALED);
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
@@ -149,7 +149,7 @@
         message(process, () -> {
             boolean granted = witnesses
                     .get(index)
-                    .heartbeat(holder.desired().id(), heartbeat.recordRevision(), process.localNanos(nowNanos));
+                    .acceptHeartbeat(holder.desired().id(), heartbeat.recordRevision(), process.localNanos(nowNanos));
             message(
                     holderProcess,
                     () -> perform(
@@ -185,7 +185,7 @@
         Takeover takeover = takeovers.get(taker).orElseThrow();
         SimulatedProcess process = processes.get(taker);
         for (TakeoverAction action : actions) {
-            if (action instanceof TakeoverAction.AskRefusal ask) {
+            if (action instanceof TakeoverAction.RequestRefusal ask) {
                 askRefusal(taker, ask.witness(), ask.recordRevision());
             } else if (action instanceof TakeoverAction.Seal seal) {
                 long operation = seal.operation();
@@ -194,9 +194,9 @@
                         seal.sealed(),
                         seal.expected(),
                         revision -> takeover.sealSucceeded(operation, revision, takerNow(taker)),
-                        () -> performTaker(taker, takeover.sealUnresolved(operation, takerNow(taker))),
+                        () -> performTaker(taker, takeover.sealNotConfirmed(operation, takerNow(taker))),
                         () -> takeover.storeFailed(operation, takerNow(taker)),
-                        () -> performTaker(taker, takeover.sealUnresolved(operation, takerNow(taker))));
+                        () -> performTaker(taker, takeover.sealNotConfirmed(operation, takerNow(taker))));
             } else if (action instanceof TakeoverAction.ReadRecord read) {
                 long operation = read.operation();
                 storeRead(
@@ -211,10 +211,10 @@
         int index = ids.indexOf(witness);
         SimulatedProcess process = processes.get(index);
         message(process, () -> {
-            Witness.Decision decision =
-                    witnesses.get(index).refuse(holder.desired().id(), revision, process.localNanos(nowNanos));
+            Witness.RefusalDecision decision =
+                    witnesses.get(index).requestRefusal(holder.desired().id(), revision, process.localNanos(nowNanos));
             if (decision.granted()) {
-                message(holderProcess, () -> perform(holder.refused(revision, holderNow())));
+                message(holderProcess, () -> perform(holder.refusalReceived(revision, holderNow())));
             }
             message(processes.get(taker), () -> {
                 Takeover takeover = takeovers.get(taker).orElseThrow();
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/WitnessTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/WitnessTest.java
@@ -19,33 +19,33 @@
 
     @Test
     void forgottenAcknowledgementStillDelaysRefusal() {
-        witness.heartbeat(FIRST, new Revision(5), 0);
-        witness.heartbeat(SECOND, new Revision(6), MS);
-        assertThat(witness.refuse(FIRST, new Revision(5), 2_000 * MS).granted()).isFalse();
-        assertThat(witness.refuse(FIRST, new Revision(5), 2_102 * MS).granted()).isTrue();
+        witness.acceptHeartbeat(FIRST, new Revision(5), 0);
+        witness.acceptHeartbeat(SECOND, new Revision(6), MS);
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_000 * MS).granted()).isFalse();
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_102 * MS).granted()).isTrue();
     }
 
     @Test
     void forgottenRefusalStillRejectsHeartbeats() {
-        assertThat(witness.refuse(FIRST, new Revision(5), 0).granted()).isTrue();
-        witness.heartbeat(SECOND, new Revision(6), MS);
-        assertThat(witness.heartbeat(FIRST, new Revision(5), 2 * MS)).isFalse();
-        assertThat(witness.heartbeat(FIRST, new Revision(7), 3 * MS)).isTrue();
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 0).granted()).isTrue();
+        witness.acceptHeartbeat(SECOND, new Revision(6), MS);
+        assertThat(witness.acceptHeartbeat(FIRST, new Revision(5), 2 * MS)).isFalse();
+        assertThat(witness.acceptHeartbeat(FIRST, new Revision(7), 3 * MS)).isTrue();
     }
 
     @Test
     void refusalNamesTheTimeToAskAgain() {
-        witness.heartbeat(FIRST, new Revision(5), 0);
-        Witness.Decision early = witness.refuse(FIRST, new Revision(5), 100 * MS);
+        witness.acceptHeartbeat(FIRST, new Revision(5), 0);
+        Witness.RefusalDecision early = witness.requestRefusal(FIRST, new Revision(5), 100 * MS);
         assertThat(early.granted()).isFalse();
-        assertThat(witness.refuse(FIRST, new Revision(5), 100 * MS + early.retryAfterNanos())
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 100 * MS + early.retryAfterNanos())
                         .granted())
                 .isTrue();
     }
 
     @Test
     void takerWithOutdatedRevisionGetsNoRefusal() {
-        witness.heartbeat(FIRST, new Revision(5), 0);
-        assertThat(witness.refuse(FIRST, new Revision(4), 9_000 * MS).granted()).isFalse();
+        witness.acceptHeartbeat(FIRST, new Revision(5), 0);
+        assertThat(witness.requestRefusal(FIRST, new Revision(4), 9_000 * MS).granted()).isFalse();
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -42,13 +42,13 @@
     private Optional<VersionedMember> confirmed = Optional.empty();
 
     /** Revision of the record that a former process left. */
-    private Revision leftRevision = Revision.NONE;
+    private Revision inheritedRevision = Revision.NONE;
 
     private Member desired;
     private Revision refusedUpTo = Revision.NONE;
-    private long operation;
+    private long lastOperation;
     private boolean operationInFlight;
-    private boolean unresolved;
+    private boolean writeOutcomeUnknown;
     private OptionalLong lastWriteNanos = OptionalLong.empty();
     private boolean ended;
 
@@ -139,14 +139,14 @@
     /** Answer of a witness; unknown or old sequences have no effect. */
     public List<HolderAction> heartbeatAnswered(MemberId witness, long sequence, boolean granted, long nowNanos) {
         if (granted) {
-            votes.granted(witness, sequence);
+            votes.recordVote(witness, sequence);
             return List.of();
         }
-        return refused(votes.revisionOf(sequence), nowNanos);
+        return refusalReceived(votes.revisionOf(sequence), nowNanos);
     }
 
     /** A witness refused the member at a record revision. */
-    public List<HolderAction> refused(Revision recordRevision, long nowNanos) {
+    public List<HolderAction> refusalReceived(Revision recordRevision, long nowNanos) {
         if (recordRevision.isNewerThan(refusedUpTo)) {
             refusedUpTo = recordRevision;
         }
@@ -155,7 +155,7 @@
 
     /** The write took effect and got a revision. */
     public List<HolderAction> writeSucceeded(long answeredOperation, Revision revision, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
         PendingWrite write = pendingWrites.get(pendingWrites.size() - 1);
@@ -164,7 +164,7 @@
 
     /** The write certainly had no effect. */
     public void writeFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             pendingWrites.remove(pendingWrites.size() - 1);
             backoff.failed(nowNanos);
         }
@@ -172,7 +172,7 @@
 
     /** The write may have taken effect or may do so later. */
     public List<HolderAction> writeUnanswered(long answeredOperation, long nowNanos) {
-        return readBack(answeredOperation, nowNanos);
+        return scheduleReadBack(answeredOperation, nowNanos);
     }
 
     /**
@@ -180,12 +180,12 @@
      * conflict can also be the answer to a second copy of a write that took effect.
      */
     public List<HolderAction> writeConflicted(long answeredOperation, long nowNanos) {
-        return readBack(answeredOperation, nowNanos);
+        return scheduleReadBack(answeredOperation, nowNanos);
     }
 
     /** Result of reading the own record; empty if it does not exist. */
     public List<HolderAction> readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
         Revision known = confirmed.map(VersionedMember::revision).orElse(Revision.NONE);
@@ -194,7 +194,7 @@
             return resume(read.get(), nowNanos);
         }
         if (found.equals(known)) {
-            unresolved = false;
+            writeOutcomeUnknown = false;
             backoff.failed(nowNanos);
             return List.of();
         }
@@ -204,7 +204,7 @@
         if (read.get().member().state() == MemberState.SEALED) {
             return end("sealed");
         }
-        OptionalLong sentAtNanos = earliestPending(read.get().member());
+        OptionalLong sentAtNanos = earliestPendingSendNanos(read.get().member());
         if (sentAtNanos.isEmpty()) {
             return end("replaced");
         }
@@ -212,41 +212,41 @@
     }
 
     public void readFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
-    private List<HolderAction> resume(VersionedMember left, long nowNanos) {
-        if (left.member().state() == MemberState.SEALED) {
+    private List<HolderAction> resume(VersionedMember inherited, long nowNanos) {
+        if (inherited.member().state() == MemberState.SEALED) {
             return end("sealed");
         }
-        OptionalLong sentAtNanos = earliestPending(left.member());
+        OptionalLong sentAtNanos = earliestPendingSendNanos(inherited.member());
         if (sentAtNanos.isPresent()
-                && left.revision().isNewerThan(leftRevision)
-                && !leftRevision.equals(Revision.NONE)) {
-            return confirm(left, sentAtNanos.getAsLong(), nowNanos);
+                && inherited.revision().isNewerThan(inheritedRevision)
+                && !inheritedRevision.equals(Revision.NONE)) {
+            return confirm(inherited, sentAtNanos.getAsLong(), nowNanos);
         }
-        leftRevision = left.revision();
-        unresolved = false;
+        inheritedRevision = inherited.revision();
+        writeOutcomeUnknown = false;
         return tick(nowNanos);
     }
 
     /** The own record was seen as sealed. */
-    public List<HolderAction> sealSeen() {
+    public List<HolderAction> recordSealed() {
         return ended ? List.of() : end("sealed");
     }
 
-    private List<HolderAction> readBack(long answeredOperation, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    private List<HolderAction> scheduleReadBack(long answeredOperation, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
-        unresolved = true;
+        writeOutcomeUnknown = true;
         return tick(nowNanos);
     }
 
-    private boolean finishes(long answeredOperation) {
-        if (ended || !operationInFlight || answeredOperation != operation) {
+    private boolean completeOperation(long answeredOperation) {
+        if (ended || !operationInFlight || answeredOperation != lastOperation) {
             return false;
         }
         operationInFlight = false;
@@ -256,8 +256,8 @@
     private List<HolderAction> confirm(VersionedMember record, long sentAtNanos, long nowNanos) {
         confirmed = Optional.of(record);
         pendingWrites.clear();
-        unresolved = false;
-        votes.storeVoted(sentAtNanos);
+        writeOutcomeUnknown = false;
+        votes.recordStoreVote(sentAtNanos);
         backoff.succeeded(nowNanos);
         if (record.member().state() == MemberState.SEALED) {
             return end("self-sealed");
@@ -270,7 +270,7 @@
         return List.of(new HolderAction.End(reason));
     }
 
-    private OptionalLong earliestPending(Member record) {
+    private OptionalLong earliestPendingSendNanos(Member record) {
         return pendingWrites.stream()
                 .filter(write -> write.record().equals(record))
                 .mapToLong(PendingWrite::sentAtNanos)
@@ -290,7 +290,7 @@
                 new LinkedHashSet<>(confirmed.orElseThrow().member().witnesses());
         pendingWrites.forEach(write -> targets.addAll(write.record().witnesses()));
         targets.addAll(desired.witnesses());
-        votes.retain(targets);
+        votes.retainVotes(targets);
         return targets;
     }
 
@@ -298,20 +298,20 @@
         if (operationInFlight || !backoff.isDue(nowNanos)) {
             return;
         }
-        if (unresolved) {
-            operation++;
+        if (writeOutcomeUnknown) {
+            lastOperation++;
             operationInFlight = true;
-            actions.add(new HolderAction.ReadRecord(operation));
+            actions.add(new HolderAction.ReadRecord(lastOperation));
             return;
         }
         Optional<Member> record = confirmed.isEmpty() ? Optional.of(desired) : recordToWrite(nowNanos);
         if (record.isPresent()) {
-            operation++;
+            lastOperation++;
             operationInFlight = true;
             lastWriteNanos = OptionalLong.of(nowNanos);
             addPending(new PendingWrite(record.get(), nowNanos));
-            Revision expected = confirmed.map(VersionedMember::revision).orElse(leftRevision);
-            actions.add(new HolderAction.WriteRecord(operation, record.get(), expected));
+            Revision expected = confirmed.map(VersionedMember::revision).orElse(inheritedRevision);
+            actions.add(new HolderAction.WriteRecord(lastOperation, record.get(), expected));
         }
     }
 
@@ -333,20 +333,20 @@
             return Optional.of(desired);
         }
         Member sameWitnesses = desired.withWitnesses(current.witnesses());
-        boolean refused = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
+        boolean refusedRevision = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
         boolean witnessChange = !desired.witnesses().equals(current.witnesses());
-        if (witnessChange && canSwitch(nowNanos)) {
+        if (witnessChange && canChangeWitnesses(nowNanos)) {
             return Optional.of(desired);
         }
         boolean contentChange = !sameWitnesses.equals(current);
-        if (refused || contentChange || !pendingWrites.isEmpty() || isRenewalDue(current, witnessChange, nowNanos)) {
+        if (refusedRevision || contentChange || !pendingWrites.isEmpty() || isRenewalDue(current, witnessChange, nowNanos)) {
             return Optional.of(sameWitnesses);
         }
         return Optional.empty();
     }
 
     /** Whether the new witnesses have voted, or there is no lease that a change could interrupt. */
-    private boolean canSwitch(long nowNanos) {
+    private boolean canChangeWitnesses(long nowNanos) {
         return validUntilNanos() - nowNanos <= 0
                 || votes.validUntilNanos(desired.witnesses()) - nowNanos > timing.ttlNanos() / 2;
     }
@@ -356,11 +356,11 @@
         if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.renewalNanos()) {
             return false;
         }
-        return isShortOfVotes(current.witnesses(), nowNanos)
-                || (witnessChange && isShortOfVotes(desired.witnesses(), nowNanos));
+        return isWitnessMajorityExpiring(current.witnesses(), nowNanos)
+                || (witnessChange && isWitnessMajorityExpiring(desired.witnesses(), nowNanos));
     }
 
-    private boolean isShortOfVotes(List<MemberId> witnesses, long nowNanos) {
+    private boolean isWitnessMajorityExpiring(List<MemberId> witnesses, long nowNanos) {
         return votes.witnessMajorityUntilNanos(witnesses) - nowNanos < timing.ttlNanos() / 2;
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
@@ -13,7 +13,7 @@
     }
 
     /** Refusals that a taker needs beside its write to the store; n/2 for an even n. */
-    public static int refusals(int witnesses) {
+    public static int requiredRefusals(int witnesses) {
         return witnesses + 1 - majority(witnesses);
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/StoreBackoff.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/StoreBackoff.java
@@ -7,20 +7,20 @@
  * varies by half, so that daemons do not retry together; a seed keeps the state machines deterministic. Not thread safe.
  */
 final class StoreBackoff {
-    private static final int FIRST_WAITS_PER_TTL = 16;
+    private static final int INITIAL_DELAYS_PER_TTL = 16;
 
     private static final double JITTER = 0.5;
 
     private final LeaseTiming timing;
     private final Random random;
     private long dueNanos;
-    private long waitNanos;
+    private long delayNanos;
 
     StoreBackoff(LeaseTiming timing, long nowNanos, long seed) {
         this.random = new Random(seed);
         this.timing = timing;
         this.dueNanos = nowNanos;
-        this.waitNanos = timing.ttlNanos() / FIRST_WAITS_PER_TTL;
+        this.delayNanos = timing.ttlNanos() / INITIAL_DELAYS_PER_TTL;
     }
 
     boolean isDue(long nowNanos) {
@@ -28,12 +28,12 @@
     }
 
     void failed(long nowNanos) {
-        dueNanos = nowNanos + (long) (waitNanos * (1 - JITTER * random.nextDouble()));
-        waitNanos = Math.min(2 * waitNanos, timing.ttlNanos());
+        dueNanos = nowNanos + (long) (delayNanos * (1 - JITTER * random.nextDouble()));
+        delayNanos = Math.min(2 * delayNanos, timing.ttlNanos());
     }
 
     void succeeded(long nowNanos) {
         dueNanos = nowNanos;
-        waitNanos = timing.ttlNanos() / FIRST_WAITS_PER_TTL;
+        delayNanos = timing.ttlNanos() / INITIAL_DELAYS_PER_TTL;
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -16,7 +16,7 @@
  * Takeover of one suspected member.
  *
  * <p>Invariants: a seal is conditional on a record revision v that this taker has known for longer than the expiry time,
- * and is sent only with the refusals at v that {@link Quorum#refusals} asks for. A newer record starts everything again.
+ * and is sent only with the refusals at v that {@link Quorum#requiredRefusals} asks for. A newer record starts everything again.
  *
  * <p>Not thread safe. Times are monotonic, in nanoseconds.
  */
@@ -34,10 +34,10 @@
     private final long startAtNanos;
     private final StoreBackoff backoff;
     private final Set<MemberId> refusals = new HashSet<>();
-    private final Map<MemberId, Long> askAgainNanos = new HashMap<>();
+    private final Map<MemberId, Long> nextRequestNanos = new HashMap<>();
     private VersionedMember target;
     private long knownSinceNanos;
-    private long operation;
+    private long lastOperation;
     private boolean operationInFlight;
     private boolean readNeeded;
     private State state = State.RUNNING;
@@ -74,22 +74,22 @@
         if (state != State.RUNNING || nowNanos - startAtNanos < 0) {
             return actions;
         }
-        int needed = Quorum.refusals(target.member().witnesses().size());
-        if (refusals.size() < needed) {
-            askWitnesses(nowNanos, actions);
+        int requiredRefusals = Quorum.requiredRefusals(target.member().witnesses().size());
+        if (refusals.size() < requiredRefusals) {
+            requestRefusals(nowNanos, actions);
         }
         if (operationInFlight || !backoff.isDue(nowNanos)) {
             return actions;
         }
         if (readNeeded) {
-            operation++;
+            lastOperation++;
             operationInFlight = true;
-            actions.add(new TakeoverAction.ReadRecord(operation));
-        } else if (refusals.size() >= needed && nowNanos - knownSinceNanos > timing.expiryNanos()) {
-            operation++;
+            actions.add(new TakeoverAction.ReadRecord(lastOperation));
+        } else if (refusals.size() >= requiredRefusals && nowNanos - knownSinceNanos > timing.expiryNanos()) {
+            lastOperation++;
             operationInFlight = true;
             actions.add(new TakeoverAction.Seal(
-                    operation, target.member().withState(MemberState.SEALED), target.revision()));
+                    lastOperation, target.member().withState(MemberState.SEALED), target.revision()));
         }
         return actions;
     }
@@ -103,20 +103,20 @@
         if (granted && target.member().witnesses().contains(witness)) {
             refusals.add(witness);
         } else {
-            askAgainNanos.put(witness, nowNanos + Math.max(retryAfterNanos, timing.heartbeatNanos() / 2));
+            nextRequestNanos.put(witness, nowNanos + Math.max(retryAfterNanos, timing.heartbeatNanos() / 2));
         }
         return tick(nowNanos);
     }
 
     /** A record of the member was learned by other means; older ones are ignored. */
-    public void recordLearned(VersionedMember record, long nowNanos) {
+    public void recordUpdated(VersionedMember record, long nowNanos) {
         if (!record.revision().isNewerThan(target.revision())) {
             return;
         }
         target = record;
         knownSinceNanos = nowNanos;
         refusals.clear();
-        askAgainNanos.clear();
+        nextRequestNanos.clear();
         readNeeded = false;
         if (record.member().state() == MemberState.SEALED) {
             state = State.SEALED;
@@ -125,14 +125,14 @@
 
     /** The seal took effect. */
     public void sealSucceeded(long answeredOperation, Revision revision, long nowNanos) {
-        if (finishes(answeredOperation)) {
-            recordLearned(new VersionedMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
+        if (completeOperation(answeredOperation)) {
+            recordUpdated(new VersionedMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
         }
     }
 
     /** The record has another revision, or it is unknown whether the seal took effect; the record is read. */
-    public List<TakeoverAction> sealUnresolved(long answeredOperation, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    public List<TakeoverAction> sealNotConfirmed(long answeredOperation, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
         readNeeded = true;
@@ -141,13 +141,13 @@
 
     /** The seal or the read certainly had no effect. */
     public void storeFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
     public void readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+        if (!completeOperation(answeredOperation)) {
             return;
         }
         readNeeded = false;
@@ -156,24 +156,24 @@
         } else if (read.get().revision().equals(target.revision())) {
             backoff.failed(nowNanos);
         } else {
-            recordLearned(read.get(), nowNanos);
+            recordUpdated(read.get(), nowNanos);
         }
     }
 
-    private boolean finishes(long answeredOperation) {
-        if (!operationInFlight || answeredOperation != operation) {
+    private boolean completeOperation(long answeredOperation) {
+        if (!operationInFlight || answeredOperation != lastOperation) {
             return false;
         }
         operationInFlight = false;
         return true;
     }
 
-    private void askWitnesses(long nowNanos, List<TakeoverAction> actions) {
+    private void requestRefusals(long nowNanos, List<TakeoverAction> actions) {
         for (MemberId witness : target.member().witnesses()) {
-            Long againNanos = askAgainNanos.get(witness);
-            if (!refusals.contains(witness) && (againNanos == null || nowNanos - againNanos >= 0)) {
-                askAgainNanos.put(witness, nowNanos + timing.heartbeatNanos());
-                actions.add(new TakeoverAction.AskRefusal(witness, target.revision()));
+            Long nextNanos = nextRequestNanos.get(witness);
+            if (!refusals.contains(witness) && (nextNanos == null || nowNanos - nextNanos >= 0)) {
+                nextRequestNanos.put(witness, nowNanos + timing.heartbeatNanos());
+                actions.add(new TakeoverAction.RequestRefusal(witness, target.revision()));
             }
         }
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
@@ -7,7 +7,7 @@
 /** What the driver of a {@link Takeover} has to do. Immutable. */
 public sealed interface TakeoverAction {
     /** Ask a witness to refuse the member and report its answer with the revision. */
-    record AskRefusal(MemberId witness, Revision recordRevision) implements TakeoverAction {}
+    record RequestRefusal(MemberId witness, Revision recordRevision) implements TakeoverAction {}
 
     /** Write the sealed record on condition of a revision and report the result. */
     record Seal(long operation, Member sealed, Revision expected) implements TakeoverAction {}
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
@@ -14,14 +14,14 @@
  * from the arrival of its answer. Not thread safe.
  */
 final class VoteTable {
-    private static final int KEPT_HEARTBEATS = 64;
+    private static final int MAX_SENT_HEARTBEATS = 64;
 
     private record SentHeartbeat(Revision recordRevision, long sentAtNanos) {}
 
     private final LeaseTiming timing;
     private final long startNanos;
-    private final Map<MemberId, Long> votedNanos = new HashMap<>();
-    private final Map<Long, SentHeartbeat> sent = new LinkedHashMap<>();
+    private final Map<MemberId, Long> voteSentNanos = new HashMap<>();
+    private final Map<Long, SentHeartbeat> sentHeartbeats = new LinkedHashMap<>();
     private long sequence;
     private OptionalLong lastHeartbeatNanos = OptionalLong.empty();
     private long storeVoteUntilNanos;
@@ -39,54 +39,54 @@
     /** Notes a round of heartbeats and returns its sequence number. */
     long heartbeatSent(Revision recordRevision, long nowNanos) {
         sequence++;
-        sent.put(sequence, new SentHeartbeat(recordRevision, nowNanos));
-        sent.remove(sequence - KEPT_HEARTBEATS);
+        sentHeartbeats.put(sequence, new SentHeartbeat(recordRevision, nowNanos));
+        sentHeartbeats.remove(sequence - MAX_SENT_HEARTBEATS);
         lastHeartbeatNanos = OptionalLong.of(nowNanos);
         return sequence;
     }
 
-    void granted(MemberId witness, long answeredSequence) {
-        SentHeartbeat heartbeat = sent.get(answeredSequence);
+    void recordVote(MemberId witness, long answeredSequence) {
+        SentHeartbeat heartbeat = sentHeartbeats.get(answeredSequence);
         if (heartbeat != null) {
-            votedNanos.merge(witness, heartbeat.sentAtNanos(), Nanos::later);
+            voteSentNanos.merge(witness, heartbeat.sentAtNanos(), Nanos::later);
         }
     }
 
     /** Record revision that a heartbeat carried; {@link Revision#NONE} if it is no longer known. */
     Revision revisionOf(long answeredSequence) {
-        SentHeartbeat heartbeat = sent.get(answeredSequence);
+        SentHeartbeat heartbeat = sentHeartbeats.get(answeredSequence);
         return heartbeat == null ? Revision.NONE : heartbeat.recordRevision();
     }
 
-    void storeVoted(long sentAtNanos) {
+    void recordStoreVote(long sentAtNanos) {
         storeVoteUntilNanos = Nanos.later(storeVoteUntilNanos, sentAtNanos + timing.ttlNanos());
     }
 
     OptionalLong lastVoteNanos(MemberId witness) {
-        Long voted = votedNanos.get(witness);
+        Long voted = voteSentNanos.get(witness);
         return voted == null ? OptionalLong.empty() : OptionalLong.of(voted);
     }
 
     /** Forgets votes of all others. */
-    void retain(Set<MemberId> witnesses) {
-        votedNanos.keySet().retainAll(witnesses);
+    void retainVotes(Set<MemberId> witnesses) {
+        voteSentNanos.keySet().retainAll(witnesses);
     }
 
     /** Time until which a majority of the witnesses and the store is fresh. */
     long validUntilNanos(List<MemberId> witnesses) {
-        return nthLatest(witnesses, storeVoteUntilNanos);
+        return majorityUntilNanos(witnesses, storeVoteUntilNanos);
     }
 
     /** Time until which the witnesses alone are a majority of all votes. */
     long witnessMajorityUntilNanos(List<MemberId> witnesses) {
-        return nthLatest(witnesses, startNanos);
+        return majorityUntilNanos(witnesses, startNanos);
     }
 
-    private long nthLatest(List<MemberId> witnesses, long storeUntilNanos) {
+    private long majorityUntilNanos(List<MemberId> witnesses, long storeUntilNanos) {
         long[] until = new long[witnesses.size() + 1];
         until[0] = storeUntilNanos;
         for (int i = 0; i < witnesses.size(); i++) {
-            Long voted = votedNanos.get(witnesses.get(i));
+            Long voted = voteSentNanos.get(witnesses.get(i));
             until[i + 1] = voted == null ? startNanos : voted + timing.ttlNanos();
         }
         return kthLargest(until, Quorum.majority(witnesses.size()));
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -22,7 +22,7 @@
      *
      * @param retryAfterNanos time after which a refusal may be possible; 0 if granted
      */
-    public record Decision(boolean granted, long retryAfterNanos) {}
+    public record RefusalDecision(boolean granted, long retryAfterNanos) {}
 
     private static final class Entry {
         private OptionalLong lastAckNanos = OptionalLong.empty();
@@ -33,8 +33,8 @@
     private final LeaseTiming timing;
     private final int maxMembers;
     private final LinkedHashMap<MemberId, Entry> entries = new LinkedHashMap<>(16, 0.75f, true);
-    private OptionalLong forgottenAckNanos = OptionalLong.empty();
-    private Revision forgottenRefusal = Revision.NONE;
+    private OptionalLong evictedAckNanos = OptionalLong.empty();
+    private Revision evictedRefusal = Revision.NONE;
 
     public Witness(LeaseTiming timing, int maxMembers) {
         if (maxMembers < 1) {
@@ -45,7 +45,7 @@
     }
 
     /** Whether a heartbeat is acknowledged. The caller sends the acknowledgement after this call. */
-    public boolean heartbeat(MemberId member, Revision recordRevision, long nowNanos) {
+    public boolean acceptHeartbeat(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (!recordRevision.isNewerThan(entry.refusedUpTo)) {
             return false;
@@ -58,21 +58,21 @@
     }
 
     /** Whether the member is refused at a record revision; a taker with an outdated revision gets no refusal. */
-    public Decision refuse(MemberId member, Revision recordRevision, long nowNanos) {
+    public RefusalDecision requestRefusal(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (entry.highestSeen.isNewerThan(recordRevision)) {
-            return new Decision(false, timing.expiryNanos());
+            return new RefusalDecision(false, timing.expiryNanos());
         }
         if (entry.lastAckNanos.isPresent()) {
             long ageNanos = nowNanos - entry.lastAckNanos.getAsLong();
             if (ageNanos <= timing.expiryNanos()) {
-                return new Decision(false, timing.expiryNanos() - ageNanos + 1);
+                return new RefusalDecision(false, timing.expiryNanos() - ageNanos + 1);
             }
         }
         if (recordRevision.isNewerThan(entry.refusedUpTo)) {
             entry.refusedUpTo = recordRevision;
         }
-        return new Decision(true, 0);
+        return new RefusalDecision(true, 0);
     }
 
     /** When this witness last acknowledged a heartbeat of a member; empty if it has not or no longer knows. */
@@ -87,26 +87,26 @@
             return known;
         }
         Entry fresh = new Entry();
-        fresh.lastAckNanos = forgottenAckNanos;
-        fresh.refusedUpTo = forgottenRefusal;
+        fresh.lastAckNanos = evictedAckNanos;
+        fresh.refusedUpTo = evictedRefusal;
         entries.put(member, fresh);
         if (entries.size() > maxMembers) {
-            forgetOldest();
+            evictLeastRecentlyUsed();
         }
         return fresh;
     }
 
-    private void forgetOldest() {
+    private void evictLeastRecentlyUsed() {
         Iterator<Map.Entry<MemberId, Entry>> oldest = entries.entrySet().iterator();
         Entry entry = oldest.next().getValue();
         oldest.remove();
         if (entry.lastAckNanos.isPresent()) {
             long ack = entry.lastAckNanos.getAsLong();
-            forgottenAckNanos = OptionalLong.of(
-                    forgottenAckNanos.isPresent() ? Nanos.later(ack, forgottenAckNanos.getAsLong()) : ack);
+            evictedAckNanos = OptionalLong.of(
+                    evictedAckNanos.isPresent() ? Nanos.later(ack, evictedAckNanos.getAsLong()) : ack);
         }
-        if (entry.refusedUpTo.isNewerThan(forgottenRefusal)) {
-            forgottenRefusal = entry.refusedUpTo;
+        if (entry.refusedUpTo.isNewerThan(evictedRefusal)) {
+            evictedRefusal = entry.refusedUpTo;
         }
     }
 }
