--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendCall.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendCall.java
@@ -6,6 +6,6 @@
 /**
  * One execution of a request by a backend server. Immutable.
  *
- * @param fence fence of the key's range; {@link Generation#NONE} for a service not divided by key
+ * @param fence fencing token of the key's range; {@link Generation#NONE} for an unkeyed service
  */
 public record BackendCall(CallerRequest request, Generation fence) {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendHealth.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendHealth.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.kernel.backend;
 
 /**
- * What a backend server says of itself; it may lag or mislead. Immutable.
+ * Health that a backend server reports about itself; it may be stale or wrong. Immutable.
  *
- * @param load requests in execution or waiting, as reported
+ * @param load number of requests that are queued or executing, as reported
  */
 public record BackendHealth(boolean healthy, boolean draining, int load) {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
@@ -8,45 +8,53 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A backend server. Implementations are thread safe and never block the caller.
+ * Client of one backend server. Implementations are thread safe and never block the caller.
  *
- * <p>Futures fail with a {@link org.coriandercrank.kernel.code.CrankException}: {@code BACKEND_UNAVAILABLE},
- * {@code FENCE_REJECTED}, {@code OVERLOADED} or {@code DEADLINE_EXPIRED} if the server certainly did not execute the
- * call, {@code OUTCOME_UNKNOWN} if it may have.
+ * <p>Futures fail with a {@link org.coriandercrank.kernel.code.CrankException}: {@code BACKEND_UNAVAILABLE}, {@code
+ * FENCE_REJECTED}, {@code OVERLOADED} or {@code DEADLINE_EXPIRED} if the server definitely did not execute the call,
+ * {@code OUTCOME_UNKNOWN} if it may have executed it.
  */
 public interface BackendServer extends AutoCloseable {
-    /** Sends a call exactly once over a pooled connection. */
+    /** Sends a call over a pooled connection; never sends it a second time. */
     CompletableFuture<CallerAnswer> execute(BackendCall call);
 
-    /** Asks the server to stop a call, if it can; the future of the call still decides. */
+    /**
+     * Asks the server to stop a call, if the server supports this. The future of {@link #execute} still reports the
+     * outcome.
+     */
     void cancel(RequestId requestId);
 
     /**
-     * Replaces the granted ranges.
+     * Replaces the set of granted ranges.
      *
-     * @return the sequence that the server has after the call; larger than that of the grant if it was rejected as old
+     * @return the sequence of the latest grant that the server accepted; larger than the sequence of {@code grant} if
+     *     the server rejected {@code grant} as outdated
      */
     CompletableFuture<Long> grant(Grant grant);
 
-    /** What the server left of released ranges that overlap a range, as far as it is known; each is returned once. */
+    /**
+     * Returns and removes the handover tokens of released ranges that overlap a range and whose tokens have arrived.
+     */
     default List<Handover> takeHandovers(KeyRange range) {
         return List.of();
     }
 
     /**
-     * Whether the server may hold part of a range that this process did not grant, left over from a former process of the
-     * daemon. Until a grant without the range is acknowledged, or such a grant has lapsed, nobody else may get the range.
+     * Whether the server may still hold a grant for part of a range that an earlier process of this daemon issued. No
+     * other server may be granted the range until the server acknowledges a grant without it or the earlier grant has
+     * expired.
      */
     default boolean mayHoldEarlierGrant(KeyRange range) {
         return false;
     }
 
-    /** Tells the server that it gets no new work. */
+    /** Tells the server that it will receive no new requests. */
     CompletableFuture<Void> drain();
 
+    /** Asks the server for its health. */
     CompletableFuture<BackendHealth> health();
 
-    /** Whether the process of the server is there. Never fails. */
+    /** Checks whether the process of the server is running. The future never fails. */
     default CompletableFuture<ProbeResult> probe() {
         return health().handle((health, failure) -> failure == null ? ProbeResult.ANSWERED : ProbeResult.SILENT);
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/Grant.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/Grant.java
@@ -6,23 +6,24 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The complete set of ranges that a backend server may serve, replacing the set before it. Immutable.
+ * The complete set of ranges that a backend server may serve; replaces the set of the previous grant. Immutable.
  *
- * @param sequence grows with each grant to a server; the server rejects an older one
- * @param validityMs time after which the server must reject work unless granted again; counts from the sending of the
- *     grant where the server can tell it, else from its arrival
+ * @param sequence increases with each grant to a server; the server rejects a grant whose sequence is lower than the
+ *     latest
+ * @param validityMs time in milliseconds after which the server must reject requests unless it receives another grant;
+ *     starts when the grant is sent if the server can determine that moment, otherwise when the grant arrives
  */
 public record Grant(long sequence, List<GrantedRange> ranges, long validityMs) {
     /**
-     * A range and its fence. Immutable.
+     * A range with its fencing token. Immutable.
      *
-     * @param handover token that the last server of the range left; empty if there is none
+     * @param handover token that the previous server of the range left; empty if there is none
      */
     public record GrantedRange(
             KeyRange range,
             Generation fence,
             @JsonInclude(JsonInclude.Include.NON_EMPTY) String handover) {
-        /** A range whose last server left nothing. */
+        /** A range without a handover token. */
         public GrantedRange(KeyRange range, Generation fence) {
             this(range, fence, "");
         }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/ProbeResult.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/ProbeResult.java
@@ -1,13 +1,13 @@
 package org.coriandercrank.kernel.backend;
 
-/** What a call to a backend server tells of its process. */
+/** What a probe of a backend server reveals about its process. */
 public enum ProbeResult {
-    /** It answered, whatever the answer was. */
+    /** The server answered, whatever the status was. */
     ANSWERED,
 
-    /** Nothing listens at its address. */
+    /** Nothing listens at the address of the server. */
     REFUSED,
 
-    /** There was no answer in time; the process may be suspended, cut off or busy. */
+    /** No answer arrived within the timeout; the process may be suspended, unreachable or overloaded. */
     SILENT
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/package-info.java
@@ -1,2 +1,2 @@
-/** The interface of a backend server. */
+/** Client interface of a backend server. */
 package org.coriandercrank.kernel.backend;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/CrankException.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/CrankException.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ExecutionException;
 
-/** A failure with a numbered result code; the form in which futures fail. Immutable. */
+/** A failure with a numbered result code. Asynchronous operations fail with it. Immutable. */
 public final class CrankException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -23,7 +23,10 @@
         return code;
     }
 
-    /** Unwraps future wrappers; a failure without a code becomes {@link ResultCode#INTERNAL}. */
+    /**
+     * Unwraps {@link CompletionException} and {@link ExecutionException}; a failure without a result code becomes
+     * {@link ResultCode#INTERNAL}.
+     */
     public static CrankException of(Throwable failure) {
         Throwable current = failure;
         while ((current instanceof CompletionException || current instanceof ExecutionException)
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/Outcome.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/Outcome.java
@@ -1,10 +1,10 @@
 package org.coriandercrank.kernel.code;
 
-/** What the system knows about the execution of a request. */
+/** Whether a request was executed, as far as the system knows. */
 public enum Outcome {
-    /** The backend server executed the request and its answer is attached. */
+    /** The backend server executed the request; its response is attached. */
     RUN("run"),
-    /** The request was not executed and no later execution of this attempt can happen. */
+    /** The request was not executed, and this attempt will never be executed. */
     NOT_RUN("not-run"),
     /** The request may have been executed. */
     UNKNOWN("unknown");
@@ -15,7 +15,7 @@
         this.headerValue = headerValue;
     }
 
-    /** Value of the header {@code Crank-Outcome}. */
+    /** Value of the response header {@code Crank-Outcome}. */
     public String headerValue() {
         return headerValue;
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
@@ -7,9 +7,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Numbered results. A number is never reused for another meaning; {@code docs/RESULT_CODES.md} has the table.
+ * Numbered result codes, listed in {@code docs/RESULT_CODES.md}. A number is never reused for another meaning.
  *
- * <p>The HTTP status is what a caller or operator sees when the system itself answers; with {@link #OK} it is the
+ * <p>The HTTP status is sent when the system itself generates the response; a response with {@link #OK} carries the
  * status of the backend server.
  */
 public enum ResultCode {
@@ -30,10 +30,10 @@
     OVERLOADED(200, 503, Outcome.NOT_RUN, "the queue of the backend server is full"),
     NO_OWNER(201, 503, Outcome.NOT_RUN, "no server owns the key at present"),
     OWNER_UNREACHABLE(202, 503, Outcome.NOT_RUN, "the daemon of the owner cannot be reached"),
-    NOT_OWNER(203, 503, Outcome.NOT_RUN, "the asked daemon does not own the key"),
+    NOT_OWNER(203, 503, Outcome.NOT_RUN, "the daemon that received the request does not own the key"),
     LEASE_LAPSED(204, 503, Outcome.NOT_RUN, "the owner has no valid lease"),
     RANGE_MOVING(205, 503, Outcome.NOT_RUN, "the range is being moved to another server"),
-    DRAINING(206, 503, Outcome.NOT_RUN, "the server is leaving and takes no new work"),
+    DRAINING(206, 503, Outcome.NOT_RUN, "the server is draining and accepts no new requests"),
     DEADLINE_EXPIRED(207, 504, Outcome.NOT_RUN, "the deadline passed before the request was sent to a server"),
     CANCELLED(208, 499, Outcome.NOT_RUN, "the caller cancelled before the request was sent to a server"),
     BACKEND_UNAVAILABLE(209, 503, Outcome.NOT_RUN, "the backend server cannot be reached or refused the request"),
@@ -49,15 +49,15 @@
     RECORD_LOST(302, 409, Outcome.UNKNOWN, "the idempotency key may be older than the records of the owner"),
     CANCELLED_RUNNING(303, 499, Outcome.UNKNOWN, "the caller cancelled while a server had the request"),
 
-    NOTE_UNREADABLE(400, 400, Outcome.NOT_RUN, "the release note is not valid JSON of the published form"),
-    NOTE_INVALID(401, 422, Outcome.NOT_RUN, "the release note has faults; each is listed"),
+    NOTE_UNREADABLE(400, 400, Outcome.NOT_RUN, "the release note is not JSON of the documented format"),
+    NOTE_INVALID(401, 422, Outcome.NOT_RUN, "the release note has errors; each is listed"),
     NOTE_CONFLICT(402, 409, Outcome.NOT_RUN, "the configuration changed since the revision the note is based on"),
-    NOTE_NOT_IN_FORCE(403, 504, Outcome.UNKNOWN, "accepted, but not in force on all daemons in the time given"),
+    NOTE_NOT_IN_FORCE(403, 504, Outcome.UNKNOWN, "accepted, but not active on all daemons within the timeout"),
     NOTE_ID_REUSED(404, 409, Outcome.NOT_RUN, "the note id was used before for a different note"),
 
     SETTING_INVALID(500, 400, Outcome.NOT_RUN, "a setting is missing, malformed or out of range"),
 
-    STORE_UNAVAILABLE(600, 503, Outcome.NOT_RUN, "the object store did not take the call"),
+    STORE_UNAVAILABLE(600, 503, Outcome.NOT_RUN, "the object store cannot be reached or rejected the call"),
     REVISION_CONFLICT(601, 409, Outcome.NOT_RUN, "the object has another revision than expected"),
     WRITE_UNANSWERED(602, 504, Outcome.UNKNOWN, "a write was sent to the object store and its answer was lost"),
     STORE_MALFORMED(603, 500, Outcome.NOT_RUN, "an object or answer of the store cannot be read"),
@@ -86,7 +86,7 @@
         this.description = description;
     }
 
-    /** The code with a number, or empty if there is none. */
+    /** The code with the given number, or empty if there is none. */
     public static Optional<ResultCode> ofNumber(int number) {
         return Optional.ofNullable(BY_NUMBER.get(number));
     }
@@ -107,7 +107,7 @@
         return description;
     }
 
-    /** Whether the same request may succeed later without a change by the caller. */
+    /** Whether the same request may succeed later without a change by the caller: the codes from 200 to 299. */
     public boolean isRetryable() {
         return number >= 200 && number < 300;
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SerialExecutor.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SerialExecutor.java
@@ -8,27 +8,29 @@
 import org.coriandercrank.kernel.code.ResultCode;
 
 /**
- * Runs the tasks of one part of a daemon one at a time, in the order in which they were offered.
+ * Executor of one component of a daemon. It runs tasks one at a time, in the order in which they were offered, from a
+ * bounded queue.
  *
- * <p>Implementations are thread safe. State of the part is touched only by its tasks. A task that throws is logged and
- * does not end the duty. A task whose offer returned true runs, also if the duty is closed meanwhile.
+ * <p>Implementations are thread safe. Only tasks of the executor access the state of the component, which therefore
+ * needs no locks. An exception that a task throws is logged, and the executor continues with the next task. A task
+ * whose offer returned true is run even if the executor is closed in the meantime.
  */
 public interface SerialExecutor extends Executor, AutoCloseable {
-    /** Makes the duties of a process. */
+    /** Creates the executors of a process. */
     @FunctionalInterface
     interface Factory {
-        /** @param capacity tasks that may wait */
+        /** @param capacity maximum number of queued tasks */
         SerialExecutor create(String name, int capacity);
     }
 
-    /** Queues a task; false if the duty is full or closed. */
+    /** Queues a task; returns false if the queue is full or the executor is closed. */
     boolean offer(Runnable task);
 
-    /** Queues a task; throws {@link RejectedExecutionException} if the duty is full or closed. */
+    /** Queues a task; throws {@link RejectedExecutionException} if the queue is full or the executor is closed. */
     @Override
     void execute(Runnable task);
 
-    /** Runs a task on the duty; the future fails with {@code OVERLOADED} if the duty is full. */
+    /** Queues a task and returns its result; the future fails with {@code OVERLOADED} if the task was not accepted. */
     default <T> CompletableFuture<T> call(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         boolean queued = offer(() -> {
@@ -39,12 +41,13 @@
             }
         });
         if (!queued) {
-            result.completeExceptionally(new CrankException(ResultCode.OVERLOADED, "the duty takes no task"));
+            result.completeExceptionally(
+                    new CrankException(ResultCode.OVERLOADED, "the task queue is full or the executor is closed"));
         }
         return result;
     }
 
-    /** Takes no further tasks; those already queued run. */
+    /** Rejects further tasks; the tasks already queued are run. */
     @Override
     void close();
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SingleThreadExecutor.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/SingleThreadExecutor.java
@@ -7,28 +7,32 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * A thread with one duty, fed by a bounded ring of tasks.
+ * Serial executor on a thread of its own, with a bounded queue of tasks.
  *
- * <p>Thread safe: any thread may offer tasks. Tasks run one at a time, in the order of the ring; state of the duty is
- * touched only by them. A task that throws, also an {@link Error}, is logged and does not end the thread. A task whose
- * offer returned true runs, also if the duty is closed meanwhile.
+ * <p>Thread safe: any thread may offer tasks. A task that throws, also an {@link Error}, is logged and does not end the
+ * thread.
  */
 public final class SingleThreadExecutor implements SerialExecutor {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+    /** Number of polls of an empty queue before the thread parks. */
     private static final int SPINS_BEFORE_PARK = 100;
-    private static final long PARK_NANOS = 1_000_000_000;
-    private static final long CLOSE_WAIT_MS = 2_000;
 
-    private final MpscArrayQueue<Runnable> ring;
+    private static final long MAX_PARK_NANOS = 1_000_000_000;
+    private static final long CLOSE_TIMEOUT_MS = 2_000;
+
+    private final MpscArrayQueue<Runnable> tasks;
     private final Thread thread;
-    /** Offers in progress; the thread ends only when there are none, so that no accepted task stays in the ring. */
-    private final AtomicInteger offering = new AtomicInteger();
+    /**
+     * Number of threads in {@link #offer}. The thread ends only while this is 0, so that no accepted task is left in
+     * the queue.
+     */
+    private final AtomicInteger offersInProgress = new AtomicInteger();
 
     private volatile boolean closed;
     private volatile boolean parked;
 
-    public SingleThreadExecutor(String name, int ringCapacity) {
-        ring = new MpscArrayQueue<>(ringCapacity);
+    public SingleThreadExecutor(String name, int capacity) {
+        tasks = new MpscArrayQueue<>(capacity);
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
         thread.start();
@@ -36,13 +40,13 @@
 
     @Override
     public boolean offer(Runnable task) {
-        offering.incrementAndGet();
+        offersInProgress.incrementAndGet();
         try {
-            if (closed || !ring.offer(task)) {
+            if (closed || !tasks.offer(task)) {
                 return false;
             }
         } finally {
-            offering.decrementAndGet();
+            offersInProgress.decrementAndGet();
         }
         if (parked) {
             LockSupport.unpark(thread);
@@ -50,15 +54,16 @@
         return true;
     }
 
-    /** Queues a task; throws {@link RejectedExecutionException} if the ring is full or the duty is closed. */
+    /** Queues a task; throws {@link RejectedExecutionException} if the queue is full or the executor is closed. */
     @Override
     public void execute(Runnable task) {
         if (!offer(task)) {
-            throw new RejectedExecutionException(thread.getName() + " takes no task");
+            throw new RejectedExecutionException(
+                    thread.getName() + ": the task queue is full or the executor is closed");
         }
     }
 
-    /** Whether the calling thread is the thread of this duty. */
+    /** Whether the calling thread is the thread of this executor. */
     public boolean isCurrentThread() {
         return Thread.currentThread() == thread;
     }
@@ -66,12 +71,12 @@
     private void run() {
         int idleSpins = 0;
         while (true) {
-            Runnable task = ring.poll();
+            Runnable task = tasks.poll();
             if (task != null) {
                 idleSpins = 0;
-                runSafely(task);
+                runLoggingFailure(task);
             } else if (closed) {
-                if (offering.get() == 0 && ring.isEmpty()) {
+                if (offersInProgress.get() == 0 && tasks.isEmpty()) {
                     return;
                 }
                 Thread.onSpinWait();
@@ -86,13 +91,13 @@
 
     private void park() {
         parked = true;
-        if (ring.isEmpty() && !closed) {
-            LockSupport.parkNanos(this, PARK_NANOS);
+        if (tasks.isEmpty() && !closed) {
+            LockSupport.parkNanos(this, MAX_PARK_NANOS);
         }
         parked = false;
     }
 
-    private void runSafely(Runnable task) {
+    private void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
@@ -100,7 +105,10 @@
         }
     }
 
-    /** Runs the tasks already queued, then ends the thread; waits at most 2 s. */
+    /**
+     * Runs the tasks already queued, then ends the thread. Waits for its end for at most 2 s, and not at all if called
+     * from the thread itself.
+     */
     @Override
     public void close() {
         closed = true;
@@ -109,7 +117,7 @@
             return;
         }
         try {
-            thread.join(CLOSE_WAIT_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** Threads for duties, joined by bounded rings. */
+/** Serial executors, which run the tasks of one component in order. */
 package org.coriandercrank.kernel.concurrent;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/AcceptedNote.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/AcceptedNote.java
@@ -5,10 +5,10 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * A release note that made a configuration. Immutable.
+ * A release note that was applied to the configuration. Immutable.
  *
- * @param basedOn revision of the configuration that it replaced
- * @param touched what it added, changed or withdrew, such as {@code services/counter-desk}
+ * @param basedOn revision of the configuration that the note replaced
+ * @param touched entries that the note added, changed or removed, such as {@code services/counter-desk}
  */
 public record AcceptedNote(NoteId id, Revision basedOn, List<String> touched) {
     public AcceptedNote {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/BackendRule.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/BackendRule.java
@@ -1,12 +1,12 @@
 package org.coriandercrank.kernel.config;
 
 /**
- * Rule for a backend server, by the name that it announces. A server without a rule has weight 100 and is admitted.
+ * Rule for the backend server that announces a given name. A server without a rule has weight 100 and does not drain.
  *
  * <p>Immutable.
  *
- * @param weightPercent relative capacity, 0 to 1000; 0 places nothing on it
- * @param drain whether the server gives up its ranges and takes no new work
+ * @param weightPercent relative capacity in percent, 0 to 1000; a server of weight 0 is assigned nothing
+ * @param drain whether the server gives up its ranges and receives no new requests
  */
 public record BackendRule(String backendName, int weightPercent, boolean drain) {
     public static final int DEFAULT_WEIGHT_PERCENT = 100;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Configuration.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Configuration.java
@@ -6,11 +6,11 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * The whole configuration, content of the object {@code config/current}.
+ * The complete configuration, stored in the object {@code config/current}.
  *
- * <p>Immutable. Its revision is the store revision of the object. {@code recentNotes} holds the latest
- * accepted notes, newest first, so that an unanswered submission can be resolved. A configuration that was stored
- * without routes has none.
+ * <p>Immutable. Its revision is the store revision of that object. {@code recentNotes} holds the most recently accepted
+ * release notes, newest first, so that a submitter who received no answer can find out whether its note was accepted. A
+ * stored configuration without {@code routes} has no routes.
  */
 public record Configuration(
         List<ServiceConfig> services, List<BackendRule> backends, List<AcceptedNote> recentNotes, List<Route> routes) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Locality.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Locality.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Arrays;
 
-/** Which servers of a service that is not divided by key are preferred for a request. */
+/** Which servers of an unkeyed service a daemon prefers for a request. */
 public enum Locality {
-    /** All servers alike. */
+    /** No preference. */
     ANY("any"),
-    /** Servers of the own region first. */
+    /** Servers in the region of the daemon first. */
     REGION_FIRST("region-first"),
-    /** Servers of the own failure domain first, then those of the own region. */
+    /** Servers in the failure domain of the daemon first, then servers in its region. */
     DOMAIN_FIRST("domain-first");
 
     private final String text;
@@ -19,13 +19,17 @@
         this.text = text;
     }
 
-    /** The locality with a text of the configuration; fails with {@link IllegalArgumentException} if there is none. */
+    /**
+     * Parses the value that release notes and the stored configuration use.
+     *
+     * @throws IllegalArgumentException if no locality has this value
+     */
     @JsonCreator
     public static Locality parse(String text) {
         return Arrays.stream(values())
                 .filter(locality -> locality.text.equals(text))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no locality " + text));
+                .orElseThrow(() -> new IllegalArgumentException("unknown locality: " + text));
     }
 
     /** Value in release notes and in the stored configuration. */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/RequestRules.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/RequestRules.java
@@ -1,11 +1,11 @@
 package org.coriandercrank.kernel.config;
 
 /**
- * What the route of a request allows, and how much the request matters. Immutable.
+ * Rules that a route sets for its requests. Immutable.
  *
- * @param repeatable whether the request may run more than once
- * @param maxServers most backend servers to which the request may be sent
- * @param priority rank of the request; 0 is the highest
- * @param latencyObjectiveMs time within which an answer has its full worth
+ * @param repeatable whether a request may be executed more than once
+ * @param maxServers maximum number of backend servers to which one request may be sent
+ * @param priority priority of a request; 0 is the highest
+ * @param latencyObjectiveMs target response time in milliseconds; a later answer is worth less
  */
 public record RequestRules(boolean repeatable, int maxServers, int priority, long latencyObjectiveMs) {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Route.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/Route.java
@@ -4,16 +4,16 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * Rule that sends the requests of a host name and path prefix to services. Immutable.
+ * Rule that sends requests for a host name and path prefix to services. Immutable.
  *
- * @param host value of the request's host field, without port
- * @param pathPrefix begins and ends with a slash
- * @param targets services that share the requests in proportion to their weights
- * @param repeatable whether a request may run more than once
- * @param maxServers most backend servers to which one request may be sent
- * @param timeoutMs longest time that a request is kept waiting, whatever its own deadline
- * @param latencyObjectiveMs time within which an answer has its full worth
- * @param priority rank of the requests; 0 is the highest
+ * @param host value of the request header {@code Host}, without port
+ * @param pathPrefix starts and ends with a slash
+ * @param targets services that receive the requests, in proportion to their weights
+ * @param repeatable whether a request may be executed more than once
+ * @param maxServers maximum number of backend servers to which one request may be sent
+ * @param timeoutMs upper limit in milliseconds on the time until a request is answered, also if its deadline is later
+ * @param latencyObjectiveMs target response time in milliseconds; a later answer is worth less
+ * @param priority priority of the requests; 0 is the highest
  */
 public record Route(
         String name,
@@ -25,7 +25,7 @@
         long timeoutMs,
         long latencyObjectiveMs,
         int priority) {
-    /** A service and its share of the requests. Immutable. */
+    /** A service and its share of the requests, relative to the sum of all weights. Immutable. */
     public record Target(ServiceName service, int weight) {
         public Target {
             if (weight < 0) {
@@ -37,7 +37,7 @@
     public Route {
         targets = List.copyOf(targets);
         if (!pathPrefix.startsWith("/") || !pathPrefix.endsWith("/")) {
-            throw new IllegalArgumentException("pathPrefix must begin and end with a slash: " + pathPrefix);
+            throw new IllegalArgumentException("pathPrefix must start and end with a slash: " + pathPrefix);
         }
         if (targets.stream().mapToInt(Target::weight).sum() <= 0) {
             throw new IllegalArgumentException("targets need a positive weight");
@@ -47,7 +47,7 @@
         }
     }
 
-    /** What a request on this route may do and how much it matters. */
+    /** The rules for requests on this route. */
     public RequestRules rules() {
         return new RequestRules(repeatable, maxServers, priority, latencyObjectiveMs);
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/RouteIndex.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/RouteIndex.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request. Immutable; built once for a configuration. */
+/** Finds the route of a request. Immutable; built once for each configuration. */
 public final class RouteIndex {
-    /** Routes by host, those with the longest prefix first. */
+    /** Routes by host, sorted by descending length of the prefix. */
     private final Map<String, List<Route>> byHost = new HashMap<>();
 
     public RouteIndex(List<Route> routes) {
@@ -22,7 +22,7 @@
                         .reversed()));
     }
 
-    /** The route of the host with the longest prefix that begins the path. */
+    /** The route of the host with the longest prefix of the path. */
     public Optional<Route> find(String host, String path) {
         for (Route route : byHost.getOrDefault(host, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/ServiceConfig.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/ServiceConfig.java
@@ -4,20 +4,20 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * Rules of one service. Immutable; limits are checked on construction.
+ * Configuration of one service. Immutable; limits are checked on construction.
  *
- * @param keyed whether the service is divided by key
- * @param repeatableMethods HTTP methods that may run more than once
- * @param defaultDeadlineMs deadline of requests that name none
- * @param maxDeadlineMs longest deadline that a caller may ask for
- * @param maxBodyBytes longest request body
- * @param maxQueueLength requests that may wait at one gate beyond the slots of its server
- * @param maxKeySharePercent share of slots and queue that one key may use
+ * @param keyed whether each key of the service is owned by one backend server
+ * @param repeatableMethods HTTP methods whose requests may be executed more than once
+ * @param defaultDeadlineMs deadline in milliseconds of requests that state none
+ * @param maxDeadlineMs maximum deadline in milliseconds that a caller may state
+ * @param maxBodyBytes maximum size of a request body
+ * @param maxQueueLength maximum number of requests that wait at one owner gate while all slots of its server are in use
+ * @param maxKeySharePercent maximum share of slots and queue, in percent, that one key may use
  * @param placementPolicy name of the placement policy
  * @param balancingPolicy name of the balancing policy
- * @param locality which servers are preferred; a stored configuration without it has the default
- * @param keySpaceBits leading bits of a key's position that tell keys apart, at most 64; ranges end only where these
- *     bits change. 0, as in a stored configuration without it, stands for 64
+ * @param locality which servers are preferred; a stored configuration without it has {@link #DEFAULT_LOCALITY}
+ * @param keySpaceBits number of leading bits of a key's hash that distinguish keys, at most 64; ranges end only where
+ *     these bits change. 0, the value in a stored configuration without this field, means 64
  */
 public record ServiceConfig(
         ServiceName name,
@@ -43,9 +43,9 @@
     public static final Locality DEFAULT_LOCALITY = Locality.DOMAIN_FIRST;
     public static final int DEFAULT_KEY_SPACE_BITS = 64;
 
-    private static final int LIMIT_DEADLINE_MS = 600_000;
-    private static final int LIMIT_BODY_BYTES = 8_388_608;
-    private static final int LIMIT_QUEUE_LENGTH = 10_000;
+    private static final int MAX_ALLOWED_DEADLINE_MS = 600_000;
+    private static final int MAX_ALLOWED_BODY_BYTES = 8_388_608;
+    private static final int MAX_ALLOWED_QUEUE_LENGTH = 10_000;
 
     public ServiceConfig {
         repeatableMethods = Set.copyOf(repeatableMethods);
@@ -53,13 +53,13 @@
         keySpaceBits = keySpaceBits == 0 ? DEFAULT_KEY_SPACE_BITS : keySpaceBits;
         checkRange("keySpaceBits", keySpaceBits, 1, DEFAULT_KEY_SPACE_BITS);
         checkRange("defaultDeadlineMs", defaultDeadlineMs, 1, maxDeadlineMs);
-        checkRange("maxDeadlineMs", maxDeadlineMs, 1, LIMIT_DEADLINE_MS);
-        checkRange("maxBodyBytes", maxBodyBytes, 0, LIMIT_BODY_BYTES);
-        checkRange("maxQueueLength", maxQueueLength, 0, LIMIT_QUEUE_LENGTH);
+        checkRange("maxDeadlineMs", maxDeadlineMs, 1, MAX_ALLOWED_DEADLINE_MS);
+        checkRange("maxBodyBytes", maxBodyBytes, 0, MAX_ALLOWED_BODY_BYTES);
+        checkRange("maxQueueLength", maxQueueLength, 0, MAX_ALLOWED_QUEUE_LENGTH);
         checkRange("maxKeySharePercent", maxKeySharePercent, 1, 100);
     }
 
-    /** A service with default rules. */
+    /** A service with the default configuration. */
     public static ServiceConfig withDefaults(ServiceName name, boolean keyed) {
         return new ServiceConfig(
                 name,
@@ -76,6 +76,7 @@
                 DEFAULT_KEY_SPACE_BITS);
     }
 
+    /** Whether requests with this HTTP method may be executed more than once. */
     public boolean isRepeatable(String method) {
         return repeatableMethods.contains(method);
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration that release notes change. */
+/** The configuration, which release notes change. */
 package org.coriandercrank.kernel.config;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/FailureDomain.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/FailureDomain.java
@@ -6,14 +6,14 @@
 /**
  * Name of a failure domain, unique across regions.
  *
- * <p>Immutable. The value consists of 1 to 64 characters {@code [A-Za-z0-9._-]}.
+ * <p>Immutable. The value has 1 to 64 characters of {@code [A-Za-z0-9._-]}.
  */
 public record FailureDomain(@JsonValue String value) implements Comparable<FailureDomain> {
     private static final int MAX_LENGTH = 64;
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public FailureDomain {
-        Names.check("failure domain", value, MAX_LENGTH);
+        IdentifierSyntax.check("failure domain", value, MAX_LENGTH);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Generation.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Generation.java
@@ -4,7 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Version of the assignment table of a service; grows by one with each write. The generation that assigned a range is the fence of the range; {@link #NONE} stands for a table that does not exist.
+ * Version of the assignment table of a service; each write of the table increases it by one. The generation that
+ * assigned a range is the fencing token of the range. {@link #NONE} stands for a table that does not exist.
  *
  * <p>Immutable, not negative.
  */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/HostAddress.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/HostAddress.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** An IP number and a TCP port. Immutable; the IP is not resolved by name service. */
+/** An IP address and a TCP port. Immutable. Host names are not accepted, so no address needs a name lookup. */
 public record HostAddress(String ip, int port) {
     private static final int MAX_PORT = 65_535;
 
     public HostAddress {
         if (ip == null || ip.isEmpty() || !ip.matches("[0-9a-fA-F.:]+")) {
-            throw new IllegalArgumentException("not an IP number: " + ip);
+            throw new IllegalArgumentException("not an IP address: " + ip);
         }
         if (port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("port out of range 0 to " + MAX_PORT + ": " + port);
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Reads {@code ip:port}.
+     * Parses {@code ip:port}.
      *
      * @throws IllegalArgumentException if the text has another form
      */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/IdempotencyKey.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/IdempotencyKey.java
@@ -1,9 +1,9 @@
 package org.coriandercrank.kernel.id;
 
 /**
- * A caller's name for an operation that must run at most once, the same on each attempt.
+ * Identifies an operation that must be executed at most once; the caller sends the same key with each attempt.
  *
- * <p>Immutable; 1 to 128 printable ASCII characters.
+ * <p>Immutable; 1 to 128 printable ASCII characters without spaces.
  */
 public record IdempotencyKey(String value) {
     private static final int MAX_LENGTH = 128;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Key.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Key.java
@@ -4,14 +4,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A key of a service, as the caller wrote it after URL decoding.
+ * A key of a service, after URL decoding.
  *
  * <p>Immutable; 1 to 256 UTF-8 bytes without control characters.
  *
- * @param hash position of the key, the same on every daemon and version
+ * @param hash position of the key in the hash space; the same on every daemon and in every version
  */
 public record Key(String value, KeyHash hash) {
-    /** Bits of a numbered key. */
+    /** Maximum size of a numeric key in bits. */
     public static final int NUMBER_BITS = 16;
 
     private static final int MAX_BYTES = 256;
@@ -28,12 +28,15 @@
         }
     }
 
-    /** A key whose position is a hash of its text. */
+    /** A key whose position is the hash of its text. */
     public Key(String value) {
         this(value, hashOf(value));
     }
 
-    /** A numbered key, whose position keeps the order of the numbers. */
+    /**
+     * A numeric key. Its number forms the leading bits of its position, so that positions have the order of the
+     * numbers.
+     */
     public static Key numbered(int number) {
         if (number < 0 || number >= 1 << NUMBER_BITS) {
             throw new IllegalArgumentException("key number must have at most " + NUMBER_BITS + " bits: " + number);
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/MemberId.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/MemberId.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Id of one incarnation of a daemon; a restarted daemon has a new one.
+ * Identifies one incarnation of a daemon; a restarted daemon gets a new id.
  *
- * <p>Immutable. The value consists of 1 to 96 characters {@code [A-Za-z0-9._-]}.
+ * <p>Immutable. The value has 1 to 96 characters of {@code [A-Za-z0-9._-]}.
  */
 public record MemberId(@JsonValue String value) implements Comparable<MemberId> {
     private static final int MAX_LENGTH = 96;
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public MemberId {
-        Names.check("member id", value, MAX_LENGTH);
+        IdentifierSyntax.check("member id", value, MAX_LENGTH);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/NoteId.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/NoteId.java
@@ -6,14 +6,14 @@
 /**
  * Id of a release note, chosen by its submitter.
  *
- * <p>Immutable. The value consists of 1 to 96 characters {@code [A-Za-z0-9._-]}.
+ * <p>Immutable. The value has 1 to 96 characters of {@code [A-Za-z0-9._-]}.
  */
 public record NoteId(@JsonValue String value) implements Comparable<NoteId> {
     private static final int MAX_LENGTH = 96;
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public NoteId {
-        Names.check("note id", value, MAX_LENGTH);
+        IdentifierSyntax.check("note id", value, MAX_LENGTH);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Region.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Region.java
@@ -6,14 +6,14 @@
 /**
  * Name of a region.
  *
- * <p>Immutable. The value consists of 1 to 64 characters {@code [A-Za-z0-9._-]}.
+ * <p>Immutable. The value has 1 to 64 characters of {@code [A-Za-z0-9._-]}.
  */
 public record Region(@JsonValue String value) implements Comparable<Region> {
     private static final int MAX_LENGTH = 64;
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public Region {
-        Names.check("region", value, MAX_LENGTH);
+        IdentifierSyntax.check("region", value, MAX_LENGTH);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/RequestId.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/RequestId.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Id of one caller request, unique across callers.
+ * Id of one request, unique across callers.
  *
- * <p>Immutable. The value consists of 1 to 128 characters {@code [A-Za-z0-9._-]}.
+ * <p>Immutable. The value has 1 to 128 characters of {@code [A-Za-z0-9._-]}.
  */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
     private static final int MAX_LENGTH = 128;
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public RequestId {
-        Names.check("request id", value, MAX_LENGTH);
+        IdentifierSyntax.check("request id", value, MAX_LENGTH);
     }
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Revision.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/Revision.java
@@ -4,7 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Value of the store's global write counter when an object was written; {@link #NONE} stands for an object that does not exist.
+ * Version of a stored object: the value of the store's global write counter when the object was written. {@link #NONE}
+ * stands for an object that does not exist.
  *
  * <p>Immutable, not negative.
  */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for identifiers and positions. */
+/** Value types for names, ids, versions and positions in the hash space. */
 package org.coriandercrank.kernel.id;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
@@ -6,10 +6,10 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Log of routing or placement decisions, one line each, with an upper bound on lines per second.
+ * Log of routing or placement decisions, one line each, with a limit on lines per second.
  *
- * <p>Thread safe. Lines above the bound are counted and the count is logged once a second. The text of a line is built
- * only if the line is written.
+ * <p>Thread safe. Lines above the limit are dropped and counted; the count is logged when the next one-second window
+ * starts. The text of a line is built only if the line is written.
  */
 public final class DecisionLog {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -20,13 +20,14 @@
     private final AtomicLong windowStartNanos;
     private final AtomicLong lines = new AtomicLong();
 
+    /** @param maxLinesPerSecond 0 disables the log */
     public DecisionLog(long maxLinesPerSecond, MonotonicClock clock) {
         this.maxLinesPerSecond = maxLinesPerSecond;
         this.clock = clock;
         this.windowStartNanos = new AtomicLong(clock.nowNanos());
     }
 
-    /** Logs a line of the form {@code event=... name=value ...}. */
+    /** Logs a line of the form {@code event=... name=value ...}, unless the limit is reached. */
     public void log(Supplier<String> line) {
         if (maxLinesPerSecond <= 0) {
             return;
@@ -37,6 +38,7 @@
         }
     }
 
+    /** Starts a new window after one second and logs how many lines the previous window dropped. */
     private void rollWindow() {
         long now = clock.nowNanos();
         long start = windowStartNanos.get();
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/LineFormatter.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/LineFormatter.java
@@ -6,11 +6,16 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** Writes a log record as one line: time, level, logger, message; stack traces follow. Stateless. */
+/**
+ * Formats a log record as one line of time, level, logger and message; a stack trace follows on further lines.
+ * Stateless.
+ */
 public final class LineFormatter extends Formatter {
+    private static final int INITIAL_LINE_CHARS = 160;
+
     @Override
     public String format(LogRecord logRecord) {
-        StringBuilder line = new StringBuilder(160)
+        StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS)
                 .append(Instant.ofEpochMilli(logRecord.getMillis()))
                 .append(' ')
                 .append(logRecord.getLevel().getName())
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/LogSetup.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/LogSetup.java
@@ -5,7 +5,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Sends log lines of the process to standard error. Call once at start. */
+/** Configures logging to standard error. Call once when the process starts. */
 public final class LogSetup {
     private static final String ROOT_PACKAGE = "org.coriandercrank";
 
@@ -13,12 +13,12 @@
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
     }
 
-    /** Kept so that the level of the logger is not lost to garbage collection. */
+    /** A strong reference: the log manager holds loggers weakly, and a collected logger would lose its level. */
     private static final Logger PROJECT_LOGGER = Logger.getLogger(ROOT_PACKAGE);
 
     private LogSetup() {}
 
-    /** Sets the level of this project's loggers; libraries log warnings and errors only. */
+    /** Sets the level of this project's loggers. Libraries log only warnings and errors. */
     public static void configure(Level level) {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/PersistentLogManager.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/PersistentLogManager.java
@@ -3,11 +3,11 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps handlers until the process ends, so that a planned stop, which runs in a shutdown hook, is logged. The base
- * class removes them in a shutdown hook of its own. Thread safe.
+ * Log manager that keeps its handlers until the process ends. The base class removes them in a shutdown hook, which
+ * would lose the log lines of a graceful shutdown, because that also runs in a shutdown hook. Thread safe.
  */
 public final class PersistentLogManager extends LogManager {
-    /** Does nothing; {@link LogSetup} replaces handlers itself. */
+    /** Does nothing; {@link LogSetup} replaces the handlers itself. */
     @Override
     public void reset() {}
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/package-info.java
@@ -1,2 +1,2 @@
-/** Structured log lines. */
+/** Logging setup and rate-limited decision logs. */
 package org.coriandercrank.kernel.log;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/CancelRequest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/CancelRequest.java
@@ -2,5 +2,5 @@
 
 import org.coriandercrank.kernel.id.RequestId;
 
-/** The caller went away or its deadline passed; no answer. Immutable. */
+/** Cancels a forwarded request because its caller disconnected or its deadline passed. Has no answer. Immutable. */
 public record CancelRequest(RequestId requestId) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/FetchObject.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/FetchObject.java
@@ -2,7 +2,10 @@
 
 import org.coriandercrank.kernel.id.Revision;
 
-/** Asks for the control objects of a kind that are newer than a revision. Immutable. */
+/**
+ * Requests the control objects of one kind that are newer than a revision; the answer is an {@link ObjectData}.
+ * Immutable.
+ */
 public record FetchObject(Kind kind, Revision newerThan) implements Message {
     /** Kinds of control objects. */
     public enum Kind {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/Hello.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/Hello.java
@@ -2,5 +2,5 @@
 
 import org.coriandercrank.kernel.id.MemberId;
 
-/** First message on each connection, in both directions. Immutable. */
+/** Handshake: the first message on each connection, in both directions. Immutable. */
 public record Hello(MemberId sender, int protocolVersion) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/LoadQuery.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/LoadQuery.java
@@ -2,5 +2,5 @@
 
 import org.coriandercrank.kernel.id.MemberId;
 
-/** The planner asks a member for the load of its ranges; the answer is a {@link LoadReport}. Immutable. */
+/** The planner requests the load of the ranges that a member owns; the answer is a {@link LoadReport}. Immutable. */
 public record LoadQuery(MemberId planner) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/LoadReport.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/LoadReport.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.placement.RangeLoad;
 
-/** Load of the ranges that a member owns, for the planner. Immutable. */
+/** Load of the ranges that a member owns; answer to a {@link LoadQuery}. Immutable. */
 public record LoadReport(MemberId member, ServiceName service, Generation tableGeneration, List<RangeLoad> ranges)
         implements Message {
     public LoadReport {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/ObjectData.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/ObjectData.java
@@ -5,10 +5,10 @@
 import org.coriandercrank.kernel.store.StoredObject;
 
 /**
- * Control objects of a kind. Immutable.
+ * Control objects of one kind; answer to a {@link FetchObject}. Immutable.
  *
  * @param upTo the sender knows every change of the kind up to this revision
- * @param reset whether the objects are the whole listing, so that others of the kind no longer exist
+ * @param reset whether the objects are a complete listing; objects of the kind that are not listed no longer exist
  */
 public record ObjectData(FetchObject.Kind kind, Revision upTo, boolean reset, List<StoredObject> objects)
         implements Message {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeAnswer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeAnswer.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 
 /**
- * What became of a request id. Immutable.
+ * State of a request id; answer to an {@link OutcomeQuery}. Immutable.
  *
  * @param answer the final answer, present exactly if the state is {@link State#FINISHED}
  */
@@ -13,11 +13,11 @@
     public enum State {
         /** The request has its final answer. */
         FINISHED,
-        /** The request is queued or at the backend server. */
+        /** The request is queued or was sent to the backend server. */
         RUNNING,
-        /** The request was never admitted and from now on will not be. */
+        /** The request was never admitted, and from now on the gate rejects its id. */
         BARRED,
-        /** The gate cannot tell, because its records do not reach back far enough. */
+        /** The records of the gate do not go back far enough to tell. */
         UNKNOWN
     }
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeQuery.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeQuery.java
@@ -5,5 +5,10 @@
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.id.ServiceName;
 
-/** Asks what became of a request id and bars the id if it was not seen. Immutable. */
+/**
+ * Requests the state of a request id at an owner gate. If the gate has not seen the id, it rejects the id from then on.
+ * Immutable.
+ *
+ * @param keyHash empty for an unkeyed service
+ */
 public record OutcomeQuery(RequestId requestId, ServiceName service, Optional<KeyHash> keyHash) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/Ping.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/Ping.java
@@ -1,4 +1,4 @@
 package org.coriandercrank.kernel.message;
 
-/** Checks that a connection is alive. Immutable. */
+/** Checks whether a connection still works; the answer is a {@link Pong}. Immutable. */
 public record Ping() implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalAnswer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalAnswer.java
@@ -2,5 +2,10 @@
 
 import org.coriandercrank.kernel.id.MemberId;
 
-/** Refusal of a witness, or the time after which the taker may ask again. Immutable. */
+/**
+ * Answer of a witness to a {@link RefusalRequest}. Immutable.
+ *
+ * @param granted whether the witness refuses the member from now on
+ * @param retryAfterMs if not granted, time in milliseconds after which the request may be repeated
+ */
 public record RefusalAnswer(MemberId witness, boolean granted, long retryAfterMs) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
@@ -3,5 +3,8 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
 
-/** A taker asks a witness to refuse a member at a record revision. Immutable. */
+/**
+ * Asks a witness to stop voting for the lease of a member at a record revision, so that the sender can take over.
+ * Immutable.
+ */
 public record RefusalRequest(MemberId member, Revision recordRevision) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/package-info.java
@@ -1,2 +1,2 @@
-/** Typed messages between daemons. */
+/** Messages between daemons. */
 package org.coriandercrank.kernel.message;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/Handover.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/Handover.java
@@ -3,9 +3,10 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * What a backend server leaves with a range that it released, so that the next server need not start cold. Immutable.
+ * Data that a backend server left when it released a range, so that the next server of the range can start warm.
+ * Immutable.
  *
- * @param token opaque; belongs to the servers
+ * @param token opaque to the daemons; passed from one backend server to the next
  */
 public record Handover(KeyRange range, String token) {
     public Handover {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/LeaseView.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/LeaseView.java
@@ -1,12 +1,12 @@
 package org.coriandercrank.kernel.ownership;
 
-/** The lease of this daemon. Thread safe; cheap enough to be read before each request. */
+/** Read access to the lease of this daemon. Thread safe; cheap enough to call before each request. */
 @FunctionalInterface
 public interface LeaseView {
-    /** Monotonic time in nanoseconds until which the lease holds; in the past if it does not. */
+    /** Monotonic time in nanoseconds at which the lease expires; in the past if the lease is not valid. */
     long validUntilNanos();
 
-    /** Whether the lease holds at a monotonic time. */
+    /** Whether the lease is valid at a monotonic time. */
     default boolean isValid(long nowNanos) {
         return validUntilNanos() - nowNanos > 0;
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
@@ -14,31 +14,31 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The only path to the local backend server. Thread safe and never blocks the caller.
+ * The only path to the local backend server. Thread safe; never blocks the caller.
  *
  * <p>The gate sends a request to its server only while the lease is valid, the range of the key is served under its
- * fence, and a slot is free; it checks the lease immediately before it sends.
+ * fencing token, and a slot is free. It checks the lease immediately before it sends.
  */
 public interface OwnerGate {
-    /** Admits, refuses or answers a request from records; the future never fails. */
+    /** Admits a request, rejects it, or answers it from an outcome record. The future never fails. */
     CompletableFuture<CallerAnswer> submit(CallerRequest request);
 
-    /** Stops a request: dequeues it, or asks the backend server to stop it. */
+    /** Cancels a request: removes it from the queue, or asks the backend server to stop it. */
     void cancel(RequestId requestId);
 
-    /** Reports what became of a request id, and bars the id if it was never admitted. */
+    /** Reports the state of a request id. An id that was never admitted is rejected from then on. */
     CompletableFuture<OutcomeAnswer> resolve(OutcomeQuery query);
 
-    /** Uses a backend server that announced itself, in place of the one before. */
+    /** Replaces the backend server by one that announced itself. */
     void attach(BackendInfo info, BackendServer server);
 
     /**
-     * Drops the backend server, which has certainly ended or whose grants have certainly lapsed, and gives up all
-     * ranges at once. Requests that wait are refused.
+     * Removes the backend server, whose process has definitely ended or whose grants have definitely expired, gives up
+     * all ranges immediately and rejects the queued requests.
      */
     void detach();
 
-    /** Sends the backend server in use no further request, and refuses those that wait; it is about to end. */
+    /** Stops sending requests to the backend server, which is about to end, and rejects the queued requests. */
     void stopSending();
 
     /**
@@ -48,25 +48,28 @@
     CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited);
 
     /**
-     * Stops admitting requests of a range (also of a part of a served range), waits for those in flight, revokes the
-     * grant and returns the records. Completes only when no execution for the range can happen any more.
+     * Stops admitting requests for a range, which may be part of a served range, waits for the requests in flight,
+     * revokes the grant and returns the records. Completes only when no request for the range can be executed any more.
      */
     CompletableFuture<TransferredRecords> release(KeyRange range);
 
-    /** Takes no new work at all; completes when nothing is queued or in flight. */
+    /** Rejects all new requests; completes when no request is queued or in flight. */
     CompletableFuture<Void> drain();
 
-    /** Rates per served range since the last seconds. */
+    /** Request rates for each served range, measured over the last seconds. */
     List<RangeLoad> loads();
 
     GateStatus status();
 
-    /** Whether the backend server may hold part of a range that a former process of this daemon granted. */
+    /**
+     * Whether the backend server may still hold a grant for part of a range that an earlier process of this daemon
+     * issued.
+     */
     default boolean mayHoldEarlierGrant(KeyRange range) {
         return false;
     }
 
-    /** How busy the gate is at present; cheap enough to be read with each answer. */
+    /** The current load of the gate; cheap enough to call for each answer. */
     default GateLoad load() {
         return GateLoad.NONE;
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
@@ -10,10 +10,12 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * What a daemon knows of the control objects at one moment. Immutable.
+ * The control objects that a daemon knows at one moment. Immutable.
  *
  * @param self member id of this daemon
  * @param configurationRevision {@link Revision#NONE} until a configuration has been read
+ * @param tables assignment tables by service
+ * @param members member records by id
  */
 public record RoutingSnapshot(
         MemberId self,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingView.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingView.java
@@ -6,15 +6,15 @@
 
 /** Read access to the control objects that this daemon knows. Thread safe. */
 public interface RoutingView {
-    /** The newest snapshot; no object in it ever goes back to an older revision. */
+    /** The latest snapshot. No object in it is ever replaced by an older revision. */
     RoutingSnapshot current();
 
-    /** Calls the listener with each new snapshot, on the control thread; it must not block. */
+    /** Calls the listener with each new snapshot, on the control thread; the listener must not block. */
     void subscribe(Consumer<RoutingSnapshot> listener);
 
     /**
-     * The first snapshot, from the current one on, that satisfies a condition; fails with {@code CALL_TIMEOUT} after
-     * the wait.
+     * Completes with the first snapshot, starting with the current one, that satisfies a condition; fails with {@code
+     * CALL_TIMEOUT} after {@code waitMs} milliseconds.
      */
     CompletableFuture<RoutingSnapshot> await(Predicate<RoutingSnapshot> condition, long waitMs);
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/TransferredRecords.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/TransferredRecords.java
@@ -4,14 +4,14 @@
 import org.coriandercrank.kernel.request.OutcomeRecord;
 
 /**
- * Outcome records that come with a range, and what its last server left. Immutable.
+ * Outcome records and handover tokens that a new owner receives with a range. Immutable.
  *
- * @param completeForMs how far back the records are complete; 0 after a takeover
+ * @param completeForMs age in milliseconds up to which the records are complete; 0 after a takeover
  */
 public record TransferredRecords(long completeForMs, List<OutcomeRecord> records, List<Handover> handovers) {
     public static final TransferredRecords NONE = new TransferredRecords(0, List.of());
 
-    /** Records of a range that nobody owned before: nothing can be missing. */
+    /** For a range that had no owner before, so that no record can be missing. */
     public static final TransferredRecords NEVER_OWNED = new TransferredRecords(Long.MAX_VALUE, List.of());
 
     public TransferredRecords {
@@ -19,7 +19,7 @@
         handovers = List.copyOf(handovers);
     }
 
-    /** Records of a range whose last server left nothing. */
+    /** Records of a range without handover tokens. */
     public TransferredRecords(long completeForMs, List<OutcomeRecord> records) {
         this(completeForMs, records, List.of());
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/package-info.java
@@ -1,2 +1,2 @@
-/** Interfaces between control, gate and ingress. */
+/** Interfaces between control plane, owner gate and ingress. */
 package org.coriandercrank.kernel.ownership;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** Value types, result codes, timer service, rings, plug-in registry and the interfaces between parts. */
+/** Value types, result codes, timer service, executors, plug-in registry and the interfaces between components. */
 package org.coriandercrank.kernel;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/peer/PeerHandlers.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/peer/PeerHandlers.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.coriandercrank.kernel.message.Message;
 
-/** The handlers of a daemon by message type. Thread safe; each type is registered once. */
+/** The message handlers of a daemon, one for each message type. Thread safe. */
 public final class PeerHandlers {
     private final Map<Class<? extends Message>, PeerHandler<?>> handlers = new ConcurrentHashMap<>();
 
@@ -15,7 +15,7 @@
         }
     }
 
-    /** Removes a handler; does nothing if another one is registered. */
+    /** Removes a handler; does nothing if a different handler is registered for the type. */
     public <M extends Message> void unregister(Class<M> type, PeerHandler<M> handler) {
         handlers.remove(type, handler);
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/peer/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The interfaces of links between daemons. */
+/** Interfaces for sending and handling messages between daemons. */
 package org.coriandercrank.kernel.peer;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/BalancingCandidate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/BalancingCandidate.java
@@ -3,13 +3,14 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * A server that may get a request of a service not divided by key. Immutable.
+ * A backend server that may receive a request of an unkeyed service. Immutable.
  *
- * @param inFlight requests of this daemon that the server has at present
- * @param sameFailureDomain whether it is in the failure domain of this daemon
- * @param sameRegion whether it is in the region of this daemon
- * @param weightPercent relative capacity
- * @param expectedMs expected time to an answer without the way there, from what the server told last; 0 if unknown
+ * @param inFlight number of requests that this daemon has sent to the server and that are not answered yet
+ * @param sameFailureDomain whether the server is in the failure domain of this daemon
+ * @param sameRegion whether the server is in the region of this daemon
+ * @param weightPercent relative capacity in percent
+ * @param expectedMs expected response time in milliseconds without network latency, from the latest load that the
+ *     server reported; 0 if unknown
  */
 public record BalancingCandidate(
         Member member,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/PlacementInput.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/PlacementInput.java
@@ -8,15 +8,15 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * What a placement policy decides on. Immutable.
+ * Input of a placement policy. Immutable.
  *
- * @param candidates active members of the service that may get ranges, sorted by id
- * @param table the current table
+ * @param candidates active members of the service that may own ranges, sorted by id
+ * @param table the current assignment table
  * @param loads latest load reports by member; a member without a report is absent
- * @param nowMs monotonic time
- * @param lastChangeMs monotonic time of the last load-driven change
- * @param imbalancedSinceMs monotonic time since which the imbalance has been above the target without a break; equal to
- *     {@code nowMs} if it is not above it
+ * @param nowMs monotonic time in milliseconds
+ * @param lastChangeMs monotonic time of the last change of the table that was made because of load
+ * @param imbalancedSinceMs monotonic time since which the imbalance has continuously exceeded the target; equal to
+ *     {@code nowMs} if it does not exceed the target
  */
 public record PlacementInput(
         Configuration configuration,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/RangeLoad.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/RangeLoad.java
@@ -8,13 +8,13 @@
 /**
  * Load of one owned range. Immutable.
  *
- * @param serving whether the owner serves the range under this fence
- * @param requestsPerSecond smoothed rate
- * @param hotHashes the hashes with the highest rates, highest first
+ * @param serving whether the owner currently serves the range under this fencing token
+ * @param requestsPerSecond smoothed request rate
+ * @param hotHashes the hashes with the highest request rates, in descending order
  */
 public record RangeLoad(
         KeyRange range, Generation fence, boolean serving, double requestsPerSecond, List<HotHash> hotHashes) {
-    /** Rate of one hash. Immutable. */
+    /** Request rate of one hash. Immutable. */
     public record HotHash(KeyHash hash, double requestsPerSecond) {}
 
     public RangeLoad {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Policies for placing ranges and for balancing requests. */
+/** Interfaces of placement and balancing policies. */
 package org.coriandercrank.kernel.placement;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/PluginRegistry.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/PluginRegistry.java
@@ -11,9 +11,11 @@
 import org.coriandercrank.kernel.placement.BalancingPolicy;
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 
-/** What plug-ins offer, by kind and name. Thread safe; a name of a kind is registered once. */
+/**
+ * Adapters and policies of the plug-ins, by kind and name. Thread safe. A name can be registered once for each kind.
+ */
 public final class PluginRegistry {
-    /** A kind of plug-in and the type of what it registers. Immutable. */
+    /** A kind of registered object, and its type. Immutable. */
     public record Kind<T>(String label, Class<T> type) {
         public static final Kind<StoreFactory> STORE = new Kind<>("store adapter", StoreFactory.class);
         public static final Kind<BackendServerFactory> BACKEND =
@@ -24,7 +26,7 @@
 
     private final Map<Kind<?>, Map<String, Object>> entries = new ConcurrentHashMap<>();
 
-    /** A registry of all plug-ins on the class path. */
+    /** Registers all plug-ins on the class path. */
     public static PluginRegistry load() {
         PluginRegistry registry = new PluginRegistry();
         for (Plugin plugin : ServiceLoader.load(Plugin.class)) {
@@ -40,12 +42,13 @@
         }
     }
 
-    /** Fails with {@link ResultCode#SETTING_INVALID} if nothing has the name. */
+    /** Fails with {@link ResultCode#SETTING_INVALID} if nothing is registered under the name. */
     public <T> T get(Kind<T> kind, String name) {
         Object value = entries.getOrDefault(kind, Map.of()).get(name);
         if (value == null) {
             throw new CrankException(
-                    ResultCode.SETTING_INVALID, "no " + kind.label() + " named " + name + "; have " + names(kind));
+                    ResultCode.SETTING_INVALID,
+                    "no " + kind.label() + " named " + name + "; available: " + names(kind));
         }
         return kind.type().cast(value);
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/package-info.java
@@ -1,2 +1,2 @@
-/** The plug-in registry. */
+/** The registry of adapters and policies that plug-ins provide. */
 package org.coriandercrank.kernel.plugin;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/CallerAnswer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/CallerAnswer.java
@@ -7,19 +7,19 @@
 import org.coriandercrank.kernel.code.ResultCode;
 
 /**
- * Final answer to a caller's request.
+ * Final answer to a request of a caller.
  *
- * <p>Immutable by convention: the body array is not changed after construction. With {@link ResultCode#OK} status,
+ * <p>Immutable by convention: the body array is not changed after construction. With {@link ResultCode#OK}, status,
  * headers and body are those of the backend server.
  *
- * @param retryAfterMs when the caller may try again, if that makes sense
+ * @param retryAfterMs time in milliseconds after which the caller may retry; empty if a retry is not advised
  */
 public record CallerAnswer(
         ResultCode code, Outcome outcome, int status, List<Header> headers, byte[] body, OptionalLong retryAfterMs) {
     public CallerAnswer {
         headers = List.copyOf(headers);
         if (code == ResultCode.OK && outcome != Outcome.RUN) {
-            throw new IllegalArgumentException("OK means run, got " + outcome);
+            throw new IllegalArgumentException("result code OK requires the outcome RUN, got " + outcome);
         }
     }
 
@@ -28,12 +28,12 @@
         return new CallerAnswer(ResultCode.OK, Outcome.RUN, status, headers, body, OptionalLong.empty());
     }
 
-    /** Answer of the system itself with the outcome of the code. */
+    /** An answer that the system itself generates, with the outcome of the result code. */
     public static CallerAnswer of(ResultCode code, String detail) {
         return of(code, detail, OptionalLong.empty());
     }
 
-    /** Answer of the system itself that tells the caller when to try again. */
+    /** An answer that the system itself generates and that states when to retry. */
     public static CallerAnswer retryLater(ResultCode code, String detail, long retryAfterMs) {
         return of(code, detail, OptionalLong.of(retryAfterMs));
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/CallerRequest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/CallerRequest.java
@@ -11,15 +11,15 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * A caller's request inside the system.
+ * A request of a caller, as passed between gates and daemons.
  *
  * <p>Immutable by convention: the body array is not changed after construction.
  *
- * @param key empty for a service that is not divided by key
- * @param path path and query as passed on to the backend server, starting with a slash
- * @param remainingMs time left until the deadline when the request was handed over
- * @param idempotencyKeyAgeMs time since the caller's first attempt with the key, if stated
- * @param rules those of the request's route; empty if the rules of its service apply
+ * @param key empty for an unkeyed service
+ * @param path path and query as sent to the backend server, starting with a slash
+ * @param remainingMs time in milliseconds until the deadline, measured when the request was passed on
+ * @param idempotencyKeyAgeMs time in milliseconds since the first attempt of the caller with the key, if stated
+ * @param rules rules of the route of the request; empty if the configuration of its service applies
  */
 public record CallerRequest(
         RequestId id,
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Whether the request may run more than once. */
+    /** Whether the request may be executed more than once. */
     public boolean isRepeatable(ServiceConfig config) {
         return rules.map(RequestRules::repeatable).orElseGet(() -> config.isRepeatable(method));
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/OutcomeRecord.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/OutcomeRecord.java
@@ -6,10 +6,11 @@
 import org.coriandercrank.kernel.id.RequestId;
 
 /**
- * Final answer of an admitted request, kept so that a repeat is answered without a second execution. Immutable.
+ * Final answer of an admitted request. The gate keeps it to answer a repeated request without executing it again.
+ * Immutable.
  *
- * @param requestDigest hash over method, path and body, to recognise an idempotency key used for another request
- * @param ageMs time since the record was made
+ * @param requestDigest hash of method, path and body; detects an idempotency key that is reused for a different request
+ * @param ageMs age of the record in milliseconds
  */
 public record OutcomeRecord(
         RequestId requestId,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/request/package-info.java
@@ -1,2 +1,2 @@
-/** Callers' requests and answers inside the system. */
+/** Requests of callers and their answers. */
 package org.coriandercrank.kernel.request;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
@@ -11,23 +11,25 @@
  * The command line of a program: its settings, {@code --help} and {@code --version}. Immutable.
  *
  * @param program name of the program
- * @param synopsis what follows the name in the first line of the usage
- * @param out where usage and version go
- * @param err where faults go
+ * @param synopsis text that follows the name in the first line of the usage
+ * @param out receives usage and version
+ * @param err receives error messages
  */
 public record CommandLine(String program, String synopsis, PrintStream out, PrintStream err) {
-    /** Exit code for faulty settings or usage. */
+    /** Exit code for invalid settings or arguments. */
     public static final int EXIT_USAGE = 2;
 
     private static final String HELP = "--help";
     private static final String VERSION = "--version";
 
-    /** The command line of a program that takes only flags. */
+    /** The command line of a program that accepts only flags. */
     public static CommandLine of(String program) {
         return new CommandLine(program, "[--FLAG VALUE]...", System.out, System.err);
     }
 
-    /** Loads the settings of a program; prints and ends the process if there is nothing to run. */
+    /**
+     * Loads the settings of a program, or ends the process if they are invalid or only help or version was requested.
+     */
     public static <T extends Settings> T loadOrExit(String program, T bean, String[] arguments) {
         OptionalInt exitCode = of(program).load(bean, List.of(arguments), System.getenv());
         if (exitCode.isPresent()) {
@@ -36,7 +38,10 @@
         return bean;
     }
 
-    /** Loads settings; returns an exit code if the program is not to run, because it has printed all there is to say. */
+    /**
+     * Loads settings. Returns an exit code if the program must not run, because its output is already complete; empty
+     * otherwise.
+     */
     public OptionalInt load(Settings bean, List<String> arguments, Map<String, String> environment) {
         if (arguments.contains(HELP)) {
             out.println("usage: " + program + " " + synopsis);
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/Settings.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/Settings.java
@@ -1,7 +1,7 @@
 package org.coriandercrank.kernel.settings;
 
-/** A bean whose fields carry args4j options; each option takes exactly one value. */
+/** Settings of a program. The fields of an implementation have args4j options; each option has exactly one value. */
 public interface Settings {
-    /** Adds a fault for each field that is missing or out of range. */
-    void validate(ValidationErrors faults);
+    /** Adds an error for each field that is missing or out of range. */
+    void validate(ValidationErrors errors);
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
@@ -13,8 +13,8 @@
 import org.kohsuke.args4j.spi.OptionHandler;
 
 /**
- * Fills settings from environment variables and flags; a flag wins. The variable of flag {@code --store-address} is
- * {@code CRANK_STORE_ADDRESS}. Stateless.
+ * Fills settings from environment variables and flags; a flag takes precedence. The variable of the flag {@code
+ * --store-address} is {@code CRANK_STORE_ADDRESS}. Stateless.
  */
 public final class SettingsLoader {
     private static final String VARIABLE_PREFIX = "CRANK_";
@@ -22,35 +22,36 @@
     private SettingsLoader() {}
 
     /**
-     * Fills and checks a bean.
+     * Fills and validates settings.
      *
+     * @param bean receives the values; a field without flag and variable keeps its default
      * @param arguments flags as {@code --name value} or {@code --name=value}
-     * @throws CrankException with {@link ResultCode#SETTING_INVALID} and one line for each fault
+     * @throws CrankException with {@link ResultCode#SETTING_INVALID} and one line for each error
      */
     public static <T extends Settings> T load(T bean, List<String> arguments, Map<String, String> environment) {
-        ValidationErrors faults = new ValidationErrors();
+        ValidationErrors errors = new ValidationErrors();
         CmdLineParser parser = new CmdLineParser(bean);
         for (OptionHandler<?> handler : parser.getOptions()) {
             String flag = ((NamedOptionDef) handler.option).name();
             String value = environment.get(variableName(flag));
             if (value != null) {
-                apply(bean, flag, value, variableName(flag), faults);
+                parseValue(bean, flag, value, variableName(flag), errors);
             }
         }
-        applyArguments(bean, arguments, faults);
-        bean.validate(faults);
-        if (!faults.isEmpty()) {
-            throw new CrankException(ResultCode.SETTING_INVALID, String.join("\n", faults.messages()));
+        parseArguments(bean, arguments, errors);
+        bean.validate(errors);
+        if (!errors.isEmpty()) {
+            throw new CrankException(ResultCode.SETTING_INVALID, String.join("\n", errors.messages()));
         }
         return bean;
     }
 
-    /** Name of the environment variable of a flag. */
+    /** Name of the environment variable that corresponds to a flag. */
     public static String variableName(String flag) {
         return VARIABLE_PREFIX + flag.substring("--".length()).replace('-', '_').toUpperCase(Locale.ROOT);
     }
 
-    /** Names of a bean's flags, sorted. */
+    /** Names of the flags, sorted. */
     static List<String> flags(Settings bean) {
         return new CmdLineParser(bean)
                 .getOptions().stream()
@@ -59,53 +60,53 @@
                         .toList();
     }
 
-    /** Usage text of a bean's flags. */
+    /** Usage text of the flags. */
     public static String usage(Settings bean) {
         StringWriter out = new StringWriter();
         new CmdLineParser(bean).printUsage(out, null);
         return out.toString();
     }
 
-    private static void applyArguments(Settings bean, List<String> arguments, ValidationErrors faults) {
+    private static void parseArguments(Settings bean, List<String> arguments, ValidationErrors errors) {
         List<String> flags = flags(bean);
-        List<String> rest = new ArrayList<>(arguments);
-        while (!rest.isEmpty()) {
-            String flag = rest.remove(0);
+        List<String> remaining = new ArrayList<>(arguments);
+        while (!remaining.isEmpty()) {
+            String flag = remaining.remove(0);
             int equalsSign = flag.indexOf('=');
             String name = equalsSign >= 0 ? flag.substring(0, equalsSign) : flag;
             if (!flags.contains(name)) {
-                faults.add(name, unknown(name, flags));
+                errors.add(name, unknownFlagMessage(name, flags));
                 if (name.startsWith("--") && equalsSign < 0) {
-                    skipValue(rest);
+                    skipValue(remaining);
                 }
             } else if (equalsSign >= 0) {
-                apply(bean, name, flag.substring(equalsSign + 1), name, faults);
-            } else if (rest.isEmpty()) {
-                faults.add(flag, "needs a value");
+                parseValue(bean, name, flag.substring(equalsSign + 1), name, errors);
+            } else if (remaining.isEmpty()) {
+                errors.add(flag, "needs a value");
             } else {
-                apply(bean, flag, rest.remove(0), flag, faults);
+                parseValue(bean, flag, remaining.remove(0), flag, errors);
             }
         }
     }
 
-    private static String unknown(String name, List<String> flags) {
+    private static String unknownFlagMessage(String name, List<String> flags) {
         return SpellingSuggestion.find(name, flags)
-                .map(nearest -> "is not a flag; did you mean " + nearest + "?")
+                .map(suggestion -> "is not a flag; did you mean " + suggestion + "?")
                 .orElse("is not a flag");
     }
 
-    /** The value of an unknown flag is no fault of its own. */
-    private static void skipValue(List<String> rest) {
-        if (!rest.isEmpty() && !rest.get(0).startsWith("--")) {
-            rest.remove(0);
+    /** Skips the value of an unknown flag, which must not be reported as a second error. */
+    private static void skipValue(List<String> remaining) {
+        if (!remaining.isEmpty() && !remaining.get(0).startsWith("--")) {
+            remaining.remove(0);
         }
     }
 
-    private static void apply(Settings bean, String flag, String value, String source, ValidationErrors faults) {
+    private static void parseValue(Settings bean, String flag, String value, String source, ValidationErrors errors) {
         try {
             new CmdLineParser(bean).parseArgument(flag, value);
         } catch (CmdLineException e) {
-            faults.add(source, e.getMessage());
+            errors.add(source, e.getMessage());
         }
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SpellingSuggestion.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SpellingSuggestion.java
@@ -4,36 +4,44 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Finds the name that was probably meant by a mistyped one. Stateless. */
+/** Suggests a known name for a mistyped one. Stateless. */
 public final class SpellingSuggestion {
     private SpellingSuggestion() {}
 
-    /** The name with the fewest edits, if they are at most a third of the length of the mistyped one. */
+    /**
+     * The name with the smallest edit distance, if that distance is at most a third of the length of the mistyped name.
+     */
     public static Optional<String> find(String mistyped, Collection<String> names) {
         return names.stream()
-                .min(Comparator.comparingInt((String name) -> edits(mistyped, name))
+                .min(Comparator.comparingInt((String name) -> editDistance(mistyped, name))
                         .thenComparing(Comparator.naturalOrder()))
-                .filter(name -> 3 * edits(mistyped, name) <= mistyped.length());
+                .filter(name -> 3 * editDistance(mistyped, name) <= mistyped.length());
     }
 
-    /** Letters to insert, delete, replace or swap with their neighbour to get from one text to the other. */
-    private static int edits(String from, String to) {
-        int[][] edits = new int[from.length() + 1][to.length() + 1];
+    /**
+     * Minimum number of insertions, deletions, replacements and swaps of adjacent characters that turn one text into
+     * the other.
+     */
+    private static int editDistance(String from, String to) {
+        int[][] distances = new int[from.length() + 1][to.length() + 1];
         for (int row = 0; row <= from.length(); row++) {
             for (int column = 0; column <= to.length(); column++) {
                 if (row == 0 || column == 0) {
-                    edits[row][column] = row + column;
+                    distances[row][column] = row + column;
                     continue;
                 }
-                int replaced = edits[row - 1][column - 1] + (from.charAt(row - 1) == to.charAt(column - 1) ? 0 : 1);
-                int least = Math.min(replaced, 1 + Math.min(edits[row - 1][column], edits[row][column - 1]));
-                boolean swapped = row > 1
+                int withReplacement =
+                        distances[row - 1][column - 1] + (from.charAt(row - 1) == to.charAt(column - 1) ? 0 : 1);
+                int minimum =
+                        Math.min(withReplacement, 1 + Math.min(distances[row - 1][column], distances[row][column - 1]));
+                boolean isTransposition = row > 1
                         && column > 1
                         && from.charAt(row - 1) == to.charAt(column - 2)
                         && from.charAt(row - 2) == to.charAt(column - 1);
-                edits[row][column] = swapped ? Math.min(least, edits[row - 2][column - 2] + 1) : least;
+                distances[row][column] =
+                        isTransposition ? Math.min(minimum, distances[row - 2][column - 2] + 1) : minimum;
             }
         }
-        return edits[from.length()][to.length()];
+        return distances[from.length()][to.length()];
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/ValidationErrors.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/ValidationErrors.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** Collects faults of settings or input so that all are reported together. Not thread safe. */
+/** Collects errors in settings or input, so that all of them are reported together. Not thread safe. */
 public final class ValidationErrors {
     private final List<String> messages = new ArrayList<>();
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Parses a required text; adds a fault and returns null if it is missing or malformed. */
+    /** Parses a required value; adds an error and returns null if the value is missing or malformed. */
     public <T> T parse(String field, String text, Function<String, T> parser) {
         if (text == null || text.isEmpty()) {
             add(field, "is required");
@@ -29,7 +29,7 @@
         return attempt(field, () -> parser.apply(text));
     }
 
-    /** Runs a check that throws {@link IllegalArgumentException}; adds a fault and returns null if it does. */
+    /** Runs an action; adds an error and returns null if the action throws {@link IllegalArgumentException}. */
     public <T> T attempt(String field, Supplier<T> action) {
         try {
             return action.get();
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/status/DaemonStatus.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/status/DaemonStatus.java
@@ -13,11 +13,17 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Answer of a daemon's status endpoint. Immutable.
+ * Response of the status endpoint of a daemon. Immutable.
  *
- * @param configurationRevision revision of the configuration in force at the daemon
- * @param tables generation of each service's table that the daemon follows
- * @param leaseRemainingMs negative if the lease does not hold
+ * @param configurationRevision revision of the configuration that the daemon uses
+ * @param tables generation of the assignment table that the daemon uses, by service
+ * @param leaseRemainingMs time in milliseconds until the lease expires; negative if the lease is not valid
+ * @param planner whether the daemon is the planner, which writes the assignment tables
+ * @param relay whether the daemon is the relay of its region, which watches the store and passes changes on
+ * @param backendName name of the attached backend server
+ * @param queued number of requests in the queue of the owner gate
+ * @param inFlight number of requests sent to the backend server and not answered yet
+ * @param serving ranges that the owner gate serves
  */
 public record DaemonStatus(
         MemberId member,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/status/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/status/package-info.java
@@ -1,2 +1,2 @@
-/** Status of a daemon as operators see it. */
+/** Status of a daemon, for operators. */
 package org.coriandercrank.kernel.status;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/JsonCodec.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/JsonCodec.java
@@ -9,7 +9,7 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 
-/** JSON form of objects in the store. Stateless and thread safe; unknown fields are ignored. */
+/** Encodes and decodes objects of the store as JSON. Stateless and thread safe. Unknown fields are ignored. */
 public final class JsonCodec {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .addModule(new OptionalModule())
@@ -19,7 +19,7 @@
 
     private JsonCodec() {}
 
-    /** A mapper of the same settings; callers do not change it. */
+    /** The mapper that this codec uses; callers must not change it. */
     public static ObjectMapper mapper() {
         return MAPPER;
     }
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not of the type. */
+    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not the JSON form of the type. */
     public static <T> T decode(byte[] bytes, Class<T> type) {
         try {
             T value = MAPPER.readValue(bytes, type);
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/ObjectNames.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/ObjectNames.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.id.NoteId;
 import org.coriandercrank.kernel.id.ServiceName;
 
-/** Names of the system's objects in the store. Stateless. */
+/** Names of this project's objects in the store. Stateless. */
 public final class ObjectNames {
     public static final String MEMBERS_PREFIX = "members/";
     public static final String ASSIGNMENTS_PREFIX = "assignments/";
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/ObjectStore.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/ObjectStore.java
@@ -5,21 +5,22 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * The platform's object store. Implementations are thread safe and never block the caller.
+ * Client of the platform's object store. Implementations are thread safe and never block the caller.
  *
  * <p>Futures fail with a {@link org.coriandercrank.kernel.code.CrankException}: {@code STORE_UNAVAILABLE} if the call
- * certainly had no effect, {@code WRITE_UNANSWERED} if a write may take effect at any later time,
- * {@code REVISION_CONFLICT} if the expected revision did not match, {@code STORE_MALFORMED} for an unreadable answer.
- * Each call counts against the rates of the store, a waiting watch as one.
+ * definitely had no effect, {@code WRITE_UNANSWERED} if a write may still take effect at any later time, {@code
+ * REVISION_CONFLICT} if the object does not have the expected revision, {@code STORE_MALFORMED} if the answer cannot be
+ * read. Each call counts against the rate limits of the store; a watch counts as one call, however long it waits.
  */
 public interface ObjectStore extends AutoCloseable {
+    /** The object, or empty if it does not exist. */
     CompletableFuture<Optional<StoredObject>> get(String name);
 
-    /** All objects under a prefix and the revision up to which the listing is complete. */
+    /** All objects whose names start with a prefix, and the revision up to which the listing is complete. */
     CompletableFuture<WatchBatch> list(String prefix);
 
     /**
-     * Writes an object if it has the expected revision; {@link Revision#NONE} means that it must not exist.
+     * Writes an object if it has the expected revision. {@link Revision#NONE} means that the object must not exist.
      *
      * @return the new revision
      */
@@ -28,7 +29,10 @@
     /** Deletes an object if it has the expected revision. */
     CompletableFuture<Void> delete(String name, Revision expected);
 
-    /** Waits until an object under a prefix changes after a revision; an empty batch after {@code waitMs}. */
+    /**
+     * Waits until an object whose name starts with a prefix changes after a revision. Completes with an empty batch if
+     * nothing changes within {@code waitMs} milliseconds.
+     */
     CompletableFuture<WatchBatch> watch(String prefix, Revision after, long waitMs);
 
     @Override
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/OptionalModule.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/OptionalModule.java
@@ -13,7 +13,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** JSON form of {@link Optional}: the value itself, or null. */
+/** Jackson module that represents an {@link Optional} by its value, or by null if it is empty. */
 final class OptionalModule extends SimpleModule {
     private static final long serialVersionUID = 1L;
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/StoredObject.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/StoredObject.java
@@ -5,7 +5,8 @@
 /**
  * An object of the store at a revision. Immutable by convention: the array is not changed after construction.
  *
- * @param value the content; empty and {@code deleted} true for a deletion seen by a watch
+ * @param value the content; empty for a deleted object
+ * @param deleted whether this is a deletion that a watch reported
  */
 public record StoredObject(String name, Revision revision, byte[] value, boolean deleted) {
     public static StoredObject of(String name, Revision revision, byte[] value) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
@@ -15,9 +15,11 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Stored form of an assignment table: members are listed once and ranges refer to them by index, and the end of a range
- * is left out if the next range, or the end of the hash space, follows it without a gap. So 6,500 ranges stay well below
- * the 1 MB limit of the store. Stateless and thread safe.
+ * Encodes and decodes assignment tables for the store. Stateless and thread safe.
+ *
+ * <p>Members are listed once, and ranges refer to them by index. The end of a range is omitted if the range extends to
+ * the start of the next range or, for the last range, to the end of the hash space. This keeps a table of 6,500 ranges
+ * well below the 1 MB limit of the store.
  */
 public final class TableCodec {
     private record StoredRange(String first, String last, int owner, long fence, List<Integer> previous) {}
@@ -33,7 +35,7 @@
             RangeAssignment assignment = table.assignments().get(i);
             KeyHash last = assignment.range().last();
             KeyHash impliedLast = i + 1 < table.assignments().size()
-                    ? endBefore(table.assignments().get(i + 1).range().first())
+                    ? predecessor(table.assignments().get(i + 1).range().first())
                     : KeyHash.MAX;
             List<Integer> previous = new ArrayList<>();
             for (MemberId member : assignment.previousOwners()) {
@@ -51,7 +53,7 @@
                 new StoredTable(table.service().value(), table.generation().value(), members, ranges));
     }
 
-    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not a table. */
+    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not a valid table. */
     public static AssignmentTable decode(byte[] bytes) {
         StoredTable stored = JsonCodec.decode(bytes, StoredTable.class);
         try {
@@ -59,7 +61,7 @@
             List<RangeAssignment> assignments = new ArrayList<>();
             for (int i = 0; i < stored.ranges.size(); i++) {
                 KeyHash impliedLast = i + 1 < stored.ranges.size()
-                        ? endBefore(KeyHash.parse(stored.ranges.get(i + 1).first))
+                        ? predecessor(KeyHash.parse(stored.ranges.get(i + 1).first))
                         : KeyHash.MAX;
                 assignments.add(assignment(stored.ranges.get(i), impliedLast, members));
             }
@@ -69,8 +71,11 @@
         }
     }
 
-    /** Wraps around below the lowest hash; a table in which that matters is not sorted and is refused. */
-    private static KeyHash endBefore(KeyHash first) {
+    /**
+     * Wraps around at the lowest hash. This happens only if a range other than the first one starts at the lowest hash;
+     * such a table is not sorted and is rejected.
+     */
+    private static KeyHash predecessor(KeyHash first) {
         return new KeyHash(first.value() - 1);
     }
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/WatchBatch.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/WatchBatch.java
@@ -4,11 +4,11 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Changes seen by a watch. Immutable.
+ * Changes that a watch reported. Immutable.
  *
- * @param upTo every change under the prefix up to this revision has been delivered
- * @param changes latest state of each changed object, by ascending revision
- * @param reset whether the changes are a whole listing because the history was too short
+ * @param upTo revision up to which every change under the prefix has been reported
+ * @param changes latest state of each changed object, in ascending order of revisions
+ * @param reset whether the changes are a complete listing, because the history of the store does not go back far enough
  */
 public record WatchBatch(Revision upTo, List<StoredObject> changes, boolean reset) {
     public WatchBatch {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/package-info.java
@@ -1,2 +1,2 @@
-/** The interface of the platform's object store. */
+/** Interface of the platform's object store, and the encoding of stored objects. */
 package org.coriandercrank.kernel.store;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/AssignmentTable.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/AssignmentTable.java
@@ -10,7 +10,7 @@
 /**
  * All range assignments of a service at one generation.
  *
- * <p>Immutable. Ranges are sorted and do not overlap; a hash that no range contains has no owner.
+ * <p>Immutable. Ranges are sorted and do not overlap. A hash that is in no range has no owner.
  */
 public record AssignmentTable(ServiceName service, Generation generation, List<RangeAssignment> assignments) {
     public AssignmentTable {
@@ -34,7 +34,7 @@
         return new AssignmentTable(service, Generation.NONE, List.of());
     }
 
-    /** The assignment whose range contains the hash; binary search. */
+    /** The assignment whose range contains the hash. Takes logarithmic time. */
     public Optional<RangeAssignment> find(KeyHash hash) {
         int low = 0;
         int high = assignments.size() - 1;
@@ -57,7 +57,7 @@
         return assignments.stream().filter(a -> a.owner().equals(member)).toList();
     }
 
-    /** Whether any assignment names the member as owner or previous owner. */
+    /** Whether the member is the owner or a previous owner in any assignment. */
     public boolean references(MemberId member) {
         return assignments.stream()
                 .anyMatch(a -> a.owner().equals(member) || a.previousOwners().contains(member));
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/BackendInfo.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/BackendInfo.java
@@ -5,9 +5,13 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * What a backend server announced about itself.
+ * Properties of a backend server, as it announced them.
  *
  * <p>Immutable. Slots and connections are at least 1.
+ *
+ * @param slots number of requests that the server executes concurrently
+ * @param maxConnections maximum number of connections to the server
+ * @param capabilities checks and cancellations that the server supports
  */
 public record BackendInfo(
         String name,
@@ -16,15 +20,17 @@
         int slots,
         int maxConnections,
         Set<Capability> capabilities) {
-    /** What a backend server checks or honours; without one, the owner gate is the only guard. */
+    /**
+     * What a backend server supports. For a capability that is missing, only the owner gate provides the protection.
+     */
     public enum Capability {
-        /** Rejects requests whose fence is older than the granted one. */
+        /** Rejects requests whose fencing token is older than the granted one. */
         FENCE,
-        /** Rejects requests after the validity of its grant has lapsed. */
+        /** Rejects requests after the validity of its grant has expired. */
         VALIDITY,
-        /** Stops work that is cancelled. */
+        /** Stops the execution of a cancelled request. */
         CANCEL,
-        /** Stops work whose deadline has passed. */
+        /** Stops the execution of a request whose deadline has passed. */
         DEADLINE
     }
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRange.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRange.java
@@ -3,7 +3,7 @@
 import java.math.BigInteger;
 import org.coriandercrank.kernel.id.KeyHash;
 
-/** An interval of the hash space, both ends inclusive. Immutable, never empty. */
+/** A range of the hash space; both ends are inclusive. Immutable, never empty. */
 public record KeyRange(KeyHash first, KeyHash last) implements Comparable<KeyRange> {
     public static final KeyRange ALL = new KeyRange(KeyHash.MIN, KeyHash.MAX);
 
@@ -27,7 +27,7 @@
         return first.compareTo(other.last) <= 0 && other.first.compareTo(last) <= 0;
     }
 
-    /** Share of the hash space, between 0 and 1. */
+    /** Fraction of the hash space that the range covers, greater than 0 and at most 1. */
     public double share() {
         double width = new BigInteger(Long.toUnsignedString(last.value() - first.value())).doubleValue() + 1;
         return width / HASH_SPACE_SIZE;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRanges.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRanges.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import org.coriandercrank.kernel.id.KeyHash;
 
-/** Interval arithmetic on hash ranges. Stateless and thread safe. */
+/** Interval arithmetic on ranges of the hash space. Stateless and thread safe. */
 public final class KeyRanges {
-    private static final double HALF_SPACE = Math.pow(2, 63);
+    private static final double HALF_HASH_SPACE = Math.pow(2, 63);
 
     private KeyRanges() {}
 
@@ -19,38 +19,38 @@
         return Optional.of(new KeyRange(max(a.first(), b.first()), min(a.last(), b.last())));
     }
 
-    /** The parts of a range that none of the others contains, in order. */
+    /** The parts of a range that none of the other ranges covers, in ascending order. */
     public static List<KeyRange> subtract(KeyRange range, Collection<KeyRange> others) {
-        List<KeyRange> rest = List.of(range);
+        List<KeyRange> remainder = List.of(range);
         for (KeyRange other : others) {
-            List<KeyRange> next = new ArrayList<>(rest.size() + 1);
-            for (KeyRange part : rest) {
+            List<KeyRange> next = new ArrayList<>(remainder.size() + 1);
+            for (KeyRange part : remainder) {
                 subtractOne(part, other, next);
             }
-            rest = next;
+            remainder = next;
         }
-        return rest;
+        return remainder;
     }
 
-    private static void subtractOne(KeyRange part, KeyRange cut, List<KeyRange> out) {
-        if (!part.overlaps(cut)) {
-            out.add(part);
+    private static void subtractOne(KeyRange range, KeyRange removed, List<KeyRange> remainder) {
+        if (!range.overlaps(removed)) {
+            remainder.add(range);
             return;
         }
-        if (part.first().compareTo(cut.first()) < 0) {
-            out.add(new KeyRange(part.first(), previous(cut.first())));
+        if (range.first().compareTo(removed.first()) < 0) {
+            remainder.add(new KeyRange(range.first(), previous(removed.first())));
         }
-        if (cut.last().compareTo(part.last()) < 0) {
-            out.add(new KeyRange(next(cut.last()), part.last()));
+        if (removed.last().compareTo(range.last()) < 0) {
+            remainder.add(new KeyRange(next(removed.last()), range.last()));
         }
     }
 
-    /** Whether {@code b} begins right after the end of {@code a}. */
+    /** Whether {@code b} starts immediately after the end of {@code a}. */
     public static boolean adjacent(KeyRange a, KeyRange b) {
         return !a.last().equals(KeyHash.MAX) && next(a.last()).equals(b.first());
     }
 
-    /** One range over two adjacent ranges. */
+    /** The union of two adjacent ranges, the lower one first. */
     public static KeyRange join(KeyRange a, KeyRange b) {
         return new KeyRange(a.first(), b.last());
     }
@@ -59,7 +59,7 @@
         return range.first().equals(range.last());
     }
 
-    /** Splits a range so that a hash has a range of its own; one to three ranges. */
+    /** Splits a range into one to three ranges so that a hash has a range of its own. */
     public static List<KeyRange> splitAround(KeyRange range, KeyHash hash) {
         List<KeyRange> parts = new ArrayList<>(3);
         if (range.first().compareTo(hash) < 0) {
@@ -72,7 +72,10 @@
         return parts;
     }
 
-    /** Splits off about a fraction of a range at its start; one range if it cannot be split. */
+    /**
+     * Splits a range in two, the first of which covers approximately a fraction of it. Returns the range itself if it
+     * has a single hash.
+     */
     public static List<KeyRange> splitAt(KeyRange range, double fraction) {
         long width = range.last().value() - range.first().value();
         if (width == 0) {
@@ -87,26 +90,28 @@
         return List.of(new KeyRange(range.first(), lastOfFirst), new KeyRange(next(lastOfFirst), range.last()));
     }
 
-    /** Divides the hash space into consecutive ranges whose sizes are in proportion to the given parts. */
-    public static List<KeyRange> divide(List<Double> parts) {
-        double total = parts.stream().mapToDouble(Double::doubleValue).sum();
+    /** Divides the hash space into consecutive ranges whose sizes have the given proportions. */
+    public static List<KeyRange> divide(List<Double> proportions) {
+        double total = proportions.stream().mapToDouble(Double::doubleValue).sum();
         List<KeyRange> ranges = new ArrayList<>();
         KeyHash first = KeyHash.MIN;
         double sum = 0;
-        for (int i = 0; i < parts.size(); i++) {
-            sum += parts.get(i);
-            KeyHash last =
-                    i == parts.size() - 1 ? KeyHash.MAX : new KeyHash(fromDouble(sum / total * 2 * HALF_SPACE) - 1);
+        for (int i = 0; i < proportions.size(); i++) {
+            sum += proportions.get(i);
+            KeyHash last = i == proportions.size() - 1
+                    ? KeyHash.MAX
+                    : new KeyHash(fromDouble(sum / total * 2 * HALF_HASH_SPACE) - 1);
             ranges.add(new KeyRange(first, last));
-            if (i < parts.size() - 1) {
+            if (i < proportions.size() - 1) {
                 first = next(last);
             }
         }
         return ranges;
     }
 
+    /** Converts to an unsigned 64-bit integer. */
     private static long fromDouble(double value) {
-        return value < HALF_SPACE ? (long) value : (long) (value - HALF_SPACE) + Long.MIN_VALUE;
+        return value < HALF_HASH_SPACE ? (long) value : (long) (value - HALF_HASH_SPACE) + Long.MIN_VALUE;
     }
 
     public static KeyHash next(KeyHash hash) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/Member.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/Member.java
@@ -10,11 +10,11 @@
 /**
  * Record of one incarnation of a daemon.
  *
- * <p>Immutable. Written by the member itself; another daemon may only seal it. The backend server is empty while the
- * state is {@link MemberState#JOINING}.
+ * <p>Immutable. Written by the daemon itself; another daemon may only seal the record. The backend server is empty
+ * while the state is {@link MemberState#JOINING}.
  *
- * @param peerAddress address for links between daemons
- * @param callerAddress address for callers' requests
+ * @param peerAddress address for connections between daemons
+ * @param callerAddress address for requests of callers
  * @param adminAddress address for operators and metrics
  * @param witnesses members that vote on the lease of this member
  */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/RangeAssignment.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/RangeAssignment.java
@@ -7,8 +7,9 @@
 /**
  * Assignment of a range to its owner.
  *
- * <p>Immutable. The fence is the generation of the table that made the assignment. The owner serves the range only
- * after each previous owner has released it or is sealed.
+ * <p>Immutable. The owner serves the range only after each previous owner has released it or is sealed.
+ *
+ * @param fence fencing token: the generation of the table in which the assignment was made
  */
 public record RangeAssignment(KeyRange range, MemberId owner, Generation fence, List<MemberId> previousOwners) {
     public RangeAssignment {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/MonotonicClock.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/MonotonicClock.java
@@ -1,6 +1,6 @@
 package org.coriandercrank.kernel.time;
 
-/** A clock that never goes back; values of two processes are not comparable. */
+/** A clock that never goes backwards. Readings of different processes are not comparable. */
 @FunctionalInterface
 public interface MonotonicClock {
     MonotonicClock SYSTEM = System::nanoTime;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SuspensionAwareClock.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SuspensionAwareClock.java
@@ -4,15 +4,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * A monotonic clock that also counts the time in which the host was suspended.
+ * A monotonic clock that includes the time during which the host was suspended.
  *
- * <p>Thread safe. The steady clock stands still during a suspension and the time of day does not, but the time of day may
- * be set. Between two readings the larger of both elapsed times counts, so the clock may run ahead when the time of day is
- * set forward and never falls behind; it suits a lease of one's own, which may lapse too early but not too late.
+ * <p>Thread safe. During a suspension the steady clock stops, but the time of day advances. The time of day may also be
+ * set. The clock therefore advances by the larger of the two elapsed times: it may run ahead when the time of day is
+ * set forward, but it never falls behind. This suits the holder of a lease, which may consider the lease expired too
+ * early but never too late.
  */
 public final class SuspensionAwareClock implements MonotonicClock {
-    /** Differences between the clocks below this are rounding of the time of day. */
-    private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Smaller differences between the clocks are attributed to the rounding of the time of day. */
+    private static final long ROUNDING_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final LongSupplier steadyNanos;
     private final LongSupplier timeOfDayMs;
@@ -24,7 +25,7 @@
         this(System::nanoTime, System::currentTimeMillis);
     }
 
-    /** A clock on other sources, for tests. */
+    /** A clock with other time sources, for tests. */
     public SuspensionAwareClock(LongSupplier steadyNanos, LongSupplier timeOfDayMs) {
         this.steadyNanos = steadyNanos;
         this.timeOfDayMs = timeOfDayMs;
@@ -34,17 +35,19 @@
 
     @Override
     public synchronized long nowNanos() {
-        long steady = steadyNanos.getAsLong();
-        long timeOfDay = timeOfDayMs.getAsLong();
-        long ahead = TimeUnit.MILLISECONDS.toNanos(timeOfDay - lastTimeOfDayMs) - (steady - lastSteadyNanos);
-        if (ahead > TOLERANCE_NANOS) {
-            suspendedNanos += ahead;
+        long currentSteadyNanos = steadyNanos.getAsLong();
+        long currentTimeOfDayMs = timeOfDayMs.getAsLong();
+        long differenceNanos = TimeUnit.MILLISECONDS.toNanos(currentTimeOfDayMs - lastTimeOfDayMs)
+                - (currentSteadyNanos - lastSteadyNanos);
+        if (differenceNanos > ROUNDING_TOLERANCE_NANOS) {
+            suspendedNanos += differenceNanos;
         }
-        // A pair of readings is kept until the clocks differ, so that small differences cannot add up unseen.
-        if (ahead > TOLERANCE_NANOS || ahead < -TOLERANCE_NANOS) {
-            lastSteadyNanos = steady;
-            lastTimeOfDayMs = timeOfDay;
+        // The reference readings are replaced only when the clocks differ, so that many small differences add up to one
+        // that exceeds the tolerance.
+        if (differenceNanos > ROUNDING_TOLERANCE_NANOS || differenceNanos < -ROUNDING_TOLERANCE_NANOS) {
+            lastSteadyNanos = currentSteadyNanos;
+            lastTimeOfDayMs = currentTimeOfDayMs;
         }
-        return steady + suspendedNanos;
+        return currentSteadyNanos + suspendedNanos;
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SystemTimerService.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SystemTimerService.java
@@ -9,35 +9,35 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Timer service on one daemon thread of its own, or on a given scheduler. Thread safe. */
+/** Timer service on a daemon thread of its own or on a scheduler that the caller provides. Thread safe. */
 public final class SystemTimerService implements TimerService {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long REJECTED_RETRY_MS = 5;
+    private static final long REJECTED_TASK_RETRY_MS = 5;
 
     private final ScheduledExecutorService scheduler;
-    private final Runnable release;
+    private final Runnable shutdownAction;
     private volatile boolean closed;
 
-    private SystemTimerService(ScheduledExecutorService scheduler, Runnable release) {
+    private SystemTimerService(ScheduledExecutorService scheduler, Runnable shutdownAction) {
         this.scheduler = scheduler;
-        this.release = release;
+        this.shutdownAction = shutdownAction;
     }
 
     /** A service with a thread of its own. */
     public SystemTimerService() {
-        this(timerThread());
+        this(newScheduler());
     }
 
-    private SystemTimerService(ScheduledThreadPoolExecutor own) {
-        this(own, own::shutdownNow);
+    private SystemTimerService(ScheduledThreadPoolExecutor ownScheduler) {
+        this(ownScheduler, ownScheduler::shutdownNow);
     }
 
-    /** A service on a scheduler that is the property of the caller and is not shut down with it. */
+    /** A service on the scheduler of the caller, which is not shut down when the service is closed. */
     public static SystemTimerService on(ScheduledExecutorService scheduler) {
         return new SystemTimerService(scheduler, () -> {});
     }
 
-    private static ScheduledThreadPoolExecutor timerThread() {
+    private static ScheduledThreadPoolExecutor newScheduler() {
         ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "timer");
             thread.setDaemon(true);
@@ -90,7 +90,7 @@
             logger.atFine().withCause(e).log("event=timer-run-left-out reason=duty-full");
             queued.set(false);
         } catch (RuntimeException e) {
-            // Only an executor that runs the task at once gets here; a thrown failure would end the subscription.
+            // The task itself failed, because the executor ran it immediately. Rethrowing would end the subscription.
             logger.atSevere().withCause(e).log("event=timer-task-failed");
         }
     }
@@ -109,8 +109,9 @@
 
     private void retryLater(Executor executor, Runnable task) {
         try {
-            scheduler.schedule(() -> dispatchOnce(executor, task), REJECTED_RETRY_MS, TimeUnit.MILLISECONDS);
+            scheduler.schedule(() -> dispatchOnce(executor, task), REJECTED_TASK_RETRY_MS, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
+            // The scheduler was shut down.
             logger.atFine().log("event=timer-stopped");
         }
     }
@@ -118,6 +119,6 @@
     @Override
     public void close() {
         closed = true;
-        release.run();
+        shutdownAction.run();
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/TimerService.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/TimerService.java
@@ -3,20 +3,20 @@
 import java.util.concurrent.Executor;
 
 /**
- * The only source of timed work; parts subscribe to it. Thread safe. Callbacks run on the executor of the subscriber,
- * normally a {@link org.coriandercrank.kernel.concurrent.SingleThreadExecutor}.
+ * The only source of delayed and periodic tasks. Thread safe. Tasks run on the executor of the subscriber, normally a
+ * {@link org.coriandercrank.kernel.concurrent.SerialExecutor}.
  */
 public interface TimerService extends AutoCloseable {
-    /** A running subscription. */
+    /** An active subscription. */
     @FunctionalInterface
     interface Subscription {
-        /** Stops further callbacks; one that is already queued may still run. */
+        /** Prevents further runs; a run that is already queued may still take place. */
         void cancel();
     }
 
     MonotonicClock clock();
 
-    /** Runs a task again and again. A run is left out while the previous one is still queued. */
+    /** Runs a task periodically. A run is skipped while the previous one is still queued. */
     Subscription every(long periodMs, Executor executor, Runnable task);
 
     /** Runs a task once after a delay. */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/package-info.java
@@ -1,2 +1,2 @@
-/** The timer service and monotonic time. */
+/** Timer service and monotonic clocks. */
 package org.coriandercrank.kernel.time;
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerNetwork.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerNetwork.java
@@ -14,17 +14,19 @@
 import org.coriandercrank.peer.internal.PeerListener;
 
 /**
- * The links of one daemon: accepts connections of other daemons and opens one connection to each daemon that it calls.
+ * Connections of one daemon to other daemons: accepts incoming connections and opens one outgoing connection to each
+ * daemon that it calls.
  *
- * <p>Thread safe. The event loop group stays the property of the creator.
+ * <p>Thread safe. The caller of the constructor owns the event loop group and shuts it down.
  */
 public final class PeerNetwork implements PeerClient, AutoCloseable {
     private final PeerListener listener;
     private final LinkTable links;
 
     /**
-     * Listens at an address; port 0 takes a free port. Blocks until the port is bound.
+     * Starts listening. Blocks until the port is bound.
      *
+     * @param listen address to listen on; port 0 selects a free port
      * @param self member id of this daemon, read for each new connection
      */
     public PeerNetwork(
@@ -38,6 +40,7 @@
         links = new LinkTable(group, self, listen.ip(), options, metrics);
     }
 
+    /** The bound address, with the selected port. */
     public HostAddress address() {
         return listener.address();
     }
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
@@ -1,15 +1,28 @@
 package org.coriandercrank.peer;
 
 /**
- * Times and limits of links. Immutable.
+ * Timeouts and limits of connections between daemons. Immutable.
  *
- * @param pingAfterMs silence on a link with outstanding calls after which it is pinged
- * @param closeAfterMs silence on a link with outstanding calls after which it is closed
- * @param maxOutstandingCalls calls per link; one more fails at once
+ * @param connectTimeoutMs maximum time until a connection is established
+ * @param pingAfterMs a connection with outstanding calls is pinged after receiving nothing for this time
+ * @param closeAfterMs a connection with outstanding calls is closed after receiving nothing for this time
+ * @param idleCloseMs a connection without outstanding calls is closed after sending nothing for this time
+ * @param maxOutstandingCalls maximum number of outstanding calls for each connection; further calls fail immediately
  */
 public record PeerOptions(
         int connectTimeoutMs, long pingAfterMs, long closeAfterMs, long idleCloseMs, int maxOutstandingCalls) {
-    public static final PeerOptions DEFAULTS = new PeerOptions(500, 250, 750, 60_000, 10_000);
+    private static final int DEFAULT_CONNECT_TIMEOUT_MS = 500;
+    private static final long DEFAULT_PING_AFTER_MS = 250;
+    private static final long DEFAULT_CLOSE_AFTER_MS = 750;
+    private static final long DEFAULT_IDLE_CLOSE_MS = 60_000;
+    private static final int DEFAULT_MAX_OUTSTANDING_CALLS = 10_000;
+
+    public static final PeerOptions DEFAULTS = new PeerOptions(
+            DEFAULT_CONNECT_TIMEOUT_MS,
+            DEFAULT_PING_AFTER_MS,
+            DEFAULT_CLOSE_AFTER_MS,
+            DEFAULT_IDLE_CLOSE_MS,
+            DEFAULT_MAX_OUTSTANDING_CALLS);
 
     public PeerOptions {
         if (pingAfterMs >= closeAfterMs) {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FieldReader.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FieldReader.java
@@ -7,11 +7,11 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reads fields of a message in MessagePack. Not thread safe. */
+/** Reads the fields of a message from MessagePack. Not thread safe. */
 final class FieldReader {
     /** Reads one element of a list or optional. */
     @FunctionalInterface
-    interface Element<T> {
+    interface ElementReader<T> {
         T read(FieldReader in) throws IOException;
     }
 
@@ -23,39 +23,39 @@
         frameBytes = frame.length;
     }
 
-    int integer32() throws IOException {
+    int int32() throws IOException {
         return unpacker.unpackInt();
     }
 
-    long integer() throws IOException {
+    long int64() throws IOException {
         return unpacker.unpackLong();
     }
 
-    double real() throws IOException {
+    double float64() throws IOException {
         return unpacker.unpackDouble();
     }
 
-    boolean flag() throws IOException {
+    boolean bool() throws IOException {
         return unpacker.unpackBoolean();
     }
 
-    String text() throws IOException {
+    String string() throws IOException {
         return unpacker.unpackString();
     }
 
     byte[] bytes() throws IOException {
-        return unpacker.readPayload(checkedLength(unpacker.unpackBinaryHeader()));
+        return unpacker.readPayload(checkLength(unpacker.unpackBinaryHeader()));
     }
 
-    <T> Optional<T> optional(Element<T> element) throws IOException {
+    <T> Optional<T> optional(ElementReader<T> element) throws IOException {
         if (unpacker.tryUnpackNil()) {
             return Optional.empty();
         }
         return Optional.of(element.read(this));
     }
 
-    <T> List<T> list(Element<T> element) throws IOException {
-        int size = checkedLength(unpacker.unpackArrayHeader());
+    <T> List<T> list(ElementReader<T> element) throws IOException {
+        int size = checkLength(unpacker.unpackArrayHeader());
         List<T> result = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
             result.add(element.read(this));
@@ -63,10 +63,10 @@
         return result;
     }
 
-    /** Guards against a frame that claims more content than it has, before memory is reserved for it. */
-    private int checkedLength(int length) throws IOException {
+    /** Rejects a frame that declares more content than it has, before memory is allocated for that content. */
+    private int checkLength(int length) throws IOException {
         if (length > frameBytes) {
-            throw new IOException("length " + length + " exceeds the frame of " + frameBytes + " bytes");
+            throw new IOException("length " + length + " exceeds the frame size of " + frameBytes + " bytes");
         }
         return length;
     }
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FieldWriter.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FieldWriter.java
@@ -6,32 +6,32 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Writes fields of a message in MessagePack. Not thread safe. */
+/** Writes the fields of a message as MessagePack. Not thread safe. */
 final class FieldWriter {
-    /** Writes one element of a collection or optional. */
+    /** Writes one element of a list or optional. */
     @FunctionalInterface
-    interface Element<T> {
+    interface ElementWriter<T> {
         void write(FieldWriter out, T value) throws IOException;
     }
 
     private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
-    FieldWriter integer(long value) throws IOException {
+    FieldWriter int64(long value) throws IOException {
         packer.packLong(value);
         return this;
     }
 
-    FieldWriter real(double value) throws IOException {
+    FieldWriter float64(double value) throws IOException {
         packer.packDouble(value);
         return this;
     }
 
-    FieldWriter flag(boolean value) throws IOException {
+    FieldWriter bool(boolean value) throws IOException {
         packer.packBoolean(value);
         return this;
     }
 
-    FieldWriter text(Object value) throws IOException {
+    FieldWriter string(Object value) throws IOException {
         packer.packString(value.toString());
         return this;
     }
@@ -42,7 +42,7 @@
         return this;
     }
 
-    <T> FieldWriter optional(Optional<T> value, Element<T> element) throws IOException {
+    <T> FieldWriter optional(Optional<T> value, ElementWriter<T> element) throws IOException {
         if (value.isPresent()) {
             element.write(this, value.get());
         } else {
@@ -51,7 +51,7 @@
         return this;
     }
 
-    <T> FieldWriter list(Collection<T> values, Element<T> element) throws IOException {
+    <T> FieldWriter list(Collection<T> values, ElementWriter<T> element) throws IOException {
         packer.packArrayHeader(values.size());
         for (T value : values) {
             element.write(this, value);
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FrameCodec.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/FrameCodec.java
@@ -7,9 +7,12 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 
-/** Frames on a connection: 4-byte length, then the MessagePack bytes. Confined to the event loop of the channel. */
+/**
+ * Encodes and decodes frames on a connection: a length of 4 bytes, then the MessagePack bytes. Confined to the event
+ * loop of the channel.
+ */
 final class FrameCodec extends ByteToMessageCodec<Frame> {
-    /** The longest body that a service may allow is 8 MB; headers and fields are far below 1 MB. */
+    /** Fits the longest body that a service may allow, 8 MB, with headers and fields, which are far below 1 MB. */
     static final int MAX_FRAME_BYTES = 9 * 1_024 * 1_024;
 
     private static final int LENGTH_BYTES = 4;
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/InboundConnection.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/InboundConnection.java
@@ -16,7 +16,10 @@
 import org.coriandercrank.kernel.peer.PeerHandler;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 
-/** A connection that another daemon opened. Confined to its event loop; answers are written in any order. */
+/**
+ * Handler of a connection that another daemon opened. Confined to its event loop. Answers are sent as soon as they are
+ * available, in any order.
+ */
 final class InboundConnection extends SimpleChannelInboundHandler<Frame> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int PROTOCOL_VERSION = 1;
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/LinkSource.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/LinkSource.java
@@ -3,9 +3,10 @@
 import org.coriandercrank.kernel.id.MemberId;
 
 /**
- * The calling side of a link. Immutable.
+ * The local end of an outgoing connection. Immutable.
  *
- * @param member the id that the peer takes as sender of everything on the link
- * @param ip the IP that the daemon listens on; its links come from it, so that the network can tell daemons apart
+ * @param member member id that the peer takes as the sender of every message on the connection
+ * @param ip the IP address on which this daemon listens; outgoing connections come from it too, so that the network can
+ *     tell daemons apart by their addresses
  */
 record LinkSource(MemberId member, String ip) {}
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/LinkTable.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/LinkTable.java
@@ -11,21 +11,23 @@
 import org.coriandercrank.peer.PeerOptions;
 
 /**
- * The open outgoing links of a daemon. Thread safe; at most one link per target and member id of this daemon.
+ * The open outgoing connections of a daemon. Thread safe. There is at most one for each target and member id of this
+ * daemon.
  *
- * <p>A link names its sender when it opens. When the daemon joins under another id, calls take new links; answers to
- * earlier calls still arrive on the old ones, which close when they are idle.
+ * <p>The handshake of a connection states the member id of the sender. After the daemon has joined with a new id, calls
+ * use new connections. Answers to earlier calls still arrive on the old connections, which are closed when they are
+ * idle.
  */
 public final class LinkTable implements AutoCloseable {
-    /** Both ends of a link. */
-    private record Ends(LinkSource source, PeerTarget target) {}
+    /** Both ends of a connection. */
+    private record LinkKey(LinkSource source, PeerTarget target) {}
 
     private final EventLoopGroup group;
     private final Supplier<MemberId> self;
     private final String localIp;
     private final PeerOptions options;
     private final TrafficMeter meter;
-    private final Map<Ends, PeerLink> links = new ConcurrentHashMap<>();
+    private final Map<LinkKey, PeerLink> links = new ConcurrentHashMap<>();
 
     public LinkTable(
             EventLoopGroup group, Supplier<MemberId> self, String localIp, PeerOptions options, MeterRegistry metrics) {
@@ -37,12 +39,12 @@
         metrics.gaugeMapSize("crank.peer.links", List.of(), links);
     }
 
-    /** The link from the present member id of this daemon to a target; opens one if there is none. */
+    /** The connection from the current member id of this daemon to a target; opened if there is none. */
     public PeerLink link(PeerTarget target) {
-        return links.computeIfAbsent(new Ends(new LinkSource(self.get(), localIp), target), this::open);
+        return links.computeIfAbsent(new LinkKey(new LinkSource(self.get(), localIp), target), this::open);
     }
 
-    private PeerLink open(Ends ends) {
+    private PeerLink open(LinkKey ends) {
         PeerLink link =
                 new PeerLink(ends.source(), ends.target(), options, meter, group.next(), () -> links.remove(ends));
         link.open();
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
@@ -29,19 +29,20 @@
 import org.msgpack.core.MessagePackException;
 
 /**
- * Messages as MessagePack: type number, correlation id, then the fields in the order of the record. Stateless and
- * thread safe. Type numbers are never reused for another message.
+ * Encodes messages as MessagePack: type number, correlation id, then the fields in the order of the record components.
+ * Stateless and thread safe. A type number is never reused for another message.
  */
 public final class MessageCodec {
-    private record Entry<M extends Message>(
-            int number, Class<M> type, FieldWriter.Element<M> writer, FieldReader.Element<M> reader) {
+    /** Encodes and decodes one type of message. */
+    private record TypeCodec<M extends Message>(
+            int number, Class<M> type, FieldWriter.ElementWriter<M> writer, FieldReader.ElementReader<M> reader) {
         void write(FieldWriter out, Message message) throws IOException {
             writer.write(out, type.cast(message));
         }
     }
 
-    private static final Map<Class<?>, Entry<?>> BY_TYPE = new HashMap<>();
-    private static final Map<Integer, Entry<?>> BY_NUMBER = new HashMap<>();
+    private static final Map<Class<?>, TypeCodec<?>> BY_TYPE = new HashMap<>();
+    private static final Map<Integer, TypeCodec<?>> BY_NUMBER = new HashMap<>();
 
     static {
         registerLinkMessages();
@@ -54,23 +55,26 @@
 
     public static byte[] encode(Frame frame) {
         FieldWriter out = new FieldWriter();
-        Entry<?> entry = BY_TYPE.get(frame.message().getClass());
+        TypeCodec<?> entry = BY_TYPE.get(frame.message().getClass());
         try {
-            out.integer(entry.number).integer(frame.correlationId());
+            out.int64(entry.number).int64(frame.correlationId());
             entry.write(out, frame.message());
         } catch (IOException e) {
-            throw new CrankException(ResultCode.INTERNAL, "cannot encode a message", e);
+            throw new CrankException(
+                    ResultCode.INTERNAL,
+                    "cannot encode " + frame.message().getClass().getSimpleName(),
+                    e);
         }
         return out.toByteArray();
     }
 
-    /** Fails with {@link ResultCode#FRAME_MALFORMED} if the bytes are not a message. */
+    /** Fails with {@link ResultCode#FRAME_MALFORMED} if the bytes are not a frame. */
     public static Frame decode(byte[] bytes) {
         FieldReader in = new FieldReader(bytes);
         try {
-            int number = in.integer32();
-            long correlationId = in.integer();
-            Entry<?> entry = BY_NUMBER.get(number);
+            int number = in.int32();
+            long correlationId = in.int64();
+            TypeCodec<?> entry = BY_NUMBER.get(number);
             if (entry == null) {
                 throw new IOException("unknown message type " + number);
             }
@@ -81,8 +85,8 @@
     }
 
     private static <M extends Message> void register(
-            int number, Class<M> type, FieldWriter.Element<M> writer, FieldReader.Element<M> reader) {
-        Entry<M> entry = new Entry<>(number, type, writer, reader);
+            int number, Class<M> type, FieldWriter.ElementWriter<M> writer, FieldReader.ElementReader<M> reader) {
+        TypeCodec<M> entry = new TypeCodec<>(number, type, writer, reader);
         BY_TYPE.put(type, entry);
         BY_NUMBER.put(number, entry);
     }
@@ -91,15 +95,15 @@
         register(
                 1,
                 Hello.class,
-                (out, m) -> out.text(m.sender()).integer(m.protocolVersion()),
-                in -> new Hello(ValueFields.memberId(in), in.integer32()));
+                (out, m) -> out.string(m.sender()).int64(m.protocolVersion()),
+                in -> new Hello(ValueFields.memberId(in), in.int32()));
         register(2, Ping.class, (out, m) -> {}, in -> new Ping());
         register(3, Pong.class, (out, m) -> {}, in -> new Pong());
         register(
                 4,
                 CallFailure.class,
-                (out, m) -> out.integer(m.code().number()).text(m.detail()),
-                in -> new CallFailure(ValueFields.resultCode(in), in.text()));
+                (out, m) -> out.int64(m.code().number()).string(m.detail()),
+                in -> new CallFailure(ValueFields.resultCode(in), in.string()));
     }
 
     private static void registerLeaseMessages() {
@@ -107,33 +111,33 @@
                 10,
                 Heartbeat.class,
                 (out, m) -> {
-                    out.text(m.member()).integer(m.recordRevision().value()).integer(m.sequence());
+                    out.string(m.member()).int64(m.recordRevision().value()).int64(m.sequence());
                     ValueFields.writeDigest(out, m.digest());
                 },
                 in -> new Heartbeat(
-                        ValueFields.memberId(in), ValueFields.revision(in), in.integer(), ValueFields.digest(in)));
+                        ValueFields.memberId(in), ValueFields.revision(in), in.int64(), ValueFields.digest(in)));
         register(
                 11,
                 HeartbeatAck.class,
                 (out, m) -> {
-                    out.text(m.witness()).integer(m.sequence()).flag(m.granted());
+                    out.string(m.witness()).int64(m.sequence()).bool(m.granted());
                     ValueFields.writeDigest(out, m.digest());
                 },
-                in -> new HeartbeatAck(ValueFields.memberId(in), in.integer(), in.flag(), ValueFields.digest(in)));
+                in -> new HeartbeatAck(ValueFields.memberId(in), in.int64(), in.bool(), ValueFields.digest(in)));
         register(
                 12,
                 RefusalRequest.class,
-                (out, m) -> out.text(m.member()).integer(m.recordRevision().value()),
+                (out, m) -> out.string(m.member()).int64(m.recordRevision().value()),
                 in -> new RefusalRequest(ValueFields.memberId(in), ValueFields.revision(in)));
         register(
                 13,
                 RefusalAnswer.class,
-                (out, m) -> out.text(m.witness()).flag(m.granted()).integer(m.retryAfterMs()),
-                in -> new RefusalAnswer(ValueFields.memberId(in), in.flag(), in.integer()));
+                (out, m) -> out.string(m.witness()).bool(m.granted()).int64(m.retryAfterMs()),
+                in -> new RefusalAnswer(ValueFields.memberId(in), in.bool(), in.int64()));
         register(
                 14,
                 RefusalNotice.class,
-                (out, m) -> out.text(m.member()).integer(m.recordRevision().value()),
+                (out, m) -> out.string(m.member()).int64(m.recordRevision().value()),
                 in -> new RefusalNotice(ValueFields.memberId(in), ValueFields.revision(in)));
     }
 
@@ -143,7 +147,7 @@
                 ForwardRequest.class,
                 (out, m) -> {
                     ValueFields.writeRequest(out, m.request());
-                    out.integer(m.tableGeneration().value());
+                    out.int64(m.tableGeneration().value());
                 },
                 in -> new ForwardRequest(ValueFields.request(in), ValueFields.generation(in)));
         register(
@@ -151,28 +155,28 @@
                 ForwardAnswer.class,
                 (out, m) -> {
                     ValueFields.writeAnswer(out, m.answer());
-                    out.integer(m.tableGeneration().value());
+                    out.int64(m.tableGeneration().value());
                     ValueFields.writeLoad(out, m.load());
                 },
                 in -> new ForwardAnswer(ValueFields.answer(in), ValueFields.generation(in), ValueFields.load(in)));
         register(
                 22,
                 CancelRequest.class,
-                (out, m) -> out.text(m.requestId()),
+                (out, m) -> out.string(m.requestId()),
                 in -> new CancelRequest(ValueFields.requestId(in)));
         register(
                 23,
                 OutcomeQuery.class,
-                (out, m) -> out.text(m.requestId())
-                        .text(m.service())
-                        .optional(m.keyHash(), (o, hash) -> o.integer(hash.value())),
+                (out, m) -> out.string(m.requestId())
+                        .string(m.service())
+                        .optional(m.keyHash(), (o, hash) -> o.int64(hash.value())),
                 in -> new OutcomeQuery(
                         ValueFields.requestId(in), ValueFields.serviceName(in), in.optional(ValueFields::keyHash)));
         register(
                 24,
                 OutcomeAnswer.class,
-                (out, m) -> out.text(m.state()).optional(m.answer(), ValueFields::writeAnswer),
-                in -> new OutcomeAnswer(OutcomeAnswer.State.valueOf(in.text()), in.optional(ValueFields::answer)));
+                (out, m) -> out.string(m.state()).optional(m.answer(), ValueFields::writeAnswer),
+                in -> new OutcomeAnswer(OutcomeAnswer.State.valueOf(in.string()), in.optional(ValueFields::answer)));
     }
 
     private static void registerControlMessages() {
@@ -180,9 +184,9 @@
                 30,
                 ReleaseRequest.class,
                 (out, m) -> {
-                    out.text(m.requester()).text(m.service());
+                    out.string(m.requester()).string(m.service());
                     ValueFields.writeRange(out, m.range());
-                    out.integer(m.generation().value());
+                    out.int64(m.generation().value());
                 },
                 in -> new ReleaseRequest(
                         ValueFields.memberId(in),
@@ -192,36 +196,40 @@
         register(
                 31,
                 ReleaseAnswer.class,
-                (out, m) -> out.flag(m.released())
-                        .integer(m.recordsCompleteForMs())
+                (out, m) -> out.bool(m.released())
+                        .int64(m.recordsCompleteForMs())
                         .list(m.records(), ValueFields::writeRecord)
                         .list(m.handovers(), ValueFields::writeHandover),
                 in -> new ReleaseAnswer(
-                        in.flag(), in.integer(), in.list(ValueFields::outcomeRecord), in.list(ValueFields::handover)));
+                        in.bool(), in.int64(), in.list(ValueFields::outcomeRecord), in.list(ValueFields::handover)));
         register(
                 32,
                 FetchObject.class,
-                (out, m) -> out.text(m.kind()).integer(m.newerThan().value()),
-                in -> new FetchObject(FetchObject.Kind.valueOf(in.text()), ValueFields.revision(in)));
+                (out, m) -> out.string(m.kind()).int64(m.newerThan().value()),
+                in -> new FetchObject(FetchObject.Kind.valueOf(in.string()), ValueFields.revision(in)));
         register(
                 33,
                 ObjectData.class,
-                (out, m) -> out.text(m.kind())
-                        .integer(m.upTo().value())
-                        .flag(m.reset())
+                (out, m) -> out.string(m.kind())
+                        .int64(m.upTo().value())
+                        .bool(m.reset())
                         .list(m.objects(), ValueFields::writeObject),
                 in -> new ObjectData(
-                        FetchObject.Kind.valueOf(in.text()),
+                        FetchObject.Kind.valueOf(in.string()),
                         ValueFields.revision(in),
-                        in.flag(),
+                        in.bool(),
                         in.list(ValueFields::object)));
-        register(34, LoadQuery.class, (out, m) -> out.text(m.planner()), in -> new LoadQuery(ValueFields.memberId(in)));
+        register(
+                34,
+                LoadQuery.class,
+                (out, m) -> out.string(m.planner()),
+                in -> new LoadQuery(ValueFields.memberId(in)));
         register(
                 35,
                 LoadReport.class,
-                (out, m) -> out.text(m.member())
-                        .text(m.service())
-                        .integer(m.tableGeneration().value())
+                (out, m) -> out.string(m.member())
+                        .string(m.service())
+                        .int64(m.tableGeneration().value())
                         .list(m.ranges(), ValueFields::writeRangeLoad),
                 in -> new LoadReport(
                         ValueFields.memberId(in),
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
@@ -33,16 +33,16 @@
 /**
  * One outgoing connection to a daemon.
  *
- * <p>Thread safe: all state is confined to one event loop. A message is written only after the other side has named
- * itself and is the expected member, so a failure before that means that the message was not handled. A closed link is
- * never reused.
+ * <p>Thread safe: all state is confined to one event loop. Messages are written only after the handshake, in which the
+ * other daemon must identify itself as the expected member. A failure before that therefore means that the message was
+ * not handled. A closed connection is never reused.
  */
 public final class PeerLink {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int PROTOCOL_VERSION = 1;
-    private static final long CHECK_PERIOD_MS = 100;
+    private static final long SILENCE_CHECK_PERIOD_MS = 100;
 
-    private record Outstanding(
+    private record OutstandingCall(
             Message message, Class<? extends Message> answerType, CompletableFuture<Message> result) {}
 
     private final LinkSource source;
@@ -50,19 +50,25 @@
     private final PeerOptions options;
     private final TrafficMeter meter;
     private final EventLoop loop;
-    private final Runnable whenClosed;
+    private final Runnable onClosed;
 
-    private final Map<Long, Outstanding> outstanding = new LinkedHashMap<>();
-    private final Deque<Frame> unsent = new ArrayDeque<>();
+    private final Map<Long, OutstandingCall> outstandingCalls = new LinkedHashMap<>();
+    private final Deque<Frame> framesAwaitingHandshake = new ArrayDeque<>();
     private Channel channel;
-    private ScheduledFuture<?> check;
-    private boolean ready;
+    private ScheduledFuture<?> silenceCheck;
+    private boolean handshakeComplete;
     private boolean closed;
     private long nextCorrelationId = Frame.ONE_WAY + 1;
+    /**
+     * When the last frame arrived, the connection was established, or the only outstanding call started; the latest of
+     * these.
+     */
     private long silentSinceNanos;
+
     private long lastUseNanos = System.nanoTime();
-    private boolean pinged;
-    private boolean idle;
+    private boolean pingSent;
+    /** Whether the scheduled check waits for the idle timeout instead of the shorter check period. */
+    private boolean idleCheckScheduled;
 
     PeerLink(
             LinkSource source,
@@ -70,25 +76,26 @@
             PeerOptions options,
             TrafficMeter meter,
             EventLoop loop,
-            Runnable whenClosed) {
+            Runnable onClosed) {
         this.source = source;
         this.target = target;
         this.options = options;
         this.meter = meter;
         this.loop = loop;
-        this.whenClosed = whenClosed;
+        this.onClosed = onClosed;
     }
 
     void open() {
         loop.execute(this::connect);
     }
 
-    /** Sends a call; the future fails as {@link org.coriandercrank.kernel.peer.PeerClient} says. */
+    /** Sends a call; the future fails as described in {@link org.coriandercrank.kernel.peer.PeerClient}. */
     public void call(
             Message message, Class<? extends Message> answerType, long timeoutMs, CompletableFuture<Message> result) {
         loop.execute(() -> startCall(message, answerType, timeoutMs, result));
     }
 
+    /** Sends a message without an answer; the message is dropped if the connection is closed. */
     public void send(Message message) {
         loop.execute(() -> {
             if (!closed) {
@@ -103,7 +110,7 @@
     }
 
     private void connect() {
-        ChannelFuture connecting = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -118,80 +125,85 @@
                         new InetSocketAddress(
                                 target.address().ip(), target.address().port()),
                         new InetSocketAddress(source.ip(), 0));
-        channel = connecting.channel();
-        connecting.addListener(done -> connected(connecting));
+        channel = connectFuture.channel();
+        connectFuture.addListener(done -> onConnectResult(connectFuture));
     }
 
-    private void connected(ChannelFuture connecting) {
+    private void onConnectResult(ChannelFuture connectFuture) {
         if (closed) {
             channel.close();
-        } else if (!connecting.isSuccess()) {
-            fail(ResultCode.PEER_UNREACHABLE, String.valueOf(connecting.cause().getMessage()));
+        } else if (!connectFuture.isSuccess()) {
+            fail(
+                    ResultCode.PEER_UNREACHABLE,
+                    String.valueOf(connectFuture.cause().getMessage()));
         } else {
             silentSinceNanos = System.nanoTime();
             channel.writeAndFlush(new Frame(Frame.ONE_WAY, new Hello(source.member(), PROTOCOL_VERSION)));
-            scheduleCheck(CHECK_PERIOD_MS);
+            scheduleCheck(SILENCE_CHECK_PERIOD_MS);
         }
     }
 
     private void startCall(
             Message message, Class<? extends Message> answerType, long timeoutMs, CompletableFuture<Message> result) {
         if (closed) {
-            result.completeExceptionally(failure(ResultCode.PEER_UNREACHABLE, "link was closed"));
+            result.completeExceptionally(exception(ResultCode.PEER_UNREACHABLE, "link was closed"));
             return;
         }
-        if (outstanding.size() >= options.maxOutstandingCalls()) {
-            result.completeExceptionally(failure(ResultCode.OVERLOADED, "too many outstanding calls"));
+        if (outstandingCalls.size() >= options.maxOutstandingCalls()) {
+            result.completeExceptionally(exception(ResultCode.OVERLOADED, "too many outstanding calls"));
             return;
         }
         lastUseNanos = System.nanoTime();
-        if (outstanding.isEmpty()) {
+        if (outstandingCalls.isEmpty()) {
             silentSinceNanos = lastUseNanos;
-            pinged = false;
+            pingSent = false;
         }
         long correlationId = nextCorrelationId++;
-        outstanding.put(correlationId, new Outstanding(message, answerType, result));
-        ScheduledFuture<?> timeout = loop.schedule(() -> expire(correlationId), timeoutMs, TimeUnit.MILLISECONDS);
+        outstandingCalls.put(correlationId, new OutstandingCall(message, answerType, result));
+        ScheduledFuture<?> timeout = loop.schedule(() -> timeOutCall(correlationId), timeoutMs, TimeUnit.MILLISECONDS);
         result.whenComplete((answer, error) -> timeout.cancel(false));
-        if (idle) {
-            check.cancel(false);
-            scheduleCheck(CHECK_PERIOD_MS);
+        if (idleCheckScheduled) {
+            silenceCheck.cancel(false);
+            scheduleCheck(SILENCE_CHECK_PERIOD_MS);
         }
         write(new Frame(correlationId, message));
     }
 
-    /** A link without outstanding calls is looked at only when it may be closed as idle. */
+    /**
+     * Without outstanding calls, the next check takes place only when the connection may have become idle long enough
+     * to be closed.
+     */
     private void scheduleCheck(long delayMs) {
-        idle = delayMs > CHECK_PERIOD_MS;
-        check = loop.schedule(this::checkSilence, delayMs, TimeUnit.MILLISECONDS);
+        idleCheckScheduled = delayMs > SILENCE_CHECK_PERIOD_MS;
+        silenceCheck = loop.schedule(this::checkSilence, delayMs, TimeUnit.MILLISECONDS);
     }
 
     private void write(Frame frame) {
-        if (ready) {
+        if (handshakeComplete) {
             channel.writeAndFlush(frame);
         } else {
-            unsent.add(frame);
+            framesAwaitingHandshake.add(frame);
         }
     }
 
-    private void expire(long correlationId) {
-        Outstanding call = outstanding.remove(correlationId);
+    private void timeOutCall(long correlationId) {
+        OutstandingCall call = outstandingCalls.remove(correlationId);
         if (call == null) {
             return;
         }
-        boolean removed = unsent.removeIf(frame -> frame.correlationId() == correlationId);
+        boolean removed = framesAwaitingHandshake.removeIf(frame -> frame.correlationId() == correlationId);
         ResultCode code = removed ? ResultCode.PEER_UNREACHABLE : ResultCode.CALL_TIMEOUT;
-        call.result.completeExceptionally(failure(code, "no answer in time"));
+        call.result.completeExceptionally(exception(code, "no answer within the timeout"));
     }
 
     private void checkSilence() {
         long nowNanos = System.nanoTime();
-        if (outstanding.isEmpty() && ready) {
-            long unusedMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - lastUseNanos);
-            if (unusedMs >= options.idleCloseMs()) {
+        if (outstandingCalls.isEmpty() && handshakeComplete) {
+            long idleMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - lastUseNanos);
+            if (idleMs >= options.idleCloseMs()) {
                 fail(ResultCode.LINK_LOST, "idle");
             } else {
-                scheduleCheck(options.idleCloseMs() - unusedMs + CHECK_PERIOD_MS);
+                scheduleCheck(options.idleCloseMs() - idleMs + SILENCE_CHECK_PERIOD_MS);
             }
             return;
         }
@@ -200,79 +212,79 @@
             fail(ResultCode.LINK_LOST, "silent for " + silentMs + " ms");
             return;
         }
-        if (silentMs >= options.pingAfterMs() && !pinged && ready) {
-            pinged = true;
+        if (silentMs >= options.pingAfterMs() && !pingSent && handshakeComplete) {
+            pingSent = true;
             channel.writeAndFlush(new Frame(Frame.ONE_WAY, new Ping()));
         }
-        scheduleCheck(CHECK_PERIOD_MS);
+        scheduleCheck(SILENCE_CHECK_PERIOD_MS);
     }
 
     private void receive(Frame frame) {
         silentSinceNanos = System.nanoTime();
-        pinged = false;
+        pingSent = false;
         if (frame.message() instanceof Hello hello) {
-            confirm(hello);
+            completeHandshake(hello);
             return;
         }
-        Outstanding call = outstanding.remove(frame.correlationId());
+        OutstandingCall call = outstandingCalls.remove(frame.correlationId());
         if (call != null) {
-            complete(call, frame.message());
+            completeCall(call, frame.message());
         }
     }
 
-    private void confirm(Hello hello) {
+    private void completeHandshake(Hello hello) {
         if (!hello.sender().equals(target.member())) {
             fail(ResultCode.WRONG_MEMBER, "address belongs to " + hello.sender());
             return;
         }
-        ready = true;
-        for (Frame frame = unsent.poll(); frame != null; frame = unsent.poll()) {
+        handshakeComplete = true;
+        for (Frame frame = framesAwaitingHandshake.poll(); frame != null; frame = framesAwaitingHandshake.poll()) {
             channel.write(frame);
         }
         channel.flush();
     }
 
-    private void complete(Outstanding call, Message answer) {
+    private void completeCall(OutstandingCall call, Message answer) {
         if (answer instanceof CallFailure callFailure) {
-            call.result.completeExceptionally(failure(callFailure.code(), callFailure.detail()));
+            call.result.completeExceptionally(exception(callFailure.code(), callFailure.detail()));
         } else if (call.answerType.isInstance(answer)) {
             call.result.complete(answer);
         } else {
-            call.result.completeExceptionally(failure(
+            call.result.completeExceptionally(exception(
                     ResultCode.FRAME_MALFORMED,
                     "unexpected " + answer.getClass().getSimpleName()));
         }
     }
 
-    /** Closes the link; calls that were never written fail as not handled. */
+    /** Closes the connection and fails all outstanding calls. Calls that were never written fail as not handled. */
     private void fail(ResultCode code, String reason) {
         if (closed) {
             return;
         }
         closed = true;
-        if (check != null) {
-            check.cancel(false);
+        if (silenceCheck != null) {
+            silenceCheck.cancel(false);
         }
         if (channel != null) {
             channel.close();
         }
         logger.atInfo().log(
                 "event=link-closed peer=%s address=%s code=%s outstanding=%d reason=\"%s\"",
-                target.member(), target.address(), code, outstanding.size(), reason);
-        whenClosed.run();
-        ResultCode unsentCode = code == ResultCode.LINK_LOST ? ResultCode.PEER_UNREACHABLE : code;
-        List<Outstanding> calls = new ArrayList<>(outstanding.values());
-        outstanding.clear();
-        for (Outstanding call : calls) {
-            call.result.completeExceptionally(failure(ready ? code : unsentCode, reason));
+                target.member(), target.address(), code, outstandingCalls.size(), reason);
+        onClosed.run();
+        ResultCode codeBeforeHandshake = code == ResultCode.LINK_LOST ? ResultCode.PEER_UNREACHABLE : code;
+        List<OutstandingCall> calls = new ArrayList<>(outstandingCalls.values());
+        outstandingCalls.clear();
+        for (OutstandingCall call : calls) {
+            call.result.completeExceptionally(exception(handshakeComplete ? code : codeBeforeHandshake, reason));
         }
     }
 
-    private CrankException failure(ResultCode code, String reason) {
+    private CrankException exception(ResultCode code, String reason) {
         return new CrankException(code, "member " + target.member() + ": " + reason);
     }
 
-    /** Passes frames and the end of the connection to the link. */
+    /** Passes received frames and the end of the connection to the link. */
     private final class Inbound extends SimpleChannelInboundHandler<Frame> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, Frame frame) {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerListener.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerListener.java
@@ -17,7 +17,7 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 
-/** Accepts connections of other daemons. Thread safe. */
+/** Accepts connections from other daemons. Thread safe. */
 public final class PeerListener implements AutoCloseable {
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final Channel listener;
@@ -48,6 +48,7 @@
                 .channel();
     }
 
+    /** The bound address. */
     public HostAddress address() {
         InetSocketAddress bound = (InetSocketAddress) listener.localAddress();
         return new HostAddress(bound.getAddress().getHostAddress(), bound.getPort());
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/TrafficMeter.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/TrafficMeter.java
@@ -9,7 +9,9 @@
 import org.coriandercrank.kernel.message.OutcomeAnswer;
 import org.coriandercrank.kernel.message.OutcomeQuery;
 
-/** Counts bytes and messages between daemons, apart for callers' requests and for control. Thread safe. */
+/**
+ * Counts bytes and messages between daemons, separately for requests of callers and for control messages. Thread safe.
+ */
 final class TrafficMeter {
     private final Direction sent;
     private final Direction received;
@@ -27,7 +29,7 @@
         received.count(message, bytes);
     }
 
-    private static boolean belongsToRequests(Message message) {
+    private static boolean isRequestTraffic(Message message) {
         return message instanceof ForwardRequest
                 || message instanceof ForwardAnswer
                 || message instanceof CancelRequest
@@ -49,7 +51,7 @@
         }
 
         void count(Message message, int bytes) {
-            boolean request = belongsToRequests(message);
+            boolean request = isRequestTraffic(message);
             (request ? requestBytes : controlBytes).increment(bytes);
             (request ? requestMessages : controlMessages).increment();
         }
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/ValueFields.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/ValueFields.java
@@ -24,38 +24,38 @@
 import org.coriandercrank.kernel.store.StoredObject;
 import org.coriandercrank.kernel.table.KeyRange;
 
-/** Fields of value types that several messages share. Stateless. */
+/** Reads and writes values that occur in several messages. Stateless. */
 final class ValueFields {
     private static final long ABSENT = -1;
 
     private ValueFields() {}
 
     static MemberId memberId(FieldReader in) throws IOException {
-        return new MemberId(in.text());
+        return new MemberId(in.string());
     }
 
     static ServiceName serviceName(FieldReader in) throws IOException {
-        return new ServiceName(in.text());
+        return new ServiceName(in.string());
     }
 
     static RequestId requestId(FieldReader in) throws IOException {
-        return new RequestId(in.text());
+        return new RequestId(in.string());
     }
 
     static Revision revision(FieldReader in) throws IOException {
-        return new Revision(in.integer());
+        return new Revision(in.int64());
     }
 
     static Generation generation(FieldReader in) throws IOException {
-        return new Generation(in.integer());
+        return new Generation(in.int64());
     }
 
     static KeyHash keyHash(FieldReader in) throws IOException {
-        return new KeyHash(in.integer());
+        return new KeyHash(in.int64());
     }
 
     static void writeRange(FieldWriter out, KeyRange range) throws IOException {
-        out.integer(range.first().value()).integer(range.last().value());
+        out.int64(range.first().value()).int64(range.last().value());
     }
 
     static KeyRange range(FieldReader in) throws IOException {
@@ -63,9 +63,9 @@
     }
 
     static void writeDigest(FieldWriter out, Digest digest) throws IOException {
-        out.integer(digest.configuration().value())
-                .integer(digest.members().value())
-                .integer(digest.assignments().value());
+        out.int64(digest.configuration().value())
+                .int64(digest.members().value())
+                .int64(digest.assignments().value());
     }
 
     static Digest digest(FieldReader in) throws IOException {
@@ -73,44 +73,44 @@
     }
 
     static void writeHeader(FieldWriter out, Header header) throws IOException {
-        out.text(header.name()).text(header.value());
+        out.string(header.name()).string(header.value());
     }
 
     static Header header(FieldReader in) throws IOException {
-        return new Header(in.text(), in.text());
+        return new Header(in.string(), in.string());
     }
 
     static void writeRequest(FieldWriter out, CallerRequest request) throws IOException {
-        out.text(request.id())
-                .text(request.service())
+        out.string(request.id())
+                .string(request.service())
                 .optional(request.key(), ValueFields::writeKey)
-                .text(request.method())
-                .text(request.path())
+                .string(request.method())
+                .string(request.path())
                 .list(request.headers(), ValueFields::writeHeader)
                 .bytes(request.body())
-                .integer(request.remainingMs())
-                .optional(request.idempotencyKey(), FieldWriter::text)
-                .integer(request.idempotencyKeyAgeMs().orElse(ABSENT))
+                .int64(request.remainingMs())
+                .optional(request.idempotencyKey(), FieldWriter::string)
+                .int64(request.idempotencyKeyAgeMs().orElse(ABSENT))
                 .optional(request.rules(), ValueFields::writeRules);
     }
 
     private static void writeKey(FieldWriter out, Key key) throws IOException {
-        out.text(key).integer(key.hash().value());
+        out.string(key).int64(key.hash().value());
     }
 
     private static Key key(FieldReader in) throws IOException {
-        return new Key(in.text(), keyHash(in));
+        return new Key(in.string(), keyHash(in));
     }
 
     private static void writeRules(FieldWriter out, RequestRules rules) throws IOException {
-        out.flag(rules.repeatable())
-                .integer(rules.maxServers())
-                .integer(rules.priority())
-                .integer(rules.latencyObjectiveMs());
+        out.bool(rules.repeatable())
+                .int64(rules.maxServers())
+                .int64(rules.priority())
+                .int64(rules.latencyObjectiveMs());
     }
 
     private static RequestRules rules(FieldReader in) throws IOException {
-        return new RequestRules(in.flag(), in.integer32(), in.integer32(), in.integer());
+        return new RequestRules(in.bool(), in.int32(), in.int32(), in.int64());
     }
 
     static CallerRequest request(FieldReader in) throws IOException {
@@ -118,104 +118,102 @@
                 requestId(in),
                 serviceName(in),
                 in.optional(ValueFields::key),
-                in.text(),
-                in.text(),
+                in.string(),
+                in.string(),
                 in.list(ValueFields::header),
                 in.bytes(),
-                in.integer(),
-                in.optional(f -> new IdempotencyKey(f.text())),
-                optionalLong(in.integer()),
+                in.int64(),
+                in.optional(f -> new IdempotencyKey(f.string())),
+                optionalLong(in.int64()),
                 in.optional(ValueFields::rules));
     }
 
     static void writeAnswer(FieldWriter out, CallerAnswer answer) throws IOException {
-        out.integer(answer.code().number())
-                .text(answer.outcome())
-                .integer(answer.status())
+        out.int64(answer.code().number())
+                .string(answer.outcome())
+                .int64(answer.status())
                 .list(answer.headers(), ValueFields::writeHeader)
                 .bytes(answer.body())
-                .integer(answer.retryAfterMs().orElse(ABSENT));
+                .int64(answer.retryAfterMs().orElse(ABSENT));
     }
 
     static CallerAnswer answer(FieldReader in) throws IOException {
         return new CallerAnswer(
                 resultCode(in),
-                Outcome.valueOf(in.text()),
-                in.integer32(),
+                Outcome.valueOf(in.string()),
+                in.int32(),
                 in.list(ValueFields::header),
                 in.bytes(),
-                optionalLong(in.integer()));
+                optionalLong(in.int64()));
     }
 
     static ResultCode resultCode(FieldReader in) throws IOException {
-        int number = in.integer32();
+        int number = in.int32();
         return ResultCode.ofNumber(number).orElseThrow(() -> new IOException("unknown result code " + number));
     }
 
     static void writeRecord(FieldWriter out, OutcomeRecord outcome) throws IOException {
-        out.text(outcome.requestId())
-                .optional(outcome.idempotencyKey(), FieldWriter::text)
-                .integer(outcome.keyHash().value())
-                .integer(outcome.requestDigest());
+        out.string(outcome.requestId())
+                .optional(outcome.idempotencyKey(), FieldWriter::string)
+                .int64(outcome.keyHash().value())
+                .int64(outcome.requestDigest());
         writeAnswer(out, outcome.answer());
-        out.integer(outcome.ageMs());
+        out.int64(outcome.ageMs());
     }
 
     static OutcomeRecord outcomeRecord(FieldReader in) throws IOException {
         return new OutcomeRecord(
                 requestId(in),
-                in.optional(f -> new IdempotencyKey(f.text())),
+                in.optional(f -> new IdempotencyKey(f.string())),
                 keyHash(in),
-                in.integer(),
+                in.int64(),
                 answer(in),
-                in.integer());
+                in.int64());
     }
 
     static void writeLoad(FieldWriter out, GateLoad load) throws IOException {
-        out.integer(load.pending()).integer(load.concurrency()).real(load.serviceMs());
+        out.int64(load.pending()).int64(load.concurrency()).float64(load.serviceMs());
     }
 
     static GateLoad load(FieldReader in) throws IOException {
-        return new GateLoad(in.integer32(), in.integer32(), in.real());
+        return new GateLoad(in.int32(), in.int32(), in.float64());
     }
 
     static void writeHandover(FieldWriter out, Handover handover) throws IOException {
         writeRange(out, handover.range());
-        out.text(handover.token());
+        out.string(handover.token());
     }
 
     static Handover handover(FieldReader in) throws IOException {
-        return new Handover(range(in), in.text());
+        return new Handover(range(in), in.string());
     }
 
     static void writeObject(FieldWriter out, StoredObject object) throws IOException {
-        out.text(object.name())
-                .integer(object.revision().value())
+        out.string(object.name())
+                .int64(object.revision().value())
                 .bytes(object.value())
-                .flag(object.deleted());
+                .bool(object.deleted());
     }
 
     static StoredObject object(FieldReader in) throws IOException {
-        return new StoredObject(in.text(), revision(in), in.bytes(), in.flag());
+        return new StoredObject(in.string(), revision(in), in.bytes(), in.bool());
     }
 
     static void writeRangeLoad(FieldWriter out, RangeLoad load) throws IOException {
         writeRange(out, load.range());
-        out.integer(load.fence().value())
-                .flag(load.serving())
-                .real(load.requestsPerSecond())
-                .list(
-                        load.hotHashes(),
-                        (o, hot) -> o.integer(hot.hash().value()).real(hot.requestsPerSecond()));
+        out.int64(load.fence().value())
+                .bool(load.serving())
+                .float64(load.requestsPerSecond())
+                .list(load.hotHashes(), (o, hot) -> o.int64(hot.hash().value()).float64(hot.requestsPerSecond()));
     }
 
     static RangeLoad rangeLoad(FieldReader in) throws IOException {
         return new RangeLoad(
                 range(in),
                 generation(in),
-                in.flag(),
-                in.real(),
-                in.list(f -> new RangeLoad.HotHash(keyHash(f), f.real())));
+                in.bool(),
+                in.float64(),
+                in.list(f -> new RangeLoad.HotHash(keyHash(f), f.float64())));
     }
 
     private static OptionalLong optionalLong(long value) {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/package-info.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Implementation of links and of the message codec. */
+/** Implementation of connections and of the message encoding. */
 package org.coriandercrank.peer.internal;
