--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/AssignmentTableTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/AssignmentTableTest.java
@@ -28,13 +28,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against keys that are looked up at the wrong owner, and tables that change or outgrow the store. */
+/**
+ * Guards against lookups that return a wrong owner, and against stored tables that lose information or exceed the size
+ * limit of the store.
+ */
 class AssignmentTableTest {
     private static final ServiceName SERVICE = new ServiceName("counter-desk");
-    private static final int STORED_LIMIT_BYTES = 400_000;
+    private static final int MAX_STORED_BYTES = 400_000;
 
-    /** A table of ranges between random bounds; some ranges are left out, some have a single hash. */
-    private static AssignmentTable table(Random random, int bounds, int members) {
+    /** A table of ranges between random bounds. Some ranges are omitted, some contain a single hash. */
+    private static AssignmentTable randomTable(Random random, int bounds, int members) {
         List<KeyHash> sorted = LongStream.concat(
                         LongStream.of(0, -1), LongStream.range(0, bounds).map(i -> random.nextLong()))
                 .distinct()
@@ -47,13 +50,13 @@
                     ? sorted.get(i).value()
                     : sorted.get(i + 1).value() - 1;
             if (random.nextInt(8) != 0) {
-                assignments.add(assignment(random, new KeyRange(sorted.get(i), new KeyHash(last)), members));
+                assignments.add(randomAssignment(random, new KeyRange(sorted.get(i), new KeyHash(last)), members));
             }
         }
         return new AssignmentTable(SERVICE, new Generation(1_000_000), assignments);
     }
 
-    private static RangeAssignment assignment(Random random, KeyRange range, int members) {
+    private static RangeAssignment randomAssignment(Random random, KeyRange range, int members) {
         MemberId owner = member(random.nextInt(members));
         List<MemberId> previous = new ArrayList<>();
         for (int i = random.nextInt(3); i > 0; i--) {
@@ -72,7 +75,7 @@
     @Property(tries = 200)
     void findAgreesWithALinearScan(@ForAll long seed, @ForAll @IntRange(max = 60) int bounds) {
         Random random = new Random(seed);
-        AssignmentTable table = table(random, bounds, 5);
+        AssignmentTable table = randomTable(random, bounds, 5);
         List<KeyHash> hashes = new ArrayList<>(List.of(KeyHash.MIN, KeyHash.MAX, new KeyHash(random.nextLong())));
         for (RangeAssignment assignment : table.assignments()) {
             long first = assignment.range().first().value();
@@ -82,25 +85,25 @@
                     .forEach(hashes::add);
         }
         for (KeyHash hash : hashes) {
-            Optional<RangeAssignment> scanned = table.assignments().stream()
+            Optional<RangeAssignment> expected = table.assignments().stream()
                     .filter(a -> Long.compareUnsigned(a.range().first().value(), hash.value()) <= 0
                             && Long.compareUnsigned(
                                             hash.value(), a.range().last().value())
                                     <= 0)
                     .findFirst();
-            assertThat(table.find(hash)).as("hash " + hash).isEqualTo(scanned);
+            assertThat(table.find(hash)).as("hash " + hash).isEqualTo(expected);
         }
     }
 
     @Property(tries = 200)
     void decodedTableEqualsTheEncodedOne(@ForAll long seed, @ForAll @IntRange(max = 60) int bounds) {
-        AssignmentTable table = table(new Random(seed), bounds, 5);
+        AssignmentTable table = randomTable(new Random(seed), bounds, 5);
         assertThat(TableCodec.decode(TableCodec.encode(table))).isEqualTo(table);
     }
 
-    /** Target size: 810 daemons with 8 ranges each; the store takes 1 MB. */
+    /** The target is 810 daemons with 8 ranges each. The store accepts objects of up to 1 MB. */
     @Test
-    void tableOfTheTargetSizeStaysSmall() {
+    void tableOfTheTargetSizeFitsTheStore() {
         List<RangeAssignment> assignments = new ArrayList<>();
         long width = Long.divideUnsigned(-1, 6_500);
         for (int i = 0; i < 6_500; i++) {
@@ -112,7 +115,7 @@
         }
         byte[] bytes = TableCodec.encode(new AssignmentTable(SERVICE, new Generation(2_000_000), assignments));
         System.out.println("table of 6,500 ranges and 810 members: " + bytes.length + " bytes");
-        assertThat(bytes).hasSizeLessThan(STORED_LIMIT_BYTES);
+        assertThat(bytes).hasSizeLessThan(MAX_STORED_BYTES);
         assertThat(TableCodec.decode(bytes).assignments()).isEqualTo(assignments);
     }
 
@@ -135,7 +138,7 @@
                 "{\"service\":\"s\",\"generation\":1,\"members\":[\"m\"],"
                         + "\"ranges\":[{\"first\":\"x\",\"last\":\"1\",\"owner\":0,\"fence\":1}]}"
             })
-    void unreadableTableIsMalformed(String stored) {
+    void malformedTableIsRejected(String stored) {
         assertThatThrownBy(() -> TableCodec.decode(stored.getBytes(StandardCharsets.UTF_8)))
                 .isInstanceOfSatisfying(
                         CrankException.class, e -> assertThat(e.code()).isEqualTo(ResultCode.STORE_MALFORMED));
@@ -150,7 +153,7 @@
         "0, 0, 5.421010862427522e-20",
         "ffffffffffffffff, ffffffffffffffff, 5.421010862427522e-20"
     })
-    void shareIsThePartOfTheHashSpace(String first, String last, double share) {
+    void shareIsTheFractionOfTheHashSpace(String first, String last, double share) {
         KeyRange range = new KeyRange(KeyHash.parse(first), KeyHash.parse(last));
         assertThat(range.share()).isCloseTo(share, within(share * 1e-12));
     }
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/CommandLineTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/CommandLineTest.java
@@ -16,9 +16,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.kohsuke.args4j.Option;
 
-/** Guards against a command line that takes a request for help as a fault, or a fault as a reason to start. */
+/**
+ * Guards against a request for help that is treated as an error, and against a program that starts with invalid
+ * settings.
+ */
 class CommandLineTest {
-    private static final class Bean implements Settings {
+    private static final class TestSettings implements Settings {
         @Option(name = "--store-address", usage = "address of the store")
         private String storeAddress = "default";
 
@@ -26,26 +29,26 @@
         private int slots = 3;
 
         @Override
-        public void validate(ValidationErrors faults) {
-            faults.requireRange("--slots", slots, 1, 10);
+        public void validate(ValidationErrors errors) {
+            errors.requireRange("--slots", slots, 1, 10);
         }
     }
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-    private final Bean bean = new Bean();
+    private final TestSettings settings = new TestSettings();
 
     private OptionalInt load(String... arguments) {
-        CommandLine line = new CommandLine(
+        CommandLine commandLine = new CommandLine(
                 "crank-test",
                 "[--FLAG VALUE]...",
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(err, true, StandardCharsets.UTF_8));
-        return line.load(bean, List.of(arguments), Map.of());
+        return commandLine.load(settings, List.of(arguments), Map.of());
     }
 
     @Test
-    void helpPrintsUsageAndIsNoFault() {
+    void helpPrintsUsageAndExitsWithZero() {
         assertThat(load("--slots", "99", "--help")).hasValue(0);
         assertThat(out.toString(StandardCharsets.UTF_8))
                 .startsWith("usage: crank-test [--FLAG VALUE]...")
@@ -54,16 +57,16 @@
     }
 
     @Test
-    void versionNamesTheProgram() {
+    void versionPrintsTheProgramName() {
         assertThat(load("--version")).hasValue(0);
         assertThat(out.toString(StandardCharsets.UTF_8)).startsWith("crank-test ");
     }
 
     @Test
-    void programRunsWithGoodSettings() {
+    void validSettingsPrintNothingAndReturnNoExitCode() {
         assertThat(load("--slots=4", "--store-address", "a")).isEmpty();
-        assertThat(bean.slots).isEqualTo(4);
-        assertThat(bean.storeAddress).isEqualTo("a");
+        assertThat(settings.slots).isEqualTo(4);
+        assertThat(settings.storeAddress).isEqualTo("a");
         assertThat(out.size() + err.size()).isZero();
     }
 
@@ -75,7 +78,7 @@
         "--colour=red, --colour: is not a flag",
         "--slots=11, '--slots: must be between 1 and 10, got 11'"
     })
-    void faultNamesWhatIsWrongAndTheNearestFlag(String arguments, String expected) {
+    void errorNamesTheProblemAndSuggestsAFlag(String arguments, String expected) {
         assertThat(load(arguments.split(" "))).hasValue(CommandLine.EXIT_USAGE);
         assertThat(err.toString(StandardCharsets.UTF_8).lines().toList())
                 .startsWith("SETTING_INVALID (500):")
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/DecisionLogTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/DecisionLogTest.java
@@ -16,14 +16,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a decision log that floods the host under load or hides how much it left out. */
+/**
+ * Guards against a decision log that exceeds its line limit under load or does not report how many lines it dropped.
+ */
 class DecisionLogTest {
     private static final long SECOND_NANOS = 1_000_000_000;
 
     private final Logger logger = Logger.getLogger(DecisionLog.class.getName());
     private final List<String> written = Collections.synchronizedList(new ArrayList<>());
     private final AtomicLong nowNanos = new AtomicLong(-5);
-    private final AtomicInteger built = new AtomicInteger();
+    private final AtomicInteger linesBuilt = new AtomicInteger();
     private final Handler handler = new Handler() {
         @Override
         public void publish(LogRecord line) {
@@ -38,68 +40,68 @@
     };
 
     @BeforeEach
-    void capture() {
+    void startCapture() {
         logger.setUseParentHandlers(false);
         logger.setLevel(Level.INFO);
         logger.addHandler(handler);
     }
 
     @AfterEach
-    void release() {
+    void stopCapture() {
         logger.removeHandler(handler);
         logger.setUseParentHandlers(true);
     }
 
-    private void log(DecisionLog log, int times) {
+    private void logLines(DecisionLog log, int times) {
         for (int i = 0; i < times; i++) {
-            log.log(() -> "event=route number=" + built.incrementAndGet());
+            log.log(() -> "event=route number=" + linesBuilt.incrementAndGet());
         }
     }
 
     @Test
-    void linesAboveTheLimitAreNotBuiltAndTheirNumberIsLogged() {
+    void linesAboveTheLimitAreDroppedAndCounted() {
         DecisionLog log = new DecisionLog(10, nowNanos::get);
-        log(log, 2_000);
+        logLines(log, 2_000);
         assertThat(written).hasSize(10).allMatch(line -> line.startsWith("INFO event=route number="));
-        assertThat(built).hasValue(10);
+        assertThat(linesBuilt).hasValue(10);
 
         nowNanos.addAndGet(SECOND_NANOS);
-        log(log, 1);
+        logLines(log, 1);
         assertThat(written.subList(10, written.size()))
                 .containsExactly("WARNING event=decision-log-limit suppressed=1990", "INFO event=route number=11");
     }
 
     @Test
-    void windowWithinTheLimitHasNoCount() {
+    void windowWithinTheLimitLogsNoCount() {
         DecisionLog log = new DecisionLog(10, nowNanos::get);
-        log(log, 10);
+        logLines(log, 10);
         nowNanos.addAndGet(SECOND_NANOS);
-        log(log, 10);
+        logLines(log, 10);
         nowNanos.addAndGet(SECOND_NANOS - 1);
-        log(log, 1);
+        logLines(log, 1);
         assertThat(written).hasSize(20).noneMatch(line -> line.contains("suppressed"));
     }
 
     @Test
     void limitZeroWritesNothing() {
-        log(new DecisionLog(0, nowNanos::get), 100);
+        logLines(new DecisionLog(0, nowNanos::get), 100);
         assertThat(written).isEmpty();
-        assertThat(built).hasValue(0);
+        assertThat(linesBuilt).hasValue(0);
     }
 
     @Test
-    void limitHoldsForSeveralThreads() throws InterruptedException {
+    void limitAppliesAcrossThreads() throws InterruptedException {
         DecisionLog log = new DecisionLog(10, nowNanos::get);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            threads.add(new Thread(() -> log(log, 1_000)));
+            threads.add(new Thread(() -> logLines(log, 1_000)));
         }
         threads.forEach(Thread::start);
         for (Thread thread : threads) {
             thread.join();
         }
         nowNanos.addAndGet(SECOND_NANOS);
-        log(log, 1);
+        logLines(log, 1);
         assertThat(written).hasSize(12).contains("WARNING event=decision-log-limit suppressed=7990");
     }
 }
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/RouteIndexTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/RouteIndexTest.java
@@ -8,7 +8,7 @@
 import org.coriandercrank.kernel.id.ServiceName;
 import org.junit.jupiter.api.Test;
 
-/** Guards against requests on the wrong route where prefixes contain each other. */
+/** Guards against requests that take the wrong route when one path prefix contains another. */
 class RouteIndexTest {
     private final RouteIndex index = new RouteIndex(List.of(
             route("wide", "a.example", "/x/"),
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SettingsLoaderTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SettingsLoaderTest.java
@@ -15,9 +15,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.kohsuke.args4j.Option;
 
-/** Guards against settings that come from the wrong source and against faults that are reported one by one. */
+/**
+ * Guards against settings that are read from the wrong source, and against errors that are reported only one at a time.
+ */
 class SettingsLoaderTest {
-    private static final class Bean implements Settings {
+    private static final class TestSettings implements Settings {
         @Option(name = "--store-address", usage = "address of the store")
         private String storeAddress = "default";
 
@@ -25,14 +27,14 @@
         private int slots = 3;
 
         @Override
-        public void validate(ValidationErrors faults) {
-            faults.requireRange("--slots", slots, 1, 10);
-            faults.parse("--store-address", storeAddress, text -> text);
+        public void validate(ValidationErrors errors) {
+            errors.requireRange("--slots", slots, 1, 10);
+            errors.parse("--store-address", storeAddress, text -> text);
         }
     }
 
-    private static Bean load(Map<String, String> environment, String... flags) {
-        return SettingsLoader.load(new Bean(), List.of(flags), environment);
+    private static TestSettings load(Map<String, String> environment, String... flags) {
+        return SettingsLoader.load(new TestSettings(), List.of(flags), environment);
     }
 
     @ParameterizedTest
@@ -44,19 +46,19 @@
         "variable, --store-address flag, flag",
         "'', --store-address=a=b, a=b"
     })
-    void flagWinsOverVariableOverDefault(String variable, String flags, String expected) {
+    void flagOverridesVariableOverridesDefault(String variable, String flags, String expected) {
         Map<String, String> environment = variable.isEmpty() ? Map.of() : Map.of("CRANK_STORE_ADDRESS", variable);
-        Bean bean = load(environment, flags.isEmpty() ? new String[0] : flags.split(" "));
-        assertThat(bean.storeAddress).isEqualTo(expected);
+        TestSettings settings = load(environment, flags.isEmpty() ? new String[0] : flags.split(" "));
+        assertThat(settings.storeAddress).isEqualTo(expected);
     }
 
     @Test
-    void variablesOfOthersAreIgnored() {
+    void unrelatedVariablesAreIgnored() {
         assertThat(load(Map.of("CRANK_OTHER", "1", "SLOTS", "9")).slots).isEqualTo(3);
     }
 
     @Test
-    void allFaultsAreReportedAtOnceWithTheirSource() {
+    void allErrorsAreReportedTogetherWithTheirSource() {
         assertThatThrownBy(() -> load(
                         Map.of("CRANK_SLOTS", "many"),
                         "--slots=11",
@@ -78,7 +80,7 @@
     }
 
     @Test
-    void usageNamesAllFlags() {
-        assertThat(SettingsLoader.usage(new Bean())).contains("--store-address", "--slots", "number of slots");
+    void usageListsAllFlags() {
+        assertThat(SettingsLoader.usage(new TestSettings())).contains("--store-address", "--slots", "number of slots");
     }
 }
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/DutyThreadTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SingleThreadExecutorTest.java
@@ -21,16 +21,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Guards against tasks that are lost, reordered or left unanswered, and against a duty that ends unnoticed. */
+/**
+ * Guards against tasks that are lost, reordered or never completed, and against an executor that stops without notice.
+ */
 @Timeout(20)
-class DutyThreadTest {
-    private static final int RING_CAPACITY = 8;
+class SingleThreadExecutorTest {
+    private static final int QUEUE_CAPACITY = 8;
 
-    private final SingleThreadExecutor duty = new SingleThreadExecutor("test-duty", RING_CAPACITY);
+    private final SingleThreadExecutor executor = new SingleThreadExecutor("test-executor", QUEUE_CAPACITY);
 
     @AfterEach
     void close() {
-        duty.close();
+        executor.close();
     }
 
     static Stream<Throwable> failures() {
@@ -39,17 +41,17 @@
 
     @ParameterizedTest
     @MethodSource("failures")
-    void taskThatThrowsDoesNotEndTheDuty(Throwable failure) {
-        duty.execute(() -> sneak(failure));
-        CompletableFuture<Integer> failing = duty.call(() -> sneak(failure));
+    void failingTaskDoesNotEndTheExecutor(Throwable failure) {
+        executor.execute(() -> throwUnchecked(failure));
+        CompletableFuture<Integer> failing = executor.call(() -> throwUnchecked(failure));
 
-        assertThat(duty.call(() -> 5).orTimeout(5, TimeUnit.SECONDS).join()).isEqualTo(5);
+        assertThat(executor.call(() -> 5).orTimeout(5, TimeUnit.SECONDS).join()).isEqualTo(5);
         assertThatThrownBy(() -> failing.orTimeout(5, TimeUnit.SECONDS).join())
                 .isInstanceOf(CompletionException.class)
                 .hasCause(failure);
     }
 
-    private static int sneak(Throwable failure) {
+    private static int throwUnchecked(Throwable failure) {
         if (failure instanceof Error error) {
             throw error;
         }
@@ -57,32 +59,32 @@
     }
 
     @Test
-    void fullRingRefusesAtOnceAndRunsTheRestInOrder() throws InterruptedException {
+    void fullQueueRejectsTasksAndRunsQueuedOnesInOrder() throws InterruptedException {
         CountDownLatch started = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        duty.execute(() -> {
+        executor.execute(() -> {
             started.countDown();
-            awaitQuietly(release);
+            awaitLatch(release);
         });
         started.await();
         List<Integer> ran = new ArrayList<>();
-        for (int i = 0; i < RING_CAPACITY; i++) {
+        for (int i = 0; i < QUEUE_CAPACITY; i++) {
             int number = i;
-            assertThat(duty.offer(() -> ran.add(number))).isTrue();
+            assertThat(executor.offer(() -> ran.add(number))).isTrue();
         }
 
-        assertThat(duty.offer(() -> ran.add(-1))).isFalse();
-        assertThatThrownBy(() -> duty.execute(() -> ran.add(-1))).isInstanceOf(RejectedExecutionException.class);
-        assertThatThrownBy(() -> duty.call(() -> ran.add(-1)).join())
+        assertThat(executor.offer(() -> ran.add(-1))).isFalse();
+        assertThatThrownBy(() -> executor.execute(() -> ran.add(-1))).isInstanceOf(RejectedExecutionException.class);
+        assertThatThrownBy(() -> executor.call(() -> ran.add(-1)).join())
                 .cause()
                 .isInstanceOfSatisfying(
                         CrankException.class, e -> assertThat(e.code()).isEqualTo(ResultCode.OVERLOADED));
         release.countDown();
-        duty.close();
+        executor.close();
         assertThat(ran).containsExactly(0, 1, 2, 3, 4, 5, 6, 7);
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -91,34 +93,34 @@
     }
 
     @Test
-    void closeRunsQueuedTasksAndRefusesFurtherOnes() {
+    void closeRunsQueuedTasksAndRejectsFurtherOnes() {
         AtomicInteger ran = new AtomicInteger();
-        for (int i = 0; i < RING_CAPACITY; i++) {
-            duty.offer(ran::incrementAndGet);
+        for (int i = 0; i < QUEUE_CAPACITY; i++) {
+            executor.offer(ran::incrementAndGet);
         }
-        duty.close();
+        executor.close();
 
-        assertThat(ran).hasValue(RING_CAPACITY);
-        assertThat(duty.offer(ran::incrementAndGet)).isFalse();
-        duty.close();
+        assertThat(ran).hasValue(QUEUE_CAPACITY);
+        assertThat(executor.offer(ran::incrementAndGet)).isFalse();
+        executor.close();
     }
 
     @Test
-    void closeFromItsOwnThreadDoesNotBlock() {
-        assertThat(duty.call(() -> {
-                            duty.close();
-                            return duty.isCurrentThread();
+    void closeOnItsOwnThreadDoesNotBlock() {
+        assertThat(executor.call(() -> {
+                            executor.close();
+                            return executor.isCurrentThread();
                         })
                         .orTimeout(1, TimeUnit.SECONDS)
                         .join())
                 .isTrue();
     }
 
-    /** An offer that returns true while the duty closes must not leave its task behind. */
+    /** A task whose offer returns true while the executor is being closed must still be run. */
     @Test
-    void acceptedTasksRunAlsoIfTheDutyClosesMeanwhile() throws InterruptedException {
+    void acceptedTasksRunDuringConcurrentClose() throws InterruptedException {
         for (int round = 0; round < 200; round++) {
-            SingleThreadExecutor closing = new SingleThreadExecutor("closing-duty", 1_024);
+            SingleThreadExecutor closing = new SingleThreadExecutor("closing-executor", 1_024);
             AtomicInteger accepted = new AtomicInteger();
             AtomicInteger ran = new AtomicInteger();
             CountDownLatch offering = new CountDownLatch(1);
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SuspensionAwareClockTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SuspensionAwareClockTest.java
@@ -6,45 +6,51 @@
 import org.coriandercrank.kernel.time.SuspensionAwareClock;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a lease that outlives a suspension of its host, in which the steady clock stands still. */
+/**
+ * Guards against a lease that is held too long after its host was suspended, because the steady clock stops during a
+ * suspension.
+ */
 class SuspensionAwareClockTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
 
-    private final AtomicLong steadyNanos = new AtomicLong(500 * MS);
+    private final AtomicLong steadyNanos = new AtomicLong(500 * NANOS_PER_MS);
     private final AtomicLong timeOfDayMs = new AtomicLong(1_000_000);
     private final SuspensionAwareClock clock = new SuspensionAwareClock(steadyNanos::get, timeOfDayMs::get);
     private final long startNanos = clock.nowNanos();
 
-    private void pass(long steadyMs, long dayMs) {
-        steadyNanos.addAndGet(steadyMs * MS);
-        timeOfDayMs.addAndGet(dayMs);
+    private void advance(long steadyDeltaMs, long timeOfDayDeltaMs) {
+        steadyNanos.addAndGet(steadyDeltaMs * NANOS_PER_MS);
+        timeOfDayMs.addAndGet(timeOfDayDeltaMs);
     }
 
     private long elapsedMs() {
-        return (clock.nowNanos() - startNanos) / MS;
+        return (clock.nowNanos() - startNanos) / NANOS_PER_MS;
     }
 
     @Test
-    void suspensionCounts() {
-        pass(100, 100);
+    void suspensionIsIncluded() {
+        advance(100, 100);
         assertThat(elapsedMs()).isEqualTo(100);
-        pass(10, 6_010);
+        advance(10, 6_010);
         assertThat(elapsedMs()).isEqualTo(6_110);
     }
 
     @Test
-    void timeOfDaySetBackChangesNothing() {
-        pass(100, -2_000);
+    void settingTheTimeOfDayBackHasNoEffect() {
+        advance(100, -2_000);
         assertThat(elapsedMs()).isEqualTo(100);
-        pass(100, 100);
+        advance(100, 100);
         assertThat(elapsedMs()).isEqualTo(200);
     }
 
-    /** Small differences of many readings must not be lost, nor rounding be counted as a suspension. */
+    /**
+     * Small differences between the clocks must accumulate over many readings, but rounding must not count as a
+     * suspension.
+     */
     @Test
     void slowDriftIsCountedOnce() {
         for (int i = 0; i < 1_000; i++) {
-            pass(10, i % 10 == 0 ? 11 : 10);
+            advance(10, i % 10 == 0 ? 11 : 10);
             clock.nowNanos();
         }
         assertThat(elapsedMs()).isBetween(10_000L, 10_125L);
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SystemTimerServiceTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/SystemTimerServiceTest.java
@@ -16,11 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against timed work that is lost, piles up in a slow duty, or goes on after its cancellation. */
+/**
+ * Guards against timed tasks that are lost, accumulate in the queue of a slow executor, or run after their
+ * cancellation.
+ */
 @Timeout(20)
 class SystemTimerServiceTest {
     private static final long PERIOD_MS = 5;
-    private static final long QUIET_MS = 60;
+    private static final long OBSERVATION_MS = 60;
 
     private final SystemTimerService timers = new SystemTimerService();
     private final AtomicInteger runs = new AtomicInteger();
@@ -30,7 +33,7 @@
         timers.close();
     }
 
-    private static void awaitTrue(BooleanSupplier condition) {
+    private static void waitUntil(BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             sleep(1);
         }
@@ -47,14 +50,14 @@
 
     private void assertNoFurtherRuns() {
         int before = runs.get();
-        sleep(QUIET_MS);
+        sleep(OBSERVATION_MS);
         assertThat(runs).hasValue(before);
     }
 
     @Test
     void periodicTaskRunsUntilItIsCancelled() {
         Subscription subscription = timers.every(PERIOD_MS, Runnable::run, runs::incrementAndGet);
-        awaitTrue(() -> runs.get() >= 3);
+        waitUntil(() -> runs.get() >= 3);
         subscription.cancel();
         sleep(PERIOD_MS);
         assertNoFurtherRuns();
@@ -71,16 +74,16 @@
                     queued.set(task);
                 },
                 runs::incrementAndGet);
-        awaitTrue(() -> queued.get() != null);
-        sleep(QUIET_MS);
+        waitUntil(() -> queued.get() != null);
+        sleep(OBSERVATION_MS);
         assertThat(dispatches).hasValue(1);
         queued.getAndSet(null).run();
-        awaitTrue(() -> queued.get() != null);
+        waitUntil(() -> queued.get() != null);
         assertThat(dispatches).hasValue(2);
     }
 
     @Test
-    void periodicTaskSurvivesAFullRingAndAFailure() {
+    void periodicTaskContinuesAfterRejectionAndFailure() {
         AtomicInteger dispatches = new AtomicInteger();
         timers.every(
                 PERIOD_MS,
@@ -95,11 +98,11 @@
                         throw new IllegalStateException("expected");
                     }
                 });
-        awaitTrue(() -> runs.get() >= 3);
+        waitUntil(() -> runs.get() >= 3);
     }
 
     @Test
-    void singleTaskRunsOnceNotBeforeItsDelayAndAgainAfterAFullRing() {
+    void delayedTaskRunsOnceAndIsRetriedAfterRejection() {
         long startNanos = timers.clock().nowNanos();
         AtomicInteger dispatches = new AtomicInteger();
         CompletableFuture<Long> ranNanos = new CompletableFuture<>();
@@ -121,38 +124,39 @@
     }
 
     @Test
-    void cancelledSingleTaskDoesNotRunEvenIfItIsQueued() {
+    void cancelledDelayedTaskDoesNotRunEvenIfQueued() {
         AtomicReference<Runnable> queued = new AtomicReference<>();
         Subscription subscription = timers.once(1, queued::set, runs::incrementAndGet);
-        awaitTrue(() -> queued.get() != null);
+        waitUntil(() -> queued.get() != null);
         subscription.cancel();
         queued.get().run();
         timers.once(10, Runnable::run, runs::incrementAndGet).cancel();
-        sleep(QUIET_MS);
+        sleep(OBSERVATION_MS);
         assertThat(runs).hasValue(0);
     }
 
-    /** A timer service that shares the event loop of the network must not end it. */
+    /** The timer service may share the event loop of the network and must not shut it down. */
     @Test
-    void closeLeavesAGivenSchedulerRunning() throws Exception {
-        ScheduledExecutorService shared = Executors.newSingleThreadScheduledExecutor();
-        try (SystemTimerService sharing = SystemTimerService.on(shared)) {
-            sharing.every(PERIOD_MS, Runnable::run, runs::incrementAndGet);
-            sharing.once(QUIET_MS / 2, Runnable::run, runs::incrementAndGet);
-            awaitTrue(() -> runs.get() >= 1);
-            sharing.close();
+    void closeDoesNotShutDownAProvidedScheduler() throws Exception {
+        ScheduledExecutorService sharedScheduler = Executors.newSingleThreadScheduledExecutor();
+        try (SystemTimerService timerService = SystemTimerService.on(sharedScheduler)) {
+            timerService.every(PERIOD_MS, Runnable::run, runs::incrementAndGet);
+            timerService.once(OBSERVATION_MS / 2, Runnable::run, runs::incrementAndGet);
+            waitUntil(() -> runs.get() >= 1);
+            timerService.close();
             sleep(PERIOD_MS);
             assertNoFurtherRuns();
-            assertThat(shared.submit(() -> true).get(10, TimeUnit.SECONDS)).isTrue();
+            assertThat(sharedScheduler.submit(() -> true).get(10, TimeUnit.SECONDS))
+                    .isTrue();
         } finally {
-            shared.shutdownNow();
+            sharedScheduler.shutdownNow();
         }
     }
 
     @Test
-    void closeEndsAllTasks() {
+    void closeStopsAllTasks() {
         timers.every(PERIOD_MS, Runnable::run, runs::incrementAndGet);
-        timers.once(QUIET_MS / 2, Runnable::run, runs::incrementAndGet);
+        timers.once(OBSERVATION_MS / 2, Runnable::run, runs::incrementAndGet);
         timers.close();
         sleep(PERIOD_MS);
         assertNoFurtherRuns();
--- a/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/code/DocumentedResultCodesTest.java
+++ b/org.coriandercrank.kernel.test/src/test/java/org/coriandercrank/kernel/code/DocumentedResultCodesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a table of result codes that differs from the codes that callers and operators see. */
+/** Guards against a documented table of result codes that differs from the codes that callers and operators see. */
 class DocumentedResultCodesTest {
     @Test
     void pageMatchesTheEnum() throws IOException {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
@@ -18,7 +18,7 @@
     private final long maxLinesPerSecond;
     private final MonotonicClock clock;
     private final AtomicLong windowStartNanos;
-    private final AtomicLong lines = new AtomicLong();
+    private final AtomicLong linesInWindow = new AtomicLong();
 
     /** @param maxLinesPerSecond 0 disables the log */
     public DecisionLog(long maxLinesPerSecond, MonotonicClock clock) {
@@ -33,7 +33,7 @@
             return;
         }
         rollWindow();
-        if (lines.incrementAndGet() <= maxLinesPerSecond) {
+        if (linesInWindow.incrementAndGet() <= maxLinesPerSecond) {
             logger.atInfo().log("%s", line.get());
         }
     }
@@ -45,7 +45,7 @@
         if (now - start < NANOS_PER_SECOND || !windowStartNanos.compareAndSet(start, now)) {
             return;
         }
-        long suppressed = lines.getAndSet(0) - maxLinesPerSecond;
+        long suppressed = linesInWindow.getAndSet(0) - maxLinesPerSecond;
         if (suppressed > 0) {
             logger.atWarning().log("event=decision-log-limit suppressed=%d", suppressed);
         }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRanges.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/KeyRanges.java
@@ -32,16 +32,16 @@
         return remainder;
     }
 
-    private static void subtractOne(KeyRange range, KeyRange removed, List<KeyRange> remainder) {
-        if (!range.overlaps(removed)) {
-            remainder.add(range);
+    private static void subtractOne(KeyRange part, KeyRange removed, List<KeyRange> result) {
+        if (!part.overlaps(removed)) {
+            result.add(part);
             return;
         }
-        if (range.first().compareTo(removed.first()) < 0) {
-            remainder.add(new KeyRange(range.first(), previous(removed.first())));
+        if (part.first().compareTo(removed.first()) < 0) {
+            result.add(new KeyRange(part.first(), previous(removed.first())));
         }
-        if (removed.last().compareTo(range.last()) < 0) {
-            remainder.add(new KeyRange(next(removed.last()), range.last()));
+        if (removed.last().compareTo(part.last()) < 0) {
+            result.add(new KeyRange(next(removed.last()), part.last()));
         }
     }
 
--- a/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
+++ b/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
@@ -31,29 +31,29 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Calls between two daemons through a fault-injecting proxy. */
+/** Calls between two daemons through a proxy that injects network faults. */
 class PeerNetworkTest {
     private static final HostAddress ANY_PORT = new HostAddress("127.0.0.1", 0);
-    private static final MemberId CALLING = new MemberId("calling");
-    private static final MemberId CALLED = new MemberId("called");
-    private static final long SILENCE_BOUND_MS = 1_000;
+    private static final MemberId CALLER_ID = new MemberId("calling");
+    private static final MemberId CALLEE_ID = new MemberId("called");
+    private static final long MAX_DETECTION_MS = 1_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final PeerHandlers calledHandlers = new PeerHandlers();
-    private final AtomicInteger handled = new AtomicInteger();
-    private PeerNetwork calling;
-    private PeerNetwork called;
+    private final PeerHandlers calleeHandlers = new PeerHandlers();
+    private final AtomicInteger handledRequests = new AtomicInteger();
+    private PeerNetwork caller;
+    private PeerNetwork callee;
     private FaultProxy proxy;
     private PeerTarget target;
 
     @BeforeEach
     void start() {
-        calling = network(CALLING, new PeerHandlers());
-        called = network(CALLED, calledHandlers);
-        proxy = new FaultProxy(called.address());
-        target = new PeerTarget(CALLED, proxy.address());
-        calledHandlers.register(RefusalRequest.class, (sender, message) -> {
-            handled.incrementAndGet();
+        caller = newNetwork(CALLER_ID, new PeerHandlers());
+        callee = newNetwork(CALLEE_ID, calleeHandlers);
+        proxy = new FaultProxy(callee.address());
+        target = new PeerTarget(CALLEE_ID, proxy.address());
+        calleeHandlers.register(RefusalRequest.class, (sender, message) -> {
+            handledRequests.incrementAndGet();
             return CompletableFuture.completedFuture(
                     new RefusalAnswer(sender, true, message.recordRevision().value()));
         });
@@ -62,20 +62,20 @@
     @AfterEach
     void stop() {
         proxy.close();
-        calling.close();
-        called.close();
+        caller.close();
+        callee.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private PeerNetwork network(MemberId self, PeerHandlers handlers) {
+    private PeerNetwork newNetwork(MemberId self, PeerHandlers handlers) {
         return new PeerNetwork(group, ANY_PORT, () -> self, handlers, PeerOptions.DEFAULTS, new SimpleMeterRegistry());
     }
 
     private CompletableFuture<RefusalAnswer> call(long number) {
-        return calling.call(target, new RefusalRequest(CALLING, new Revision(number)), RefusalAnswer.class, 5_000);
+        return caller.call(target, new RefusalRequest(CALLER_ID, new Revision(number)), RefusalAnswer.class, 5_000);
     }
 
-    private static ResultCode codeOf(CompletableFuture<?> call) throws Exception {
+    private static ResultCode resultCode(CompletableFuture<?> call) throws Exception {
         try {
             call.get(6, TimeUnit.SECONDS);
             return ResultCode.OK;
@@ -84,42 +84,46 @@
         }
     }
 
-    /** Peers refuse requests whose sender is a former id, so a daemon that joined again got no range from them. */
+    /**
+     * Other daemons reject requests from an outdated member id. A daemon that joined with a new id but kept sending the
+     * old one therefore got no range from them.
+     */
     @Test
     void callsNameThePresentMember() throws Exception {
-        AtomicReference<MemberId> self = new AtomicReference<>(CALLING);
-        try (PeerNetwork changing = new PeerNetwork(
+        AtomicReference<MemberId> self = new AtomicReference<>(CALLER_ID);
+        try (PeerNetwork rejoining = new PeerNetwork(
                 group, ANY_PORT, self::get, new PeerHandlers(), PeerOptions.DEFAULTS, new SimpleMeterRegistry())) {
-            for (MemberId id : List.of(CALLING, new MemberId("calling-again"))) {
+            for (MemberId id : List.of(CALLER_ID, new MemberId("calling-again"))) {
                 self.set(id);
-                RefusalAnswer answer = changing.call(
-                                target, new RefusalRequest(id, new Revision(1)), RefusalAnswer.class, 5_000)
+                RefusalAnswer answer = rejoining
+                        .call(target, new RefusalRequest(id, new Revision(1)), RefusalAnswer.class, 5_000)
                         .get(6, TimeUnit.SECONDS);
                 assertThat(answer.witness()).isEqualTo(id);
             }
         }
     }
 
-    /** An answer that is on its way when the daemon gets another id must still arrive. */
+    /** An answer that is pending while the daemon changes its member id must still arrive. */
     @Test
-    void answersToTheFormerMemberArrive() throws Exception {
-        AtomicReference<MemberId> self = new AtomicReference<>(CALLING);
-        CompletableFuture<RefusalAnswer> held = new CompletableFuture<>();
+    void answersToThePreviousMemberIdArrive() throws Exception {
+        AtomicReference<MemberId> self = new AtomicReference<>(CALLER_ID);
+        CompletableFuture<RefusalAnswer> pendingAnswer = new CompletableFuture<>();
         CountDownLatch received = new CountDownLatch(1);
-        calledHandlers.register(LoadQuery.class, (sender, message) -> {
+        calleeHandlers.register(LoadQuery.class, (sender, message) -> {
             received.countDown();
-            return held;
+            return pendingAnswer;
         });
-        try (PeerNetwork changing = new PeerNetwork(
+        try (PeerNetwork rejoining = new PeerNetwork(
                 group, ANY_PORT, self::get, new PeerHandlers(), PeerOptions.DEFAULTS, new SimpleMeterRegistry())) {
-            CompletableFuture<RefusalAnswer> early =
-                    changing.call(target, new LoadQuery(CALLING), RefusalAnswer.class, 5_000);
+            CompletableFuture<RefusalAnswer> firstCall =
+                    rejoining.call(target, new LoadQuery(CALLER_ID), RefusalAnswer.class, 5_000);
             assertThat(received.await(6, TimeUnit.SECONDS)).isTrue();
             self.set(new MemberId("calling-again"));
-            changing.call(target, new RefusalRequest(self.get(), new Revision(1)), RefusalAnswer.class, 5_000)
+            rejoining
+                    .call(target, new RefusalRequest(self.get(), new Revision(1)), RefusalAnswer.class, 5_000)
                     .get(6, TimeUnit.SECONDS);
-            held.complete(new RefusalAnswer(CALLED, true, 7));
-            assertThat(early.get(6, TimeUnit.SECONDS).witness()).isEqualTo(CALLED);
+            pendingAnswer.complete(new RefusalAnswer(CALLEE_ID, true, 7));
+            assertThat(firstCall.get(6, TimeUnit.SECONDS).witness()).isEqualTo(CALLEE_ID);
         }
     }
 
@@ -130,103 +134,103 @@
         }
     }
 
-    /** See KNOWN-RED.txt: a link takes a pause of its own thread for silence of the peer. */
+    /** See KNOWN-RED.txt: a link mistakes a pause of its own thread for silence of the peer. */
     @Tag("known-red")
     @Test
     void outOfOrderAnswersReachTheirOwnCalls() throws Exception {
         CompletableFuture<LoadReport> late = new CompletableFuture<>();
-        calledHandlers.register(LoadQuery.class, (sender, message) -> late);
-        CompletableFuture<LoadReport> first = calling.call(target, new LoadQuery(CALLING), LoadReport.class, 5_000);
+        calleeHandlers.register(LoadQuery.class, (sender, message) -> late);
+        CompletableFuture<LoadReport> first = caller.call(target, new LoadQuery(CALLER_ID), LoadReport.class, 5_000);
 
         assertThat(call(7).get(5, TimeUnit.SECONDS).retryAfterMs()).isEqualTo(7);
         assertThat(first).isNotDone();
         late.complete(new LoadReport(
-                CALLED, new ServiceName("s"), org.coriandercrank.kernel.id.Generation.NONE, java.util.List.of()));
-        assertThat(first.get(5, TimeUnit.SECONDS).member()).isEqualTo(CALLED);
+                CALLEE_ID, new ServiceName("s"), org.coriandercrank.kernel.id.Generation.NONE, java.util.List.of()));
+        assertThat(first.get(5, TimeUnit.SECONDS).member()).isEqualTo(CALLEE_ID);
     }
 
     @Test
-    void silentConnectionIsFoundWithinOneSecondAndNewOneWorks() throws Exception {
+    void silentConnectionIsDetectedWithinOneSecondAndReplaced() throws Exception {
         call(1).get(5, TimeUnit.SECONDS);
         proxy.silenceOpenConnections();
 
         long startedNanos = System.nanoTime();
-        ResultCode code = codeOf(call(2));
+        ResultCode code = resultCode(call(2));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
 
         assertThat(code).isEqualTo(ResultCode.LINK_LOST);
-        assertThat(tookMs).isLessThanOrEqualTo(SILENCE_BOUND_MS);
-        assertThat(codeOf(call(3))).isEqualTo(ResultCode.OK);
+        assertThat(tookMs).isLessThanOrEqualTo(MAX_DETECTION_MS);
+        assertThat(resultCode(call(3))).isEqualTo(ResultCode.OK);
     }
 
     @Test
     void slowHandlerDoesNotCloseTheLink() throws Exception {
         CompletableFuture<LoadReport> never = new CompletableFuture<>();
-        calledHandlers.register(LoadQuery.class, (sender, message) -> never);
-        CompletableFuture<LoadReport> slow = calling.call(target, new LoadQuery(CALLING), LoadReport.class, 2_000);
+        calleeHandlers.register(LoadQuery.class, (sender, message) -> never);
+        CompletableFuture<LoadReport> slow = caller.call(target, new LoadQuery(CALLER_ID), LoadReport.class, 2_000);
 
-        assertThat(codeOf(slow)).isEqualTo(ResultCode.CALL_TIMEOUT);
+        assertThat(resultCode(slow)).isEqualTo(ResultCode.CALL_TIMEOUT);
     }
 
     @Test
     void refusedConnectionMeansNotHandled() throws Exception {
         proxy.cut();
 
-        assertThat(codeOf(call(1))).isEqualTo(ResultCode.PEER_UNREACHABLE);
-        assertThat(handled).hasValue(0);
+        assertThat(resultCode(call(1))).isEqualTo(ResultCode.PEER_UNREACHABLE);
+        assertThat(handledRequests).hasValue(0);
     }
 
     @Test
     void blockedConnectionBeforeHelloMeansNotHandled() throws Exception {
         proxy.blockBoth();
-        ResultCode code = codeOf(call(1));
+        ResultCode code = resultCode(call(1));
         proxy.heal();
         Thread.sleep(200);
 
         assertThat(code).isEqualTo(ResultCode.PEER_UNREACHABLE);
-        assertThat(handled).hasValue(0);
+        assertThat(handledRequests).hasValue(0);
     }
 
     @Test
-    void cutDuringACallMeansUnknown() throws Exception {
+    void connectionLossDuringACallMeansUnknown() throws Exception {
         CompletableFuture<LoadReport> never = new CompletableFuture<>();
         CompletableFuture<Void> arrived = new CompletableFuture<>();
-        calledHandlers.register(LoadQuery.class, (sender, message) -> {
+        calleeHandlers.register(LoadQuery.class, (sender, message) -> {
             arrived.complete(null);
             return never;
         });
-        CompletableFuture<LoadReport> call = calling.call(target, new LoadQuery(CALLING), LoadReport.class, 5_000);
+        CompletableFuture<LoadReport> call = caller.call(target, new LoadQuery(CALLER_ID), LoadReport.class, 5_000);
         arrived.get(5, TimeUnit.SECONDS);
         proxy.cut();
 
-        assertThat(codeOf(call)).isEqualTo(ResultCode.LINK_LOST);
+        assertThat(resultCode(call)).isEqualTo(ResultCode.LINK_LOST);
     }
 
     @Test
-    void anotherMemberAtTheAddressIsNotCalled() throws Exception {
-        PeerTarget predecessor = new PeerTarget(new MemberId("predecessor"), called.address());
+    void callFailsIfAnotherMemberHasTheAddress() throws Exception {
+        PeerTarget predecessor = new PeerTarget(new MemberId("predecessor"), callee.address());
         CompletableFuture<RefusalAnswer> call =
-                calling.call(predecessor, new RefusalRequest(CALLING, new Revision(1)), RefusalAnswer.class, 5_000);
+                caller.call(predecessor, new RefusalRequest(CALLER_ID, new Revision(1)), RefusalAnswer.class, 5_000);
 
-        assertThat(codeOf(call)).isEqualTo(ResultCode.WRONG_MEMBER);
-        assertThat(handled).hasValue(0);
+        assertThat(resultCode(call)).isEqualTo(ResultCode.WRONG_MEMBER);
+        assertThat(handledRequests).hasValue(0);
     }
 
     @Test
     void missingHandlerIsReported() throws Exception {
-        CompletableFuture<LoadReport> call = calling.call(target, new LoadQuery(CALLING), LoadReport.class, 5_000);
+        CompletableFuture<LoadReport> call = caller.call(target, new LoadQuery(CALLER_ID), LoadReport.class, 5_000);
 
-        assertThat(codeOf(call)).isEqualTo(ResultCode.UNSUPPORTED_MESSAGE);
+        assertThat(resultCode(call)).isEqualTo(ResultCode.UNSUPPORTED_MESSAGE);
     }
 
     @Test
-    void oneWayBlockIsFoundWithinOneSecond() throws Exception {
+    void oneWayBlockIsDetectedWithinOneSecond() throws Exception {
         call(1).get(5, TimeUnit.SECONDS);
         proxy.block(FaultProxy.Direction.FROM_TARGET);
 
         long startedNanos = System.nanoTime();
-        assertThat(codeOf(call(2))).isEqualTo(ResultCode.LINK_LOST);
+        assertThat(resultCode(call(2))).isEqualTo(ResultCode.LINK_LOST);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos))
-                .isLessThanOrEqualTo(SILENCE_BOUND_MS);
+                .isLessThanOrEqualTo(MAX_DETECTION_MS);
     }
 }
--- a/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/internal/MessageCodecTest.java
+++ b/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/internal/MessageCodecTest.java
@@ -54,7 +54,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Guards against fields that are lost or swapped in a frame, and against frames that crash the decoder. */
+/**
+ * Guards against message fields that are lost or swapped in encoding, and against frames that make the decoder fail
+ * unexpectedly.
+ */
 class MessageCodecTest {
     private static final MemberId MEMBER = new MemberId("host-1.a");
     private static final ServiceName SERVICE = new ServiceName("counter-desk");
@@ -117,14 +120,14 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void decodesWhatItEncoded(Message message) {
+    void decodesWhatWasEncoded(Message message) {
         byte[] bytes = MessageCodec.encode(new Frame(42, message));
 
         assertThat(MessageCodec.decode(bytes)).usingRecursiveComparison().isEqualTo(new Frame(42, message));
     }
 
     @Test
-    void listsEveryMessageType() {
+    void samplesCoverEveryMessageType() {
         assertThat(messages().map(Message::getClass).distinct()).hasSize(Message.class.getPermittedSubclasses().length);
     }
 
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
@@ -60,10 +60,7 @@
             out.int64(entry.number).int64(frame.correlationId());
             entry.write(out, frame.message());
         } catch (IOException e) {
-            throw new CrankException(
-                    ResultCode.INTERNAL,
-                    "cannot encode " + frame.message().getClass().getSimpleName(),
-                    e);
+            throw new CrankException(ResultCode.INTERNAL, "cannot encode a message", e);
         }
         return out.toByteArray();
     }
