--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
@@ -6,10 +6,10 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Log of routing or placement decisions, one line each, with an upper bound on lines per second.
+ * Log of routing or placement decisions, one line each, with a limit on lines per second.
  *
- * <p>Thread safe. Lines above the bound are counted and the count is logged once a second. The text of a line is built
- * only if the line is written.
+ * <p>Thread safe. Lines above the limit are dropped and counted; the count is logged when the next one-second window
+ * starts. The text of a line is built only if the line is written.
  */
 public final class DecisionLog {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -18,32 +18,34 @@
     private final long maxLinesPerSecond;
     private final MonotonicClock clock;
     private final AtomicLong windowStartNanos;
-    private final AtomicLong lines = new AtomicLong();
+    private final AtomicLong linesInWindow = new AtomicLong();
 
+    /** @param maxLinesPerSecond 0 disables the log */
     public DecisionLog(long maxLinesPerSecond, MonotonicClock clock) {
         this.maxLinesPerSecond = maxLinesPerSecond;
         this.clock = clock;
         this.windowStartNanos = new AtomicLong(clock.nowNanos());
     }
 
-    /** Logs a line of the form {@code event=... name=value ...}. */
+    /** Logs a line of the form {@code event=... name=value ...}, unless the limit is reached. */
     public void log(Supplier<String> line) {
         if (maxLinesPerSecond <= 0) {
             return;
         }
         rollWindow();
-        if (lines.incrementAndGet() <= maxLinesPerSecond) {
+        if (linesInWindow.incrementAndGet() <= maxLinesPerSecond) {
             logger.atInfo().log("%s", line.get());
         }
     }
 
+    /** Starts a new window after one second and logs how many lines the previous window dropped. */
     private void rollWindow() {
         long now = clock.nowNanos();
         long start = windowStartNanos.get();
         if (now - start < NANOS_PER_SECOND || !windowStartNanos.compareAndSet(start, now)) {
             return;
         }
-        long suppressed = lines.getAndSet(0) - maxLinesPerSecond;
+        long suppressed = linesInWindow.getAndSet(0) - maxLinesPerSecond;
         if (suppressed > 0) {
             logger.atWarning().log("event=decision-log-limit suppressed=%d", suppressed);
         }
