--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -152,7 +152,8 @@
 
     /** One planner: decides on a table that may be old, and writes only if the store still has that table. */
     private void plan(AssignmentTable known, Set<MemberId> gone) {
-        TablePlanner.View view = new TablePlanner.View(configuration, members, gone, known, reports, nowMs, 0, nowMs, 0);
+        TablePlanner.View view =
+                new TablePlanner.View(configuration, members, gone, known, reports, nowMs, 0, nowMs, 0);
         Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(view);
         if (decision.isPresent() && known.generation().equals(newest().generation())) {
             OwnershipChecks.checkNext(newest(), decision.get(), gone);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -52,7 +52,7 @@
     private void serveAllFromGenerationOne() {
         state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
-        assertThat(acquire.inherited()).isEqualTo(TransferredRecords.NEVER_OWNED);
+        assertThat(acquire.transferred()).isEqualTo(TransferredRecords.NEVER_OWNED);
         state.acquired(acquire);
     }
 
@@ -65,9 +65,11 @@
     @Test
     void staysReleasedUntilTheTableIsAsNew() {
         serveAllFromGenerationOne();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isPresent();
         state.applyTable(table(4, range(KeyRange.ALL, A, 4)));
         assertThat(poll()).isEmpty();
         state.applyTable(table(6, range(KeyRange.ALL, A, 6, B)));
@@ -77,7 +79,9 @@
     /** Guards against a daemon that never served a range and acquires it after it has answered. */
     @Test
     void keepsThePromiseForARangeNeverServed() {
-        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000).orElseThrow().recordsCompleteForMs())
+        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000)
+                        .orElseThrow()
+                        .recordsCompleteForMs())
                 .isEqualTo(ReleaseAnswer.NOT_SERVED);
         state.applyTable(table(3, range(KeyRange.ALL, A, 3)));
         assertThat(poll()).singleElement().extracting("range").isEqualTo(HIGH);
@@ -110,7 +114,8 @@
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
         state.applyTable(table(2, range(KeyRange.ALL, B, 2, A)));
         assertThat(poll()).isEmpty();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000))
+                .isEmpty();
         state.acquired(acquire);
         assertThat(poll()).containsExactly(new OwnershipAction.Release(KeyRange.ALL));
     }
@@ -134,9 +139,11 @@
     })
     void vouchesForRecordsOnce(String label, String requester, long generation, long completeForMs) {
         serveAllFromGenerationOne();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050))
+                .isPresent();
         Optional<ReleaseAnswer> answer =
                 state.handleReleaseRequest(request(new MemberId(requester), KeyRange.ALL, generation), 1_100);
         assertThat(answer.orElseThrow().recordsCompleteForMs()).as(label).isEqualTo(completeForMs);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
@@ -18,11 +18,11 @@
 import org.coriandercrank.kernel.table.MemberState;
 import org.coriandercrank.kernel.table.RangeAssignment;
 import org.coriandercrank.placement.TestFleet;
-import org.coriandercrank.placement.internal.RebalancePolicy;
 import org.coriandercrank.placement.internal.RebalanceParameters;
-import org.coriandercrank.placement.internal.TablePlanner;
+import org.coriandercrank.placement.internal.RebalancePolicy;
 import org.coriandercrank.placement.internal.ServicePlanningState;
 import org.coriandercrank.placement.internal.TableBuilder;
+import org.coriandercrank.placement.internal.TablePlanner;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicLong;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.Generation;
@@ -24,7 +25,6 @@
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.StoredObject;
@@ -39,11 +39,11 @@
 import org.coriandercrank.placement.internal.PlacementMeters;
 import org.coriandercrank.placement.internal.PlannerElection;
 import org.coriandercrank.placement.internal.PlannerRole;
-import org.coriandercrank.placement.internal.RebalancePolicy;
 import org.coriandercrank.placement.internal.RebalanceParameters;
-import org.coriandercrank.placement.internal.TablePlanner;
+import org.coriandercrank.placement.internal.RebalancePolicy;
 import org.coriandercrank.placement.internal.ServicePlanningState;
 import org.coriandercrank.placement.internal.TableBuilder;
+import org.coriandercrank.placement.internal.TablePlanner;
 import org.coriandercrank.placement.internal.TableWriter;
 
 /**
@@ -54,46 +54,47 @@
  */
 public final class Planner implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_CAPACITY = 16_384;
-    private static final long POST_RETRY_MS = 1;
-    private static final long WRITE_RETRY_MS = 200;
-    private static final long LOAD_ANSWER_DIVISOR = 4;
+    private static final int TASK_QUEUE_CAPACITY = 16_384;
+    private static final long ENQUEUE_RETRY_MS = 1;
+    private static final long TABLE_WRITE_RETRY_MS = 200;
+    private static final long LOAD_REPORT_WAIT_DIVISOR = 4;
     private static final long IMBALANCE_TARGET_PERCENT = 125;
 
     private final PlacementContext context;
     private final PluginRegistry plugins;
     private final PlannerOptions options;
-    private final SerialExecutor duty;
+    private final SerialExecutor executor;
     private final PlannerRole role;
     private volatile boolean holdsRole;
     private final LoadCollector loadCollector;
-    private final TableWriter writer;
-    private final MemberCleaner cleaner;
-    private final MemberLookup lookup;
+    private final TableWriter tableWriter;
+    private final MemberCleaner memberCleaner;
+    private final MemberLookup memberLookup;
     private final PlacementMeters meters;
     private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceParameters.AVAILABILITY);
     private final Map<ServiceName, ServicePlanningState> serviceStates = new HashMap<>();
-    private final AtomicLong inputCount = new AtomicLong();
-    private TimerService.Subscription tick = () -> {};
-    private TimerService.Subscription loadTick = () -> {};
+    private final AtomicLong inputVersion = new AtomicLong();
+    private TimerService.Subscription tickTimer = () -> {};
+    private TimerService.Subscription loadQueryTimer = () -> {};
 
     public Planner(PlacementContext context, PluginRegistry plugins, PlannerOptions options) {
         this.context = context;
-        duty = context.duties().create("planner", RING_CAPACITY);
+        executor = context.executors().create("planner", TASK_QUEUE_CAPACITY);
         this.plugins = plugins;
         this.options = options;
-        PlannerElection.Options delays = new PlannerElection.Options(
+        PlannerElection.Options electionOptions = new PlannerElection.Options(
                 options.renewIntervalMs(),
                 options.roleTimeoutMs(),
                 options.rankDelayMs(),
                 options.slowReadIntervalMs(),
                 options.fastReaders());
-        role = new PlannerRole(context.self(), context.store(), context.timers().clock(), this::post, delays);
+        role = new PlannerRole(
+                context.self(), context.store(), context.timers().clock(), this::enqueue, electionOptions);
         loadCollector = new LoadCollector(
-                context.self(), context.peers(), context.handlers(), this::post, options.loadQueryTimeoutMs());
-        writer = new TableWriter(context.store(), this::sendToNewOwners);
-        cleaner = new MemberCleaner(context.store(), options.sealedRetentionMs());
-        lookup = new MemberLookup(context.store(), this::post);
+                context.self(), context.peers(), context.handlers(), this::enqueue, options.loadQueryTimeoutMs());
+        tableWriter = new TableWriter(context.store(), this::sendToNewOwners);
+        memberCleaner = new MemberCleaner(context.store(), options.sealedRetentionMs());
+        memberLookup = new MemberLookup(context.store(), this::enqueue);
         meters = new PlacementMeters(context.meters());
     }
 
@@ -105,11 +106,11 @@
     /** Begins to compete for the role; called once, after the handlers of this daemon are registered. */
     public void start() {
         context.view().subscribe(snapshot -> {
-            inputCount.incrementAndGet();
-            duty.offer(this::step);
+            inputVersion.incrementAndGet();
+            executor.offer(this::planIfRoleHeld);
         });
-        tick = context.timers().every(options.tickIntervalMs(), duty, this::step);
-        loadTick = context.timers().every(options.loadQueryIntervalMs(), duty, this::collectLoads);
+        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::planIfRoleHeld);
+        loadQueryTimer = context.timers().every(options.loadQueryIntervalMs(), executor, this::collectLoads);
     }
 
     /**
@@ -130,14 +131,14 @@
     /** Stops renewing the role, so that another daemon takes it after {@link PlannerOptions#roleTimeoutMs}. */
     @Override
     public void close() {
-        tick.cancel();
-        loadTick.cancel();
-        duty.close();
+        tickTimer.cancel();
+        loadQueryTimer.cancel();
+        executor.close();
     }
 
-    private void post(Runnable task) {
-        if (!duty.offer(task)) {
-            context.timers().once(POST_RETRY_MS, duty, task);
+    private void enqueue(Runnable task) {
+        if (!executor.offer(task)) {
+            context.timers().once(ENQUEUE_RETRY_MS, executor, task);
         }
     }
 
@@ -145,10 +146,10 @@
         return context.timers().clock().nowMs();
     }
 
-    private void step() {
-        long input = inputCount.get();
+    private void planIfRoleHeld() {
+        long version = inputVersion.get();
         RoutingSnapshot snapshot = context.view().current();
-        role.step(snapshot);
+        role.update(snapshot);
         meters.setRoleHeld(role.isHolder());
         holdsRole = role.isHolder();
         if (!role.isHolder()) {
@@ -159,7 +160,7 @@
         if (snapshot.configurationRevision().equals(Revision.NONE)) {
             return;
         }
-        keyedServices(snapshot).forEach(service -> plan(snapshot, input, service));
+        keyedServices(snapshot).forEach(service -> plan(snapshot, version, service));
     }
 
     private static Set<ServiceName> keyedServices(RoutingSnapshot snapshot) {
@@ -176,90 +177,94 @@
             return;
         }
         RoutingSnapshot snapshot = context.view().current();
-        serviceStates.forEach((service, track) -> {
-            TablePlanner.View view = view(snapshot, track, track.table());
+        serviceStates.forEach((service, state) -> {
+            TablePlanner.View view = serviceView(snapshot, state, state.table());
             double imbalance = TablePlanner.imbalance(view);
-            track.updateImbalance(imbalance, nowMs());
-            meters.setTable(service, track.table(), imbalance);
-            meters.recordUnserved(service, track.table(), view.reports(), options.loadQueryIntervalMs() / 1_000.0);
+            state.updateImbalance(imbalance, nowMs());
+            meters.setTable(service, state.table(), imbalance);
+            meters.recordUnserved(service, state.table(), view.reports(), options.loadQueryIntervalMs() / 1_000.0);
         });
         loadCollector.query(snapshot);
-        context.timers().once(options.loadQueryIntervalMs() / LOAD_ANSWER_DIVISOR, duty, () -> {
-            inputCount.incrementAndGet();
-            step();
+        context.timers().once(options.loadQueryIntervalMs() / LOAD_REPORT_WAIT_DIVISOR, executor, () -> {
+            inputVersion.incrementAndGet();
+            planIfRoleHeld();
         });
-        lookup.clearFoundMembers();
-        cleaner.deleteExpired(snapshot, nowMs());
+        memberLookup.clearFoundMembers();
+        memberCleaner.deleteExpired(snapshot, nowMs());
     }
 
-    private void plan(RoutingSnapshot snapshot, long input, ServiceName service) {
-        ServicePlanningState track =
-                serviceStates.computeIfAbsent(service, s -> new ServicePlanningState(s, IMBALANCE_TARGET_PERCENT, nowMs()));
-        snapshot.table(service).ifPresent(track::updateTable);
-        track.updateCandidates(TablePlanner.candidates(view(snapshot, track, track.table())), nowMs());
-        if (!track.shouldDecide(input, nowMs()) || !lookup.resolveMissing(snapshot, track.table())) {
+    private void plan(RoutingSnapshot snapshot, long version, ServiceName service) {
+        ServicePlanningState state = serviceStates.computeIfAbsent(
+                service, s -> new ServicePlanningState(s, IMBALANCE_TARGET_PERCENT, nowMs()));
+        snapshot.table(service).ifPresent(state::updateTable);
+        state.updateCandidates(TablePlanner.candidates(serviceView(snapshot, state, state.table())), nowMs());
+        if (!state.shouldDecide(version, nowMs()) || !memberLookup.resolveMissing(snapshot, state.table())) {
             return;
         }
-        if (decide(view(snapshot, track, track.table())).isEmpty()) {
-            track.recordDecided(input);
+        if (decide(serviceView(snapshot, state, state.table())).isEmpty()) {
+            state.recordDecided(version);
             return;
         }
-        track.beginWrite();
-        writer.write(service, this::post, table -> decideOn(track, table))
-                .whenComplete((outcome, failure) -> post(() -> {
+        state.beginWrite();
+        tableWriter
+                .write(service, this::enqueue, table -> decideOnStoredTable(state, table))
+                .whenComplete((outcome, failure) -> enqueue(() -> {
                     if (failure != null) {
                         CrankException cause = CrankException.of(failure);
                         logger.atWarning().log(
                                 "event=table-write-failed service=%s result=%s reason=%s",
                                 service, cause.code(), cause.getMessage());
-                        track.endWrite(nowMs() + WRITE_RETRY_MS);
+                        state.endWrite(nowMs() + TABLE_WRITE_RETRY_MS);
                         return;
                     }
-                    track.updateTable(outcome.table());
-                    track.endWrite(outcome.written().isPresent() ? nowMs() : nowMs() + WRITE_RETRY_MS);
-                    outcome.written().ifPresent(decision -> tableWritten(track, decision));
+                    state.updateTable(outcome.table());
+                    state.endWrite(outcome.written().isPresent() ? nowMs() : nowMs() + TABLE_WRITE_RETRY_MS);
+                    outcome.written().ifPresent(decision -> tableWritten(state, decision));
                 }));
     }
 
-    private void tableWritten(ServicePlanningState track, TablePlanner.Decision decision) {
+    private void tableWritten(ServicePlanningState state, TablePlanner.Decision decision) {
         ServiceName service = decision.table().service();
         meters.countChanges(service, decision.changes());
         if (decision.kind() == TablePlanner.Kind.POLICY) {
-            track.recordPolicyChange(nowMs());
+            state.recordPolicyChange(nowMs());
         }
         for (TableBuilder.Change change : decision.changes()) {
-            context.log().log(() -> String.format(
-                    "event=place service=%s range=%s from=%s to=%s fence=%s reason=%s",
-                    service,
-                    change.range(),
-                    change.from().map(MemberId::value).orElse("none"),
-                    change.to(),
-                    change.fence(),
-                    change.reason()));
+            context.decisionLog()
+                    .log(() -> String.format(
+                            "event=place service=%s range=%s from=%s to=%s fence=%s reason=%s",
+                            service,
+                            change.range(),
+                            change.from().map(MemberId::value).orElse("none"),
+                            change.to(),
+                            change.fence(),
+                            change.reason()));
         }
         if (decision.kind() == TablePlanner.Kind.WITHDRAW) {
-            context.log().log(() -> String.format(
-                    "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
-                    service, decision.table().generation()));
+            context.decisionLog()
+                    .log(() -> String.format(
+                            "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
+                            service, decision.table().generation()));
         }
-        step();
+        planIfRoleHeld();
     }
 
     /** Decides again on the table read from the store, with the facts that the decision must not have wrong. */
-    private CompletableFuture<Optional<TablePlanner.Decision>> decideOn(ServicePlanningState track, AssignmentTable table) {
+    private CompletableFuture<Optional<TablePlanner.Decision>> decideOnStoredTable(
+            ServicePlanningState state, AssignmentTable table) {
         RoutingSnapshot snapshot = context.view().current();
-        if (!lookup.resolveMissing(snapshot, table)) {
+        if (!memberLookup.resolveMissing(snapshot, table)) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        TablePlanner.View view = view(snapshot, track, table);
+        TablePlanner.View view = serviceView(snapshot, state, table);
         Optional<TablePlanner.Decision> decision = decide(view);
         if (decision.isEmpty()) {
             return CompletableFuture.completedFuture(decision);
         }
-        boolean recreated = decision.get().kind() == TablePlanner.Kind.FIRST_TABLE
+        boolean recreatesTable = decision.get().kind() == TablePlanner.Kind.FIRST_TABLE
                 && !table.generation().equals(Generation.NONE);
-        if (recreated) {
-            return lookup.listMembers().thenApply(members -> decide(withStoredMembers(view, members)));
+        if (recreatesTable) {
+            return memberLookup.listMembers().thenApply(members -> decide(withStoredMembers(view, members)));
         }
         if (decision.get().kind() == TablePlanner.Kind.WITHDRAW) {
             return context.store()
@@ -270,16 +275,20 @@
     }
 
     /** The snapshot may be older than a note that added the service again, so the store is asked. */
-    private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> found) {
-        return found.map(o -> JsonCodec.decode(o.value(), Configuration.class))
-                .map(c -> c.service(service).filter(ServiceConfig::keyed).isEmpty())
+    private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> storedConfiguration) {
+        return storedConfiguration
+                .map(object -> JsonCodec.decode(object.value(), Configuration.class))
+                .map(configuration -> configuration
+                        .service(service)
+                        .filter(ServiceConfig::keyed)
+                        .isEmpty())
                 .orElse(false);
     }
 
     /** Members that the snapshot lacks may still hold ranges of the table before the withdrawal. */
-    private static TablePlanner.View withStoredMembers(TablePlanner.View view, List<Member> stored) {
+    private static TablePlanner.View withStoredMembers(TablePlanner.View view, List<Member> storedMembers) {
         Map<MemberId, Member> members = new HashMap<>(view.members());
-        stored.forEach(m -> members.putIfAbsent(m.id(), m));
+        storedMembers.forEach(m -> members.putIfAbsent(m.id(), m));
         return new TablePlanner.View(
                 view.configuration(),
                 members,
@@ -295,42 +304,42 @@
     private Optional<TablePlanner.Decision> decide(TablePlanner.View view) {
         ServiceName service = view.table().service();
         try {
-            return new TablePlanner(policy(view.configuration(), service), options.firstTableDelayMs()).decide(view);
+            return new TablePlanner(policyOf(view.configuration(), service), options.firstTableDelayMs()).decide(view);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=policy-failed service=%s", service);
             return new TablePlanner(fallbackPolicy, options.firstTableDelayMs()).decide(view);
         }
     }
 
-    private PlacementPolicy policy(Configuration configuration, ServiceName service) {
+    private PlacementPolicy policyOf(Configuration configuration, ServiceName service) {
         return configuration
                 .service(service)
                 .map(s -> plugins.get(PluginRegistry.Kind.PLACEMENT, s.placementPolicy()))
                 .orElse(fallbackPolicy);
     }
 
-    private TablePlanner.View view(RoutingSnapshot snapshot, ServicePlanningState track, AssignmentTable table) {
-        Map<MemberId, Member> members = new HashMap<>(lookup.foundMembers());
-        Set<MemberId> gone = new HashSet<>(lookup.removedMembers());
+    private TablePlanner.View serviceView(RoutingSnapshot snapshot, ServicePlanningState state, AssignmentTable table) {
+        Map<MemberId, Member> members = new HashMap<>(memberLookup.foundMembers());
+        Set<MemberId> removed = new HashSet<>(memberLookup.removedMembers());
         snapshot.members().forEach((id, known) -> {
             members.put(id, known.member());
             if (known.member().state() == MemberState.SEALED) {
-                gone.add(id);
+                removed.add(id);
             }
         });
         Map<MemberId, LoadReport> reports = loadCollector.reports();
         reports.values().removeIf(r -> !r.service().equals(table.service()));
-        boolean complete =
-                table.assignments().stream().allMatch(a -> reports.containsKey(a.owner()) || gone.contains(a.owner()));
+        boolean allReported = table.assignments().stream()
+                .allMatch(a -> reports.containsKey(a.owner()) || removed.contains(a.owner()));
         return new TablePlanner.View(
                 snapshot.configuration(),
                 members,
-                gone,
+                removed,
                 table,
                 reports,
                 nowMs(),
-                complete ? track.lastChangeMs() : nowMs(),
-                track.imbalancedSinceMs(nowMs()),
-                track.candidatesSinceMs());
+                allReported ? state.lastChangeMs() : nowMs(),
+                state.imbalancedSinceMs(nowMs()),
+                state.candidatesSinceMs());
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
@@ -29,10 +29,17 @@
             new PlannerOptions(500, 1_500, 200, 10_000, 3, 100, 1_000, 2_000, 1_500, 60_000);
 
     public PlannerOptions {
-        if (renewIntervalMs < 1 || roleTimeoutMs <= renewIntervalMs || slowReadIntervalMs < renewIntervalMs || fastReaders < 1) {
+        if (renewIntervalMs < 1
+                || roleTimeoutMs <= renewIntervalMs
+                || slowReadIntervalMs < renewIntervalMs
+                || fastReaders < 1) {
             throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
         }
-        if (tickIntervalMs < 1 || loadQueryIntervalMs < 1 || loadQueryTimeoutMs < 1 || firstTableDelayMs < 0 || sealedRetentionMs < 0) {
+        if (tickIntervalMs < 1
+                || loadQueryIntervalMs < 1
+                || loadQueryTimeoutMs < 1
+                || firstTableDelayMs < 0
+                || sealedRetentionMs < 0) {
             throw new IllegalArgumentException("periods must be positive and delays not negative");
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -11,6 +11,7 @@
 import java.util.function.Predicate;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.message.LoadQuery;
@@ -22,7 +23,6 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.peer.PeerHandler;
 import org.coriandercrank.kernel.peer.PeerTarget;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.StoredObject;
@@ -48,49 +48,49 @@
     private record WaitingRequest(ReleaseRequest request, CompletableFuture<ReleaseAnswer> answer) {}
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_CAPACITY = 8_192;
+    private static final int TASK_QUEUE_CAPACITY = 8_192;
     private static final int MAX_SERVICES = 1_024;
     private static final int MAX_WAITING_REQUESTS = 16_384;
-    private static final long POST_RETRY_MS = 1;
+    private static final long ENQUEUE_RETRY_MS = 1;
 
     private final PlacementContext context;
     private final LeaseView lease;
     private final OwnerGate gate;
     private final RangeOwnershipOptions options;
-    private final SerialExecutor duty;
+    private final SerialExecutor executor;
     private final Map<ServiceName, OwnershipState> states = new HashMap<>();
     private final List<WaitingRequest> waitingRequests = new ArrayList<>();
     private final Counter acquiredRanges;
     private final Counter releasedRanges;
-    private final Counter failedCalls;
+    private final Counter failedGateCalls;
     private boolean sealed;
     private final PeerHandler<ReleaseRequest> releaseHandler = this::onReleaseRequest;
     private final PeerHandler<LoadQuery> loadHandler = this::onLoadQuery;
-    private TimerService.Subscription tick = () -> {};
+    private TimerService.Subscription tickTimer = () -> {};
 
     public RangeOwnership(PlacementContext context, LeaseView lease, OwnerGate gate, RangeOwnershipOptions options) {
         this.context = context;
-        duty = context.duties().create("ownership", RING_CAPACITY);
+        executor = context.executors().create("ownership", TASK_QUEUE_CAPACITY);
         this.lease = lease;
         this.gate = gate;
         this.options = options;
         acquiredRanges = context.meters().counter("crank.ownership.acquired");
         releasedRanges = context.meters().counter("crank.ownership.released");
-        failedCalls = context.meters().counter("crank.ownership.gate.failures");
+        failedGateCalls = context.meters().counter("crank.ownership.gate.failures");
     }
 
     /** Registers the handlers and begins to follow the tables; called once. */
     public void start() {
         context.handlers().register(ReleaseRequest.class, releaseHandler);
         context.handlers().register(LoadQuery.class, loadHandler);
-        context.view().subscribe(snapshot -> duty.offer(this::refresh));
-        tick = context.timers().every(options.tickIntervalMs(), duty, this::refresh);
-        post(this::refresh);
+        context.view().subscribe(snapshot -> executor.offer(this::applySnapshot));
+        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::applySnapshot);
+        enqueue(this::applySnapshot);
     }
 
     /** Releases every range and acquires none any more; for a daemon that found itself sealed. */
     public void seal() {
-        post(() -> {
+        enqueue(() -> {
             sealed = true;
             states.values().forEach(OwnershipState::seal);
             performActions();
@@ -102,14 +102,14 @@
     public void close() {
         context.handlers().unregister(ReleaseRequest.class, releaseHandler);
         context.handlers().unregister(LoadQuery.class, loadHandler);
-        tick.cancel();
-        duty.close();
+        tickTimer.cancel();
+        executor.close();
     }
 
     /** Queues a task that must not be lost, also while the ring is full. */
-    private void post(Runnable task) {
-        if (!duty.offer(task)) {
-            context.timers().once(POST_RETRY_MS, duty, task);
+    private void enqueue(Runnable task) {
+        if (!executor.offer(task)) {
+            context.timers().once(ENQUEUE_RETRY_MS, executor, task);
         }
     }
 
@@ -117,7 +117,7 @@
         return context.timers().clock().nowMs();
     }
 
-    private void refresh() {
+    private void applySnapshot() {
         RoutingSnapshot snapshot = context.view().current();
         if (!sealed && snapshot.member(context.self()).map(Member::state).orElse(null) == MemberState.SEALED) {
             sealed = true;
@@ -128,15 +128,15 @@
             if (state == null && table.ownedBy(context.self()).isEmpty()) {
                 return;
             }
-            stateOf(service).ifPresent(s -> s.applyTable(table));
+            findOrCreateState(service).ifPresent(s -> s.applyTable(table));
         });
         performActions();
     }
 
-    private Optional<OwnershipState> stateOf(ServiceName service) {
-        OwnershipState known = states.get(service);
-        if (known != null) {
-            return Optional.of(known);
+    private Optional<OwnershipState> findOrCreateState(ServiceName service) {
+        OwnershipState existing = states.get(service);
+        if (existing != null) {
+            return Optional.of(existing);
         }
         if (states.size() >= MAX_SERVICES) {
             return Optional.empty();
@@ -159,7 +159,7 @@
     private void performActions() {
         RoutingSnapshot snapshot = context.view().current();
         Predicate<MemberId> isSealed =
-                m -> snapshot.member(m).map(Member::state).orElse(null) == MemberState.SEALED;
+                candidateId -> snapshot.member(candidateId).map(Member::state).orElse(null) == MemberState.SEALED;
         states.forEach((service, state) -> {
             for (OwnershipAction action : state.poll(nowMs(), isSealed)) {
                 perform(service, state, action);
@@ -183,19 +183,20 @@
             state.acquireFailed(action, nowMs());
             return;
         }
-        gate.acquire(action.range(), action.fence(), action.inherited())
-                .whenComplete((ok, failure) -> post(() -> {
+        gate.acquire(action.range(), action.fence(), action.transferred())
+                .whenComplete((ignored, failure) -> enqueue(() -> {
                     if (failure == null) {
                         acquiredRanges.increment();
                         state.acquired(action);
-                        context.log().log(() -> String.format(
-                                "event=range-acquired service=%s range=%s fence=%s records=%d",
-                                service,
-                                action.range(),
-                                action.fence(),
-                                action.inherited().records().size()));
+                        context.decisionLog()
+                                .log(() -> String.format(
+                                        "event=range-acquired service=%s range=%s fence=%s records=%d",
+                                        service,
+                                        action.range(),
+                                        action.fence(),
+                                        action.transferred().records().size()));
                     } else {
-                        logFailure("acquire", service, failure);
+                        logGateFailure("acquire", service, failure);
                         state.acquireFailed(action, nowMs());
                     }
                     performActions();
@@ -204,23 +205,26 @@
 
     private void release(ServiceName service, OwnershipState state, OwnershipAction.Release action) {
         gate.release(action.range())
-                .whenComplete((records, failure) -> post(() -> {
+                .whenComplete((records, failure) -> enqueue(() -> {
                     if (failure == null) {
                         releasedRanges.increment();
                         state.releasedRecords(action, records, nowMs());
-                        context.log().log(() -> String.format(
-                                "event=range-released service=%s range=%s records=%d",
-                                service, action.range(), records.records().size()));
+                        context.decisionLog()
+                                .log(() -> String.format(
+                                        "event=range-released service=%s range=%s records=%d",
+                                        service,
+                                        action.range(),
+                                        records.records().size()));
                     } else {
-                        logFailure("release", service, failure);
+                        logGateFailure("release", service, failure);
                         state.releaseFailed(action, nowMs());
                     }
                     performActions();
                 }));
     }
 
-    private void logFailure(String call, ServiceName service, Throwable failure) {
-        failedCalls.increment();
+    private void logGateFailure(String call, ServiceName service, Throwable failure) {
+        failedGateCalls.increment();
         CrankException cause = CrankException.of(failure);
         logger.atWarning().log(
                 "event=gate-call-failed call=%s service=%s result=%s reason=%s",
@@ -228,14 +232,15 @@
     }
 
     private void requestRelease(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action) {
-        Optional<Member> known = context.view().current().member(action.previousOwner());
-        if (known.isPresent()) {
-            sendReleaseRequest(service, state, action, known.get());
+        Optional<Member> existing = context.view().current().member(action.previousOwner());
+        if (existing.isPresent()) {
+            sendReleaseRequest(service, state, action, existing.get());
             return;
         }
         context.store()
                 .get(ObjectNames.member(action.previousOwner()))
-                .whenComplete((found, failure) -> post(() -> lookupCompleted(service, state, action, found, failure)));
+                .whenComplete(
+                        (found, failure) -> enqueue(() -> lookupCompleted(service, state, action, found, failure)));
     }
 
     private void lookupCompleted(
@@ -248,8 +253,8 @@
             retryLater(state, action);
             return;
         }
-        Optional<Member> member =
-                found.map(o -> JsonCodec.decode(o.value(), Member.class)).filter(m -> m.state() != MemberState.SEALED);
+        Optional<Member> member = found.map(object -> JsonCodec.decode(object.value(), Member.class))
+                .filter(candidateId -> candidateId.state() != MemberState.SEALED);
         if (member.isPresent()) {
             sendReleaseRequest(service, state, action, member.get());
         } else {
@@ -258,11 +263,12 @@
         }
     }
 
-    private void sendReleaseRequest(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action, Member member) {
+    private void sendReleaseRequest(
+            ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action, Member member) {
         ReleaseRequest request = new ReleaseRequest(context.self(), service, action.range(), action.fence());
         context.peers()
                 .call(PeerTarget.of(member), request, ReleaseAnswer.class, options.releaseTimeoutMs())
-                .whenComplete((answer, failure) -> post(() -> {
+                .whenComplete((answer, failure) -> enqueue(() -> {
                     if (failure != null || !answer.released()) {
                         retryLater(state, action);
                     } else {
@@ -274,7 +280,7 @@
 
     private void retryLater(OwnershipState state, OwnershipAction.RequestRelease action) {
         long delayMs = state.releaseRequestFailed(action, nowMs());
-        context.timers().once(delayMs, duty, this::performActions);
+        context.timers().once(delayMs, executor, this::performActions);
     }
 
     private CompletableFuture<ReleaseAnswer> onReleaseRequest(MemberId sender, ReleaseRequest request) {
@@ -283,8 +289,9 @@
                     new CrankException(ResultCode.WRONG_MEMBER, "release request of " + request.requester()));
         }
         CompletableFuture<ReleaseAnswer> answer = new CompletableFuture<>();
-        boolean queued = duty.offer(() -> {
-            if (waitingRequests.size() >= MAX_WAITING_REQUESTS || stateOf(request.service()).isEmpty()) {
+        boolean queued = executor.offer(() -> {
+            if (waitingRequests.size() >= MAX_WAITING_REQUESTS
+                    || findOrCreateState(request.service()).isEmpty()) {
                 answer.complete(ReleaseAnswer.notReleased());
                 return;
             }
@@ -292,7 +299,7 @@
             performActions();
             if (!answer.isDone()) {
                 performActions();
-                context.timers().once(options.maxAnswerDelayMs(), duty, () -> answerNotYet(answer));
+                context.timers().once(options.maxAnswerDelayMs(), executor, () -> answerNotYet(answer));
             }
         });
         if (!queued) {
@@ -302,16 +309,16 @@
     }
 
     private void answerNotYet(CompletableFuture<ReleaseAnswer> answer) {
-        waitingRequests.removeIf(w -> w.answer == answer);
+        waitingRequests.removeIf(waiting -> waiting.answer == answer);
         answer.complete(ReleaseAnswer.notReleased());
     }
 
     private void answerWaitingRequests() {
-        waitingRequests.removeIf(waiter -> {
-            OwnershipState state = states.get(waiter.request.service());
-            Optional<ReleaseAnswer> answer = state.handleReleaseRequest(waiter.request, nowMs())
-                    .filter(a -> !a.released() || !releaseStaleGrant(waiter.request.range()));
-            answer.ifPresent(waiter.answer::complete);
+        waitingRequests.removeIf(waiting -> {
+            OwnershipState state = states.get(waiting.request.service());
+            Optional<ReleaseAnswer> answer = state.handleReleaseRequest(waiting.request, nowMs())
+                    .filter(releaseAnswer -> !releaseAnswer.released() || !releaseStaleGrant(waiting.request.range()));
+            answer.ifPresent(waiting.answer::complete);
             return answer.isPresent();
         });
     }
@@ -326,15 +333,15 @@
     }
 
     private CompletableFuture<LoadReport> onLoadQuery(MemberId sender, LoadQuery query) {
-        return duty.call(() -> {
+        return executor.call(() -> {
             ServiceName service = context.view()
                     .current()
                     .member(context.self())
                     .flatMap(Member::backend)
                     .map(BackendInfo::service)
                     .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server yet"));
-            OwnershipState state =
-                    stateOf(service).orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many services"));
+            OwnershipState state = findOrCreateState(service)
+                    .orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many services"));
             return new LoadReport(context.self(), service, state.appliedGeneration(), gate.loads());
         });
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
@@ -24,7 +24,11 @@
             new RangeOwnershipOptions(1_000, 10, 500, 500, 250, 250, 100_000);
 
     public RangeOwnershipOptions {
-        if (releaseGraceMs < 0 || minRetryDelayMs < 1 || maxRetryDelayMs < minRetryDelayMs || tickIntervalMs < 1 || maxRetainedRecords < 0) {
+        if (releaseGraceMs < 0
+                || minRetryDelayMs < 1
+                || maxRetryDelayMs < minRetryDelayMs
+                || tickIntervalMs < 1
+                || maxRetainedRecords < 0) {
             throw new IllegalArgumentException("retry delays and tick must be positive and ordered");
         }
         if (maxAnswerDelayMs < 0 || maxAnswerDelayMs >= releaseTimeoutMs) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
@@ -7,7 +7,7 @@
 /**
  * A range that the gate serves, is about to serve or is giving up. Immutable.
  *
- * @param inherited records for the next attempt to acquire; empty once the range is served
+ * @param transferred records for the next attempt to acquire; empty once the range is served
  * @param served whether the gate has served the range under this fence
  * @param callPending whether the gate has not answered yet
  * @param retryAtMs monotonic time of the next call to the gate after a failure
@@ -16,7 +16,7 @@
         KeyRange range,
         Generation fence,
         Phase phase,
-        TransferredRecords inherited,
+        TransferredRecords transferred,
         boolean served,
         boolean callPending,
         long retryAtMs) {
@@ -27,7 +27,7 @@
     }
 
     HeldRange withRange(KeyRange part) {
-        return new HeldRange(part, fence, phase, inherited, served, callPending, retryAtMs);
+        return new HeldRange(part, fence, phase, transferred, served, callPending, retryAtMs);
     }
 
     HeldRange asServing() {
@@ -39,10 +39,10 @@
     }
 
     HeldRange withCallPending() {
-        return new HeldRange(range, fence, phase, inherited, served, true, 0);
+        return new HeldRange(range, fence, phase, transferred, served, true, 0);
     }
 
-    HeldRange withRetryAt(long nextTryMs) {
-        return new HeldRange(range, fence, phase, inherited, served, false, nextTryMs);
+    HeldRange withRetryAt(long newRetryAtMs) {
+        return new HeldRange(range, fence, phase, transferred, served, false, newRetryAtMs);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.kernel.message.LoadQuery;
 import org.coriandercrank.kernel.message.LoadReport;
 import org.coriandercrank.kernel.message.Message;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandler;
 import org.coriandercrank.kernel.peer.PeerHandlers;
@@ -34,32 +34,32 @@
     private final MemberId self;
     private final PeerClient peers;
     private final PeerHandlers handlers;
-    private final Consumer<Runnable> post;
+    private final Consumer<Runnable> enqueue;
     private final long timeoutMs;
     private final Map<MemberId, Received> reports = new HashMap<>();
     private long round;
 
     public LoadCollector(
-            MemberId self, PeerClient peers, PeerHandlers handlers, Consumer<Runnable> post, long timeoutMs) {
+            MemberId self, PeerClient peers, PeerHandlers handlers, Consumer<Runnable> enqueue, long timeoutMs) {
         this.self = self;
         this.peers = peers;
         this.handlers = handlers;
-        this.post = post;
+        this.enqueue = enqueue;
         this.timeoutMs = timeoutMs;
     }
 
     /** Asks every member that may own ranges. */
     public void query(RoutingSnapshot snapshot) {
         round++;
-        reports.values().removeIf(r -> round - r.round > MAX_REPORT_AGE_ROUNDS);
+        reports.values().removeIf(received -> round - received.round > MAX_REPORT_AGE_ROUNDS);
         for (VersionedMember known : snapshot.members().values()) {
             Member member = known.member();
             boolean mayOwn = member.state() == MemberState.ACTIVE || member.state() == MemberState.LEAVING;
             if (mayOwn && member.backend().isPresent()) {
-                long asked = round;
-                call(member).whenComplete((report, failure) -> {
+                long queryRound = round;
+                queryMember(member).whenComplete((report, failure) -> {
                     if (failure == null) {
-                        post.accept(() -> store(report, asked));
+                        enqueue.accept(() -> store(report, queryRound));
                     }
                 });
             }
@@ -67,14 +67,14 @@
     }
 
     /** An answer of an earlier round may arrive after that of a later one. */
-    private void store(LoadReport report, long asked) {
-        Received old = reports.get(report.member());
-        if (old == null || old.round < asked) {
-            reports.put(report.member(), new Received(report, asked));
+    private void store(LoadReport report, long queryRound) {
+        Received previous = reports.get(report.member());
+        if (previous == null || previous.round < queryRound) {
+            reports.put(report.member(), new Received(report, queryRound));
         }
     }
 
-    private CompletableFuture<LoadReport> call(Member member) {
+    private CompletableFuture<LoadReport> queryMember(Member member) {
         LoadQuery query = new LoadQuery(self);
         if (!member.id().equals(self)) {
             return peers.call(PeerTarget.of(member), query, LoadReport.class, timeoutMs);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.coriandercrank.kernel.id.MemberId;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.table.MemberState;
@@ -20,9 +20,9 @@
     private final long retentionMs;
     private final Map<MemberId, Long> unreferencedSinceMs = new HashMap<>();
 
-    public MemberCleaner(ObjectStore store, long keepMs) {
+    public MemberCleaner(ObjectStore store, long retentionMs) {
         this.store = store;
-        this.retentionMs = keepMs;
+        this.retentionMs = retentionMs;
     }
 
     /** Checks all members of a snapshot. */
@@ -32,8 +32,8 @@
     }
 
     private void check(RoutingSnapshot snapshot, MemberId id, VersionedMember known, long nowMs) {
-        boolean mentioned = snapshot.tables().values().stream().anyMatch(t -> t.references(id));
-        if (known.member().state() != MemberState.SEALED || mentioned) {
+        boolean referenced = snapshot.tables().values().stream().anyMatch(t -> t.references(id));
+        if (known.member().state() != MemberState.SEALED || referenced) {
             unreferencedSinceMs.remove(id);
             return;
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
@@ -28,14 +28,14 @@
     private static final int MAX_CACHED_MEMBERS = 10_000;
 
     private final ObjectStore store;
-    private final Consumer<Runnable> post;
+    private final Consumer<Runnable> enqueue;
     private final Set<MemberId> pendingLookups = new HashSet<>();
     private final Set<MemberId> removedMembers = new HashSet<>();
     private final Map<MemberId, Member> foundMembers = new HashMap<>();
 
-    public MemberLookup(ObjectStore store, Consumer<Runnable> post) {
+    public MemberLookup(ObjectStore store, Consumer<Runnable> enqueue) {
         this.store = store;
-        this.post = post;
+        this.enqueue = enqueue;
     }
 
     public Set<MemberId> removedMembers() {
@@ -57,19 +57,20 @@
             removedMembers.clear();
             foundMembers.clear();
         }
-        Set<MemberId> mentioned = new HashSet<>();
+        Set<MemberId> missing = new HashSet<>();
         table.assignments().forEach(a -> {
-            mentioned.add(a.owner());
-            mentioned.addAll(a.previousOwners());
+            missing.add(a.owner());
+            missing.addAll(a.previousOwners());
         });
-        mentioned.removeIf(m -> snapshot.members().containsKey(m) || removedMembers.contains(m) || foundMembers.containsKey(m));
-        mentioned.stream().filter(pendingLookups::add).forEach(this::lookUp);
-        return mentioned.isEmpty();
+        missing.removeIf(
+                m -> snapshot.members().containsKey(m) || removedMembers.contains(m) || foundMembers.containsKey(m));
+        missing.stream().filter(pendingLookups::add).forEach(this::lookUp);
+        return missing.isEmpty();
     }
 
     private void lookUp(MemberId member) {
         store.get(ObjectNames.member(member))
-                .whenComplete((object, failure) -> post.accept(() -> {
+                .whenComplete((object, failure) -> enqueue.accept(() -> {
                     pendingLookups.remove(member);
                     if (failure == null) {
                         lookupCompleted(member, object);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -17,7 +17,13 @@
      *
      * @param score gain less cost, in units of load over fair load
      */
-    record Move(int entryIndex, List<KeyRange> parts, int movedPartIndex, MemberId target, double score, boolean isHotHash) {
+    record Move(
+            int entryIndex,
+            List<KeyRange> parts,
+            int movedPartIndex,
+            MemberId target,
+            double score,
+            boolean isHotHash) {
         Move {
             parts = List.copyOf(parts);
         }
@@ -34,54 +40,54 @@
     private final boolean maySplit;
     private final List<Move> candidates = new ArrayList<>();
 
-    private MoveSearch(WorkingTable table, MemberId source, MemberId target, RebalanceParameters rules) {
+    private MoveSearch(WorkingTable table, MemberId source, MemberId target, RebalanceParameters parameters) {
         this.table = table;
         this.source = source;
         this.target = target;
-        this.parameters = rules;
+        this.parameters = parameters;
         this.maySplit = TableCompaction.maySplit(table);
     }
 
     /** The best move that takes load off a server. */
     static Optional<Move> findMoveFrom(
-            WorkingTable table, MemberId source, RebalanceParameters rules, Predicate<MemberId> mayMove) {
+            WorkingTable table, MemberId source, RebalanceParameters parameters, Predicate<MemberId> mayMove) {
         return table.weights().keySet().stream()
                 .filter(m -> !m.equals(source) && mayMove.test(m))
                 .min(Comparator.comparingDouble(table::loadRatio))
-                .flatMap(target -> new MoveSearch(table, source, target, rules).best());
+                .flatMap(target -> new MoveSearch(table, source, target, parameters).best());
     }
 
     private Optional<Move> best() {
         for (int i = 0; i < table.entries().size(); i++) {
-            WorkingTable.Entry slot = table.entries().get(i);
-            if (slot.owner().equals(source) && slot.stable()) {
-                addMovesOf(i, slot);
+            WorkingTable.Entry entry = table.entries().get(i);
+            if (entry.owner().equals(source) && entry.stable()) {
+                addMovesOf(i, entry);
             }
         }
         return candidates.stream().max(Comparator.comparingDouble(Move::score));
     }
 
-    private void addMovesOf(int index, WorkingTable.Entry slot) {
-        addIfWorthwhile(index, List.of(slot.range()), 0, slot.load().perSecond(), false);
-        if (!maySplit || KeyRanges.isSingleHash(slot.range())) {
+    private void addMovesOf(int index, WorkingTable.Entry entry) {
+        addIfWorthwhile(index, List.of(entry.range()), 0, entry.load().perSecond(), false);
+        if (!maySplit || KeyRanges.isSingleHash(entry.range())) {
             return;
         }
-        for (HotHash hot : slot.load().hot()) {
-            List<KeyRange> parts = KeyRanges.splitAround(slot.range(), hot.hash());
-            int moved = slot.range().first().equals(hot.hash()) ? 0 : 1;
+        for (HotHash hot : entry.load().hotHashes()) {
+            List<KeyRange> parts = KeyRanges.splitAround(entry.range(), hot.hash());
+            int moved = entry.range().first().equals(hot.hash()) ? 0 : 1;
             addIfWorthwhile(index, parts, moved, hot.requestsPerSecond(), true);
         }
-        double even = slot.load().evenPerSecond();
+        double evenLoad = entry.load().evenPerSecond();
         double spare = table.load(source) - parameters.lowWatermark() * table.fairLoad(source);
         double wanted = Math.min(spare, table.fairLoad(target) - table.load(target));
-        if (wanted > 0 && even > 0) {
-            List<KeyRange> parts = KeyRanges.splitAt(slot.range(), Math.min(wanted / even, MAX_SPLIT_FRACTION));
+        if (wanted > 0 && evenLoad > 0) {
+            List<KeyRange> parts = KeyRanges.splitAt(entry.range(), Math.min(wanted / evenLoad, MAX_SPLIT_FRACTION));
             for (int part = 0; part < parts.size(); part++) {
                 addIfWorthwhile(
                         index,
                         parts,
                         part,
-                        slot.load().partOf(slot.range(), parts.get(part)).perSecond(),
+                        entry.load().partOf(entry.range(), parts.get(part)).perSecond(),
                         false);
             }
         }
@@ -92,35 +98,36 @@
         double after = Math.max(
                 table.loadRatio(source, table.load(source) - load), table.loadRatio(target, table.load(target) + load));
         double gain = before - after;
-        double cost = parameters.moveCost() + parameters.shareCost() * parts.get(moved).share() / table.fairShare(source);
-        double needed = table.loadRatio(source) - parameters.lowWatermark();
-        if (gain >= Math.max(MIN_GAIN, needed * parameters.minGainFraction())) {
+        double cost = parameters.moveCost()
+                + parameters.shareCost() * parts.get(moved).share() / table.fairShare(source);
+        double excess = table.loadRatio(source) - parameters.lowWatermark();
+        if (gain >= Math.max(MIN_GAIN, excess * parameters.minGainFraction())) {
             candidates.add(new Move(index, parts, moved, target, gain - cost, hot));
         }
     }
 
     /** A piece of hash space for a server that has little, from the server that can best spare it. */
     static Optional<Move> findMoveTo(WorkingTable table, MemberId target, Predicate<MemberId> mayMove) {
-        double missing = table.fairShare(target) - table.share(target);
-        double room = table.fairLoad(target) * MAX_FILLED_LOAD_RATIO - table.load(target);
+        double missingShare = table.fairShare(target) - table.share(target);
+        double loadRoom = table.fairLoad(target) * MAX_FILLED_LOAD_RATIO - table.load(target);
         boolean maySplit = TableCompaction.maySplit(table);
         Move best = null;
         for (int i = 0; i < table.entries().size(); i++) {
-            WorkingTable.Entry slot = table.entries().get(i);
-            MemberId owner = slot.owner();
+            WorkingTable.Entry entry = table.entries().get(i);
+            MemberId owner = entry.owner();
             double spare = table.share(owner) - table.fairShare(owner);
-            if (owner.equals(target) || !slot.stable() || spare <= 0 || !mayMove.test(owner)) {
+            if (owner.equals(target) || !entry.stable() || spare <= 0 || !mayMove.test(owner)) {
                 continue;
             }
-            double share = slot.range().share();
-            double wanted = Math.min(missing, spare);
+            double share = entry.range().share();
+            double wanted = Math.min(missingShare, spare);
             List<KeyRange> parts = maySplit && share > wanted
-                    ? KeyRanges.splitAt(slot.range(), wanted / share)
-                    : List.of(slot.range());
+                    ? KeyRanges.splitAt(entry.range(), wanted / share)
+                    : List.of(entry.range());
             double movedShare = parts.get(0).share();
-            double load = slot.load().partOf(slot.range(), parts.get(0)).perSecond();
-            double score = Math.min(movedShare, missing) + table.loadRatio(owner) * movedShare;
-            if (movedShare <= 2 * wanted && load <= room && (best == null || score > best.score)) {
+            double load = entry.load().partOf(entry.range(), parts.get(0)).perSecond();
+            double score = Math.min(movedShare, missingShare) + table.loadRatio(owner) * movedShare;
+            if (movedShare <= 2 * wanted && load <= loadRoom && (best == null || score > best.score)) {
                 best = new Move(i, parts, 0, target, score, false);
             }
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
@@ -8,7 +8,7 @@
 /** What the driver of an {@link OwnershipState} has to do next. Immutable. */
 public sealed interface OwnershipAction {
     /** Call the gate to acquire a range and report the result. */
-    record Acquire(KeyRange range, Generation fence, TransferredRecords inherited) implements OwnershipAction {}
+    record Acquire(KeyRange range, Generation fence, TransferredRecords transferred) implements OwnershipAction {}
 
     /** Call the gate to release a range and report the result. */
     record Release(KeyRange range) implements OwnershipAction {}
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -58,7 +58,7 @@
     private final ReleasedRecords releasedRecords;
     private final Set<MemberId> removedMembers = new HashSet<>();
     private AssignmentTable table;
-    private List<RangeAssignment> owned = List.of();
+    private List<RangeAssignment> ownAssignments = List.of();
     private boolean sealed;
     private boolean reconcileNeeded;
     private List<HeldRange> heldRanges = new ArrayList<>();
@@ -69,16 +69,21 @@
     /**
      * A state without ranges.
      *
-     * @param lingerMs how long a range that the table gives to another member is served until that member asks for it;
+     * @param releaseGraceMs how long a range that the table gives to another member is served until that member asks for it;
      *     the old owner often learns of a table before the new one, and the range would be served by nobody meanwhile
      */
     public OwnershipState(
-            MemberId self, ServiceName service, long minRetryMs, long maxRetryMs, long lingerMs, int maxKeptRecords) {
-        this.releaseGraceMs = lingerMs;
+            MemberId self,
+            ServiceName service,
+            long minRetryDelayMs,
+            long maxRetryDelayMs,
+            long releaseGraceMs,
+            int maxRetainedRecords) {
+        this.releaseGraceMs = releaseGraceMs;
         this.self = self;
-        this.minRetryDelayMs = minRetryMs;
-        this.maxRetryDelayMs = maxRetryMs;
-        this.releasedRecords = new ReleasedRecords(maxKeptRecords);
+        this.minRetryDelayMs = minRetryDelayMs;
+        this.maxRetryDelayMs = maxRetryDelayMs;
+        this.releasedRecords = new ReleasedRecords(maxRetainedRecords);
         this.table = AssignmentTable.empty(service);
     }
 
@@ -88,7 +93,7 @@
             return;
         }
         table = newTable;
-        owned = newTable.ownedBy(self);
+        ownAssignments = newTable.ownedBy(self);
         barriers.removeIf(b -> !b.generation.isNewerThan(table.generation()));
         releasedRecords.prune(table, self);
         removedMembers.removeIf(m -> !table.references(m));
@@ -123,7 +128,7 @@
             if (addBarrier(new Barrier(range, request.generation()))) {
                 reconcile();
             }
-        } else if (!sealed && isAssigned(range)) {
+        } else if (!sealed && isAssignedToSelf(range)) {
             return Optional.of(ReleaseAnswer.notReleased());
         }
         if (heldRanges.stream().anyMatch(h -> h.range().overlaps(range))) {
@@ -132,7 +137,7 @@
         return Optional.of(releasedRecords.handOver(range, request.requester(), request.generation(), nowMs));
     }
 
-    private boolean isAssigned(KeyRange range) {
+    private boolean isAssignedToSelf(KeyRange range) {
         return table.assignments().stream()
                 .anyMatch(a -> a.owner().equals(self) && a.range().overlaps(range));
     }
@@ -142,9 +147,9 @@
      * until the table is newer.
      */
     private boolean addBarrier(Barrier barrier) {
-        boolean known = barriers.stream()
+        boolean covered = barriers.stream()
                 .anyMatch(b -> b.range.contains(barrier.range) && b.generation.compareTo(barrier.generation) >= 0);
-        if (known) {
+        if (covered) {
             return false;
         }
         barriers.removeIf(b -> barrier.range.contains(b.range) && barrier.generation.compareTo(b.generation) >= 0);
@@ -161,26 +166,27 @@
 
     /** What has to be done now; each action is returned once until its result is reported. */
     public List<OwnershipAction> poll(long nowMs, Predicate<MemberId> isSealed) {
-        Predicate<MemberId> lost = m -> removedMembers.contains(m) || isSealed.test(m);
+        Predicate<MemberId> isSealedOrRemoved = m -> removedMembers.contains(m) || isSealed.test(m);
         List<OwnershipAction> actions = new ArrayList<>();
         reconcileIfNeeded();
         expireDeferredReleases(nowMs);
-        acquireReady(nowMs, lost);
+        acquireReady(nowMs, isSealedOrRemoved);
         for (int i = 0; i < heldRanges.size(); i++) {
-            HeldRange holding = heldRanges.get(i);
-            if (holding.phase() == Phase.SERVING || holding.callPending() || nowMs < holding.retryAtMs()) {
+            HeldRange heldRange = heldRanges.get(i);
+            if (heldRange.phase() == Phase.SERVING || heldRange.callPending() || nowMs < heldRange.retryAtMs()) {
                 continue;
             }
-            heldRanges.set(i, holding.withCallPending());
+            heldRanges.set(i, heldRange.withCallPending());
             actions.add(
-                    holding.phase() == Phase.RELEASING
-                            ? new OwnershipAction.Release(holding.range())
-                            : new OwnershipAction.Acquire(holding.range(), holding.fence(), holding.inherited()));
+                    heldRange.phase() == Phase.RELEASING
+                            ? new OwnershipAction.Release(heldRange.range())
+                            : new OwnershipAction.Acquire(
+                                    heldRange.range(), heldRange.fence(), heldRange.transferred()));
         }
         for (PendingRange range : pending.values()) {
-            for (MemberId member : range.dueRequests(nowMs, lost)) {
-                actions.add(
-                        new OwnershipAction.RequestRelease(range.id().range(), range.id().fence(), member));
+            for (MemberId member : range.dueRequests(nowMs, isSealedOrRemoved)) {
+                actions.add(new OwnershipAction.RequestRelease(
+                        range.id().range(), range.id().fence(), member));
             }
         }
         return actions;
@@ -189,16 +195,16 @@
     /** Serves what a planned move takes away until the new owner asks; the new owner cannot serve before that. */
     private void deferReleases() {
         List<DeferredRelease> next = new ArrayList<>();
-        List<RangeAssignment> taken = table.assignments().stream()
+        List<RangeAssignment> movedAway = table.assignments().stream()
                 .filter(a -> a.previousOwners().contains(self))
                 .toList();
-        for (HeldRange holding : heldRanges) {
-            if (holding.phase() != Phase.SERVING) {
+        for (HeldRange heldRange : heldRanges) {
+            if (heldRange.phase() != Phase.SERVING) {
                 continue;
             }
-            for (RangeAssignment assignment : taken) {
-                if (assignment.range().overlaps(holding.range())) {
-                    KeyRanges.intersect(assignment.range(), holding.range())
+            for (RangeAssignment assignment : movedAway) {
+                if (assignment.range().overlaps(heldRange.range())) {
+                    KeyRanges.intersect(assignment.range(), heldRange.range())
                             .ifPresent(part -> next.add(new DeferredRelease(part, deferredUntilMs(part))));
                 }
             }
@@ -216,30 +222,33 @@
     }
 
     private void expireDeferredReleases(long nowMs) {
-        deferredReleases.replaceAll(l -> l.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(l.range, nowMs + releaseGraceMs) : l);
+        deferredReleases.replaceAll(
+                l -> l.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(l.range, nowMs + releaseGraceMs) : l);
         if (deferredReleases.removeIf(l -> nowMs >= l.untilMs)) {
             reconcile();
         }
     }
 
-    private void acquireReady(long nowMs, Predicate<MemberId> lost) {
-        List<PendingRange> ready =
-                pending.values().stream().filter(p -> p.isReady(lost)).toList();
+    private void acquireReady(long nowMs, Predicate<MemberId> isSealedOrRemoved) {
+        List<PendingRange> ready = pending.values().stream()
+                .filter(p -> p.isReady(isSealedOrRemoved))
+                .toList();
         for (PendingRange range : ready) {
             PendingRange.Id id = range.id();
             pending.remove(id);
-            ReleaseAnswer own = releasedRecords.handOver(id.range(), self, id.fence(), nowMs);
-            heldRanges.add(new HeldRange(id.range(), id.fence(), Phase.ACQUIRING, range.inheritedRecords(own), false, false, 0));
+            ReleaseAnswer ownAnswer = releasedRecords.handOver(id.range(), self, id.fence(), nowMs);
+            heldRanges.add(new HeldRange(
+                    id.range(), id.fence(), Phase.ACQUIRING, range.transferredRecords(ownAnswer), false, false, 0));
         }
     }
 
     /** Reports the answer of a previous owner. */
-    public void releaseRequestAnswered(OwnershipAction.RequestRelease ask, ReleaseAnswer answer, long nowMs) {
+    public void releaseRequestAnswered(OwnershipAction.RequestRelease request, ReleaseAnswer answer, long nowMs) {
         if (!answer.released()) {
-            releaseRequestFailed(ask, nowMs);
+            releaseRequestFailed(request, nowMs);
             return;
         }
-        matching(ask).forEach(p -> p.addAnswer(ask.previousOwner(), answer));
+        pendingRangesOf(request).forEach(p -> p.addAnswer(request.previousOwner(), answer));
     }
 
     /**
@@ -247,37 +256,37 @@
      *
      * @return delay until the next attempt, in milliseconds
      */
-    public long releaseRequestFailed(OwnershipAction.RequestRelease ask, long nowMs) {
-        return matching(ask).stream()
-                .mapToLong(p -> p.scheduleRetry(ask.previousOwner(), nowMs, minRetryDelayMs, maxRetryDelayMs))
+    public long releaseRequestFailed(OwnershipAction.RequestRelease request, long nowMs) {
+        return pendingRangesOf(request).stream()
+                .mapToLong(p -> p.scheduleRetry(request.previousOwner(), nowMs, minRetryDelayMs, maxRetryDelayMs))
                 .max()
                 .orElse(minRetryDelayMs);
     }
 
-    private List<PendingRange> matching(OwnershipAction.RequestRelease ask) {
+    private List<PendingRange> pendingRangesOf(OwnershipAction.RequestRelease request) {
         return pending.values().stream()
                 .filter(p ->
-                        p.id().range().equals(ask.range()) && p.id().fence().equals(ask.fence()))
+                        p.id().range().equals(request.range()) && p.id().fence().equals(request.fence()))
                 .toList();
     }
 
     public void acquired(OwnershipAction.Acquire action) {
         releasedRecords.remove(action.range());
-        replace(action.range(), HeldRange::asServing);
+        updateHeldRanges(action.range(), HeldRange::asServing);
         reconcileNeeded = true;
     }
 
     public void acquireFailed(OwnershipAction.Acquire action, long nowMs) {
-        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
+        updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
         reconcileNeeded = true;
     }
 
     public void releasedRecords(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
-        for (HeldRange holding : List.copyOf(heldRanges)) {
-            if (holding.range().equals(action.range())) {
-                heldRanges.remove(holding);
-                if (holding.served()) {
-                    releasedRecords.add(action.range(), newestGeneration(action.range()), records, nowMs);
+        for (HeldRange heldRange : List.copyOf(heldRanges)) {
+            if (heldRange.range().equals(action.range())) {
+                heldRanges.remove(heldRange);
+                if (heldRange.served()) {
+                    releasedRecords.add(action.range(), releaseGeneration(action.range()), records, nowMs);
                 }
             }
         }
@@ -285,10 +294,10 @@
     }
 
     public void releaseFailed(OwnershipAction.Release action, long nowMs) {
-        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
+        updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
     }
 
-    private Generation newestGeneration(KeyRange range) {
+    private Generation releaseGeneration(KeyRange range) {
         return barriers.stream()
                 .filter(b -> b.range.overlaps(range))
                 .map(Barrier::generation)
@@ -297,7 +306,7 @@
                 .orElse(table.generation());
     }
 
-    private void replace(KeyRange range, UnaryOperator<HeldRange> change) {
+    private void updateHeldRanges(KeyRange range, UnaryOperator<HeldRange> change) {
         heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
@@ -311,30 +320,30 @@
     private void reconcile() {
         reconcileNeeded = false;
         List<HeldRange> next = new ArrayList<>();
-        for (HeldRange holding : heldRanges) {
-            if (holding.phase() == Phase.RELEASING || holding.callPending()) {
-                next.add(holding);
+        for (HeldRange heldRange : heldRanges) {
+            if (heldRange.phase() == Phase.RELEASING || heldRange.callPending()) {
+                next.add(heldRange);
                 continue;
             }
-            List<KeyRange> allowed = retainedParts(holding);
-            allowed.forEach(part -> next.add(holding.withRange(part)));
-            KeyRanges.subtract(holding.range(), allowed).forEach(part -> next.add(holding.asReleasing(part)));
+            List<KeyRange> allowed = retainedParts(heldRange);
+            allowed.forEach(part -> next.add(heldRange.withRange(part)));
+            KeyRanges.subtract(heldRange.range(), allowed).forEach(part -> next.add(heldRange.asReleasing(part)));
         }
         heldRanges = next;
         pending = findPending();
     }
 
     /** What the table allows, and what lingers. */
-    private List<KeyRange> retainedParts(HeldRange holding) {
-        List<KeyRange> parts = new ArrayList<>(allowedParts(holding));
-        if (sealed || holding.phase() != Phase.SERVING) {
+    private List<KeyRange> retainedParts(HeldRange heldRange) {
+        List<KeyRange> parts = new ArrayList<>(allowedParts(heldRange));
+        if (sealed || heldRange.phase() != Phase.SERVING) {
             return parts;
         }
         for (DeferredRelease part : deferredReleases) {
-            KeyRanges.intersect(part.range, holding.range()).ifPresent(common -> {
-                List<KeyRange> taken = new ArrayList<>(parts);
-                taken.addAll(barriersIn(common));
-                parts.addAll(KeyRanges.subtract(common, taken));
+            KeyRanges.intersect(part.range, heldRange.range()).ifPresent(common -> {
+                List<KeyRange> excluded = new ArrayList<>(parts);
+                excluded.addAll(barriersIn(common));
+                parts.addAll(KeyRanges.subtract(common, excluded));
             });
         }
         parts.sort(null);
@@ -342,20 +351,20 @@
     }
 
     /** Only what overlaps is looked at closely: a service may have hundreds of ranges, and each event comes here. */
-    private List<KeyRange> allowedParts(HeldRange holding) {
+    private List<KeyRange> allowedParts(HeldRange heldRange) {
         if (sealed) {
             return List.of();
         }
         List<KeyRange> parts = new ArrayList<>();
-        for (RangeAssignment assignment : owned) {
-            if (!assignment.range().overlaps(holding.range())) {
+        for (RangeAssignment assignment : ownAssignments) {
+            if (!assignment.range().overlaps(heldRange.range())) {
                 continue;
             }
-            boolean keeps = assignment.fence().equals(holding.fence())
-                    || (holding.phase() == Phase.SERVING
+            boolean keeps = assignment.fence().equals(heldRange.fence())
+                    || (heldRange.phase() == Phase.SERVING
                             && assignment.previousOwners().isEmpty());
             if (keeps) {
-                KeyRanges.intersect(assignment.range(), holding.range())
+                KeyRanges.intersect(assignment.range(), heldRange.range())
                         .ifPresent(common -> parts.addAll(KeyRanges.subtract(common, barriersIn(common))));
             }
         }
@@ -377,19 +386,19 @@
         if (sealed) {
             return next;
         }
-        for (RangeAssignment assignment : owned) {
-            List<HeldRange> held = heldRanges.stream()
+        for (RangeAssignment assignment : ownAssignments) {
+            List<HeldRange> overlapping = heldRanges.stream()
                     .filter(h -> h.range().overlaps(assignment.range()))
                     .toList();
-            if (held.stream().anyMatch(h -> h.phase() != Phase.SERVING)) {
+            if (overlapping.stream().anyMatch(h -> h.phase() != Phase.SERVING)) {
                 continue;
             }
-            List<KeyRange> taken = new ArrayList<>(barriersIn(assignment.range()));
-            held.forEach(h -> taken.add(h.range()));
-            for (KeyRange gap : KeyRanges.subtract(assignment.range(), taken)) {
+            List<KeyRange> excluded = new ArrayList<>(barriersIn(assignment.range()));
+            overlapping.forEach(h -> excluded.add(h.range()));
+            for (KeyRange gap : KeyRanges.subtract(assignment.range(), excluded)) {
                 PendingRange.Id id = new PendingRange.Id(gap, assignment.fence(), assignment.previousOwners());
-                PendingRange known = pending.get(id);
-                next.put(id, known != null ? known : new PendingRange(id));
+                PendingRange existing = pending.get(id);
+                next.put(id, existing != null ? existing : new PendingRange(id));
             }
         }
         return next;
@@ -401,10 +410,10 @@
      */
     public Generation appliedGeneration() {
         reconcileIfNeeded();
-        boolean unsettled = heldRanges.stream()
+        boolean transferPending = heldRanges.stream()
                 .anyMatch(h -> h.phase() == Phase.RELEASING
                         || !KeyRanges.subtract(h.range(), allowedParts(h)).isEmpty());
-        return unsettled ? Generation.NONE : table.generation();
+        return transferPending ? Generation.NONE : table.generation();
     }
 
     public AssignmentTable table() {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
@@ -43,14 +43,16 @@
 
     /** The previous owners to ask now; marks them as asked until an answer or failure is reported. */
     List<MemberId> dueRequests(long nowMs, Predicate<MemberId> sealed) {
-        List<MemberId> due = new ArrayList<>();
+        List<MemberId> dueMembers = new ArrayList<>();
         for (MemberId member : id.previousOwners()) {
-            if (!answers.containsKey(member) && !sealed.test(member) && nowMs >= nextRequestAtMs.getOrDefault(member, 0L)) {
+            if (!answers.containsKey(member)
+                    && !sealed.test(member)
+                    && nowMs >= nextRequestAtMs.getOrDefault(member, 0L)) {
                 nextRequestAtMs.put(member, Long.MAX_VALUE);
-                due.add(member);
+                dueMembers.add(member);
             }
         }
-        return due;
+        return dueMembers;
     }
 
     void addAnswer(MemberId member, ReleaseAnswer answer) {
@@ -72,25 +74,26 @@
      * What the gate inherits: complete as far back as the last member that served the range says, and not at all if
      * that member cannot be known.
      *
-     * @param own records that this daemon itself kept of the range
+     * @param ownAnswer records that this daemon itself kept of the range
      */
-    TransferredRecords inheritedRecords(ReleaseAnswer own) {
-        boolean nobodyBefore = id.previousOwners().isEmpty() && own.recordsCompleteForMs() == ReleaseAnswer.NOT_SERVED;
-        if (nobodyBefore && id.fence().equals(FIRST_GENERATION)) {
+    TransferredRecords transferredRecords(ReleaseAnswer ownAnswer) {
+        boolean neverServed =
+                id.previousOwners().isEmpty() && ownAnswer.recordsCompleteForMs() == ReleaseAnswer.NOT_SERVED;
+        if (neverServed && id.fence().equals(FIRST_GENERATION)) {
             return TransferredRecords.NEVER_OWNED;
         }
         List<ReleaseAnswer> all = new ArrayList<>(answers.values());
-        all.add(own);
+        all.add(ownAnswer);
         long completeForMs = all.stream()
                 .mapToLong(ReleaseAnswer::recordsCompleteForMs)
                 .filter(ms -> ms != ReleaseAnswer.NOT_SERVED)
                 .min()
                 .orElse(0);
-        boolean anySealed = !answers.keySet().containsAll(id.previousOwners());
+        boolean answerMissing = !answers.keySet().containsAll(id.previousOwners());
         List<OutcomeRecord> records =
                 all.stream().flatMap(a -> a.records().stream()).toList();
         List<Handover> handovers =
                 all.stream().flatMap(a -> a.handovers().stream()).toList();
-        return new TransferredRecords(anySealed ? 0 : completeForMs, records, handovers);
+        return new TransferredRecords(answerMissing ? 0 : completeForMs, records, handovers);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -28,9 +28,14 @@
      * @param slowReadIntervalMs period of reads by daemons whose rank is not below {@code readers}
      * @param fastReaders number of daemons that read at the period of renewal
      */
-    public record Options(long renewIntervalMs, long roleTimeoutMs, long rankDelayMs, long slowReadIntervalMs, int fastReaders) {
+    public record Options(
+            long renewIntervalMs, long roleTimeoutMs, long rankDelayMs, long slowReadIntervalMs, int fastReaders) {
         public Options {
-            if (renewIntervalMs < 1 || roleTimeoutMs <= renewIntervalMs || rankDelayMs < 0 || slowReadIntervalMs < renewIntervalMs || fastReaders < 1) {
+            if (renewIntervalMs < 1
+                    || roleTimeoutMs <= renewIntervalMs
+                    || rankDelayMs < 0
+                    || slowReadIntervalMs < renewIntervalMs
+                    || fastReaders < 1) {
                 throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
             }
         }
@@ -49,9 +54,9 @@
     private long writeStartedAtMs;
     private long renewedAtMs;
 
-    public PlannerElection(MemberId self, Options delays) {
+    public PlannerElection(MemberId self, Options options) {
         this.self = self;
-        this.options = delays;
+        this.options = options;
     }
 
     /**
@@ -78,10 +83,10 @@
         if (nowMs - lastReadAtMs > options.renewIntervalMs) {
             return false;
         }
-        int delayedRank = Math.min(rank, options.fastReaders);
+        int cappedRank = Math.min(rank, options.fastReaders);
         return record.isEmpty()
                 || holderLost
-                || nowMs - unchangedSinceMs >= options.roleTimeoutMs + delayedRank * options.rankDelayMs;
+                || nowMs - unchangedSinceMs >= options.roleTimeoutMs + cappedRank * options.rankDelayMs;
     }
 
     public Optional<MemberId> holder() {
@@ -92,17 +97,17 @@
         callPending = true;
     }
 
-    public void readDone(Optional<PlannerRecord> found, Revision foundRevision, long nowMs) {
+    public void readDone(Optional<PlannerRecord> storedRecord, Revision storedRevision, long nowMs) {
         callPending = false;
         readAttempted = true;
         lastReadAtMs = nowMs;
-        if (!recordKnown || !found.equals(record)) {
+        if (!recordKnown || !storedRecord.equals(record)) {
             unchangedSinceMs = nowMs;
         }
         recordKnown = true;
-        record = found;
-        revision = foundRevision;
-        holdsRole = found.isPresent() && found.get().holder().equals(self);
+        record = storedRecord;
+        revision = storedRevision;
+        holdsRole = storedRecord.isPresent() && storedRecord.get().holder().equals(self);
         if (holdsRole) {
             renewedAtMs = Math.max(renewedAtMs, writeStartedAtMs);
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -7,8 +7,8 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -27,7 +27,7 @@
     private final MemberId self;
     private final ObjectStore store;
     private final MonotonicClock clock;
-    private final Consumer<Runnable> post;
+    private final Consumer<Runnable> enqueue;
     private final PlannerElection election;
     private final long ownRankHash;
 
@@ -35,14 +35,14 @@
             MemberId self,
             ObjectStore store,
             MonotonicClock clock,
-            Consumer<Runnable> post,
-            PlannerElection.Options delays) {
+            Consumer<Runnable> enqueue,
+            PlannerElection.Options options) {
         this.self = self;
         this.store = store;
         this.clock = clock;
-        this.post = post;
+        this.enqueue = enqueue;
         this.ownRankHash = rankHash(self);
-        this.election = new PlannerElection(self, delays);
+        this.election = new PlannerElection(self, options);
     }
 
     public boolean isHolder() {
@@ -50,7 +50,7 @@
     }
 
     /** Does what is due; called at each tick. */
-    public void step(RoutingSnapshot snapshot) {
+    public void update(RoutingSnapshot snapshot) {
         boolean eligible = snapshot.member(self).map(Member::state).orElse(null) == MemberState.ACTIVE;
         boolean holderLost = election.holder()
                 .flatMap(snapshot::member)
@@ -80,7 +80,7 @@
     private void read() {
         election.readStarted();
         store.get(ObjectNames.PLANNER)
-                .whenComplete((found, failure) -> post.accept(() -> {
+                .whenComplete((found, failure) -> enqueue.accept(() -> {
                     if (failure != null) {
                         election.callFailed(clock.nowMs());
                     } else {
@@ -102,7 +102,7 @@
     private void write() {
         PlannerRecord record = election.writeStarted(clock.nowMs());
         store.put(ObjectNames.PLANNER, JsonCodec.encode(record), election.revision())
-                .whenComplete((revision, failure) -> post.accept(() -> {
+                .whenComplete((revision, failure) -> enqueue.accept(() -> {
                     if (failure == null) {
                         election.writeDone(record, revision);
                     } else {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeAlignment.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeAlignment.java
@@ -16,27 +16,27 @@
      * out.
      *
      * @param ranges consecutive ranges
-     * @param bits leading bits that tell keys apart, 1 to 64
+     * @param keyBits leading bits that tell keys apart, 1 to 64
      */
-    public static List<PlacedRange> align(List<PlacedRange> ranges, int bits) {
-        long step = bits == Long.SIZE ? 1 : 1L << (Long.SIZE - bits);
+    public static List<PlacedRange> align(List<PlacedRange> ranges, int keyBits) {
+        long step = keyBits == Long.SIZE ? 1 : 1L << (Long.SIZE - keyBits);
         List<PlacedRange> aligned = new ArrayList<>(ranges.size());
-        for (PlacedRange placed : ranges) {
-            KeyHash first = ceiling(placed.range().first(), step);
-            boolean toEnd = placed.range().last().equals(KeyHash.MAX);
-            KeyHash end = toEnd
+        for (PlacedRange range : ranges) {
+            KeyHash first = roundUp(range.range().first(), step);
+            boolean endsAtMax = range.range().last().equals(KeyHash.MAX);
+            KeyHash end = endsAtMax
                     ? KeyHash.MAX
-                    : KeyRanges.previous(ceiling(KeyRanges.next(placed.range().last()), step));
-            boolean wrapped = first.compareTo(placed.range().first()) < 0;
+                    : KeyRanges.previous(roundUp(KeyRanges.next(range.range().last()), step));
+            boolean wrapped = first.compareTo(range.range().first()) < 0;
             if (!wrapped && first.compareTo(end) <= 0) {
-                aligned.add(new PlacedRange(new KeyRange(first, end), placed.owner(), placed.reason()));
+                aligned.add(new PlacedRange(new KeyRange(first, end), range.owner(), range.reason()));
             }
         }
         return aligned;
     }
 
     /** The first multiple of a power of two that is not below a hash; 0 if there is none. */
-    private static KeyHash ceiling(KeyHash hash, long step) {
+    private static KeyHash roundUp(KeyHash hash, long step) {
         return new KeyHash((hash.value() + step - 1) & -step);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -21,16 +21,16 @@
      *
      * @param evenPerSecond requests per second without the hot hashes, taken as evenly spread
      */
-    public record Load(double evenPerSecond, List<HotHash> hot) {
+    public record Load(double evenPerSecond, List<HotHash> hotHashes) {
         static final Load NONE = new Load(0, List.of());
 
         public Load {
-            hot = List.copyOf(hot);
+            hotHashes = List.copyOf(hotHashes);
         }
 
         public double perSecond() {
             double sum = evenPerSecond;
-            for (HotHash h : hot) {
+            for (HotHash h : hotHashes) {
                 sum += h.requestsPerSecond();
             }
             return sum;
@@ -41,29 +41,32 @@
             double fraction = Math.min(1, part.share() / whole.share());
             return new Load(
                     evenPerSecond * fraction,
-                    hot.stream().filter(h -> part.contains(h.hash())).toList());
+                    hotHashes.stream().filter(h -> part.contains(h.hash())).toList());
         }
 
         Load plus(Load other) {
             return new Load(
                     evenPerSecond + other.evenPerSecond,
-                    Stream.concat(hot.stream(), other.hot.stream()).toList());
+                    Stream.concat(hotHashes.stream(), other.hotHashes.stream()).toList());
         }
     }
 
     private RangeLoads() {}
 
-    static List<Load> of(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
+    static List<Load> loadsOf(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
         List<RangeLoad> all = reports.values().stream().flatMap(List::stream).toList();
         List<Load> loads = new ArrayList<>(table.assignments().size());
-        for (RangeAssignment a : table.assignments()) {
-            Load own = sum(a.range(), reports.getOrDefault(a.owner(), List.of()));
-            loads.add(own.perSecond() > 0 || a.previousOwners().isEmpty() ? own : sum(a.range(), all));
+        for (RangeAssignment assignment : table.assignments()) {
+            Load own = loadOf(assignment.range(), reports.getOrDefault(assignment.owner(), List.of()));
+            loads.add(
+                    own.perSecond() > 0 || assignment.previousOwners().isEmpty()
+                            ? own
+                            : loadOf(assignment.range(), all));
         }
         return loads;
     }
 
-    private static Load sum(KeyRange range, List<RangeLoad> reported) {
+    private static Load loadOf(KeyRange range, List<RangeLoad> reported) {
         Load sum = Load.NONE;
         for (RangeLoad load : reported) {
             KeyRange common = KeyRanges.intersect(load.range(), range).orElse(null);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
@@ -21,8 +21,8 @@
 public final class RebalancePolicy implements PlacementPolicy {
     private final RebalanceParameters parameters;
 
-    public RebalancePolicy(RebalanceParameters rules) {
-        this.parameters = rules;
+    public RebalancePolicy(RebalanceParameters parameters) {
+        this.parameters = parameters;
     }
 
     @Override
@@ -37,9 +37,9 @@
         WorkingTable table = new WorkingTable(input);
         WeightedPlacement.reassignOrphans(table, "owner-leaves");
         if (input.nowMs() - input.lastChangeMs() >= parameters.minIntervalMs()) {
-            Set<MemberId> busy = new HashSet<>();
+            Set<MemberId> unfillable = new HashSet<>();
             Map<MemberId, Integer> moves = new HashMap<>();
-            fillUnderloaded(table, moves, busy);
+            fillUnderloaded(table, moves, unfillable);
             if (input.nowMs() - input.imbalancedSinceMs() >= parameters.minImbalanceDurationMs()) {
                 rebalance(table, moves);
             }
@@ -49,21 +49,21 @@
     }
 
     /** Gives hash space to servers that have far less than their share, as after a join. */
-    private void fillUnderloaded(WorkingTable table, Map<MemberId, Integer> moves, Set<MemberId> full) {
+    private void fillUnderloaded(WorkingTable table, Map<MemberId, Integer> moves, Set<MemberId> unfillable) {
         for (int i = 0; i < parameters.maxMoves(); i++) {
-            Optional<MemberId> poorest = table.weights().keySet().stream()
-                    .filter(m -> !full.contains(m) && shareRatio(table, m) < parameters.fillThreshold())
+            Optional<MemberId> smallest = table.weights().keySet().stream()
+                    .filter(m -> !unfillable.contains(m) && shareRatio(table, m) < parameters.fillThreshold())
                     .filter(m -> moves.getOrDefault(m, 0) < parameters.maxMovesPerServer())
                     .min(Comparator.comparingDouble(m -> shareRatio(table, m)));
-            if (poorest.isEmpty()) {
+            if (smallest.isEmpty()) {
                 return;
             }
-            Optional<MoveSearch.Move> move = MoveSearch.findMoveTo(table, poorest.get(), m -> mayMove(moves, m));
+            Optional<MoveSearch.Move> move = MoveSearch.findMoveTo(table, smallest.get(), m -> mayMove(moves, m));
             if (move.isEmpty()) {
-                full.add(poorest.get());
+                unfillable.add(smallest.get());
                 continue;
             }
-            apply(table, move.get(), "server-joins", moves);
+            applyMove(table, move.get(), "server-joins", moves);
         }
     }
 
@@ -72,27 +72,28 @@
     }
 
     private void rebalance(WorkingTable table, Map<MemberId, Integer> moves) {
-        double highest = table.weights().keySet().stream()
+        double highestRatio = table.weights().keySet().stream()
                 .mapToDouble(table::loadRatio)
                 .max()
                 .orElse(0);
-        if (highest <= parameters.highWatermark() || !table.isLoadSignificant()) {
+        if (highestRatio <= parameters.highWatermark() || !table.isLoadSignificant()) {
             return;
         }
-        Set<MemberId> stuck = new HashSet<>();
+        Set<MemberId> withoutMove = new HashSet<>();
         for (int i = 0; i < parameters.maxMoves(); i++) {
             Optional<MemberId> source = table.weights().keySet().stream()
-                    .filter(m -> !stuck.contains(m) && mayMove(moves, m))
+                    .filter(m -> !withoutMove.contains(m) && mayMove(moves, m))
                     .max(Comparator.comparingDouble(table::loadRatio));
             if (source.isEmpty() || table.loadRatio(source.get()) <= parameters.lowWatermark()) {
                 return;
             }
-            Optional<MoveSearch.Move> move = MoveSearch.findMoveFrom(table, source.get(), parameters, m -> mayMove(moves, m));
+            Optional<MoveSearch.Move> move =
+                    MoveSearch.findMoveFrom(table, source.get(), parameters, m -> mayMove(moves, m));
             if (move.isEmpty()) {
-                stuck.add(source.get());
+                withoutMove.add(source.get());
                 continue;
             }
-            apply(table, move.get(), move.get().isHotHash() ? "hot-key" : "load", moves);
+            applyMove(table, move.get(), move.get().isHotHash() ? "hot-key" : "load", moves);
         }
     }
 
@@ -100,7 +101,8 @@
         return moves.getOrDefault(member, 0) < parameters.maxMovesPerServer();
     }
 
-    private static void apply(WorkingTable table, MoveSearch.Move move, String reason, Map<MemberId, Integer> moves) {
+    private static void applyMove(
+            WorkingTable table, MoveSearch.Move move, String reason, Map<MemberId, Integer> moves) {
         MemberId source = table.entries().get(move.entryIndex()).owner();
         moves.merge(source, 1, Integer::sum);
         moves.merge(move.target(), 1, Integer::sum);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -25,9 +25,9 @@
     private record Recipient(MemberId requester, Generation generation) {}
 
     private record Entry(
-            KeyRange range, Generation generation, TransferredRecords records, long atMs, Recipient recipient) {
+            KeyRange range, Generation generation, TransferredRecords records, long releasedAtMs, Recipient recipient) {
         Entry withRange(KeyRange part, Recipient newRecipient) {
-            return new Entry(part, generation, records, atMs, newRecipient);
+            return new Entry(part, generation, records, releasedAtMs, newRecipient);
         }
     }
 
@@ -55,54 +55,54 @@
         long completeForMs = ReleaseAnswer.NOT_SERVED;
         List<OutcomeRecord> records = new ArrayList<>();
         List<Handover> handovers = new ArrayList<>();
-        Deque<Entry> next = new ArrayDeque<>();
+        Deque<Entry> remaining = new ArrayDeque<>();
         for (Entry entry : entries) {
             KeyRange common = KeyRanges.intersect(entry.range, range).orElse(null);
             if (common == null) {
-                next.addLast(entry);
+                remaining.addLast(entry);
                 continue;
             }
-            long heldMs = nowMs - entry.atMs;
-            addRecords(entry, common, heldMs, records);
+            long retainedForMs = nowMs - entry.releasedAtMs;
+            addRecords(entry, common, retainedForMs, records);
             entry.records.handovers().stream()
                     .filter(h -> h.range().overlaps(common))
                     .forEach(handovers::add);
             if (entry.recipient == null || entry.recipient.equals(recipient)) {
-                long ageMs = addSaturated(entry.records.completeForMs(), heldMs);
+                long ageMs = addSaturated(entry.records.completeForMs(), retainedForMs);
                 completeForMs = completeForMs < 0 ? ageMs : Math.min(completeForMs, ageMs);
                 KeyRanges.subtract(entry.range, List.of(common))
-                        .forEach(rest -> next.addLast(entry.withRange(rest, entry.recipient)));
-                next.addLast(entry.withRange(common, recipient));
+                        .forEach(rest -> remaining.addLast(entry.withRange(rest, entry.recipient)));
+                remaining.addLast(entry.withRange(common, recipient));
             } else {
-                next.addLast(entry);
+                remaining.addLast(entry);
             }
         }
-        entries = next;
+        entries = remaining;
         return new ReleaseAnswer(true, completeForMs, records, handovers);
     }
 
-    private static void addRecords(Entry entry, KeyRange part, long heldMs, List<OutcomeRecord> out) {
-        for (OutcomeRecord r : entry.records.records()) {
-            if (part.contains(r.keyHash())) {
-                out.add(new OutcomeRecord(
-                        r.requestId(),
-                        r.idempotencyKey(),
-                        r.keyHash(),
-                        r.requestDigest(),
-                        r.answer(),
-                        addSaturated(r.ageMs(), heldMs)));
+    private static void addRecords(Entry entry, KeyRange part, long retainedForMs, List<OutcomeRecord> result) {
+        for (OutcomeRecord record : entry.records.records()) {
+            if (part.contains(record.keyHash())) {
+                result.add(new OutcomeRecord(
+                        record.requestId(),
+                        record.idempotencyKey(),
+                        record.keyHash(),
+                        record.requestDigest(),
+                        record.answer(),
+                        addSaturated(record.ageMs(), retainedForMs)));
             }
         }
     }
 
     /** Drops what is known of a range, because this daemon serves it again. */
     void remove(KeyRange range) {
-        Deque<Entry> next = new ArrayDeque<>();
+        Deque<Entry> remaining = new ArrayDeque<>();
         for (Entry entry : entries) {
             KeyRanges.subtract(entry.range, List.of(range))
-                    .forEach(rest -> next.addLast(entry.withRange(rest, entry.recipient)));
+                    .forEach(rest -> remaining.addLast(entry.withRange(rest, entry.recipient)));
         }
-        entries = next;
+        entries = remaining;
     }
 
     /** Drops the entries that no assignment of a table needs any more. */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
@@ -21,7 +21,7 @@
     private long candidatesSinceMs;
     private long retryAtMs;
     private List<MemberId> candidates = List.of();
-    private long decidedInput = -1;
+    private long decidedInputVersion = -1;
 
     public ServicePlanningState(ServiceName service, long imbalanceTargetPercent, long nowMs) {
         this.imbalanceTargetPercent = imbalanceTargetPercent;
@@ -34,9 +34,9 @@
         return table;
     }
 
-    public void updateTable(AssignmentTable known) {
-        if (known.generation().isNewerThan(table.generation())) {
-            table = known;
+    public void updateTable(AssignmentTable newTable) {
+        if (newTable.generation().isNewerThan(table.generation())) {
+            table = newTable;
         }
     }
 
@@ -49,11 +49,11 @@
     }
 
     public void updateImbalance(double imbalance, long nowMs) {
-        boolean above = imbalance * 100 > imbalanceTargetPercent;
-        if (above && !imbalanced) {
+        boolean aboveTarget = imbalance * 100 > imbalanceTargetPercent;
+        if (aboveTarget && !imbalanced) {
             imbalancedSinceMs = nowMs;
         }
-        imbalanced = above;
+        imbalanced = aboveTarget;
     }
 
     public void recordPolicyChange(long nowMs) {
@@ -63,25 +63,26 @@
     /**
      * Whether a decision may be started, and there is new input or the service waits for its first table.
      *
-     * @param input number of the input, which grows with each snapshot and each round of load reports
+     * @param inputVersion number of the input, which grows with each snapshot and each round of load reports
      */
-    public boolean shouldDecide(long input, long nowMs) {
-        boolean newInput = input != decidedInput || table.assignments().isEmpty();
+    public boolean shouldDecide(long inputVersion, long nowMs) {
+        boolean newInput =
+                inputVersion != decidedInputVersion || table.assignments().isEmpty();
         return !writePending && nowMs >= retryAtMs && newInput;
     }
 
     /** Notes that the table stands for an input. */
-    public void recordDecided(long input) {
-        decidedInput = input;
+    public void recordDecided(long inputVersion) {
+        decidedInputVersion = inputVersion;
     }
 
     public void beginWrite() {
         writePending = true;
     }
 
-    public void endWrite(long nextTryMs) {
+    public void endWrite(long newRetryAtMs) {
         writePending = false;
-        retryAtMs = nextTryMs;
+        retryAtMs = newRetryAtMs;
     }
 
     public long lastChangeMs() {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
@@ -17,7 +17,7 @@
  * thread safe.
  */
 public final class StaticPolicy implements PlacementPolicy {
-    private static final double UNIT = 0x1.0p-53;
+    private static final double UNIT_SCALE = 0x1.0p-53;
 
     @Override
     public List<PlacedRange> place(PlacementInput input) {
@@ -41,14 +41,14 @@
     private static double score(KeyHash bucket, MemberId member, double weight) {
         long seed = bucket.value();
         for (int i = 0; i < member.value().length(); i++) {
-            seed = mix(seed * 31 + member.value().charAt(i));
+            seed = mix64(seed * 31 + member.value().charAt(i));
         }
-        double uniform = ((seed >>> 11) + 0.5) * UNIT;
+        double uniform = ((seed >>> 11) + 0.5) * UNIT_SCALE;
         return -weight / Math.log(uniform);
     }
 
     /** The finalizer of SplitMix64. */
-    private static long mix(long value) {
+    private static long mix64(long value) {
         long z = value + 0x9E3779B97F4A7C15L;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
         z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -35,10 +35,10 @@
     private static final int MERGE_ABOVE_PER_MEMBER = 120;
 
     /** Share below the fair one at which a server gets more stripes, as after a join. */
-    private static final double FILL_BELOW = 0.6;
+    private static final double FILL_THRESHOLD = 0.6;
 
     /** Part of a fair share by which a neighbour's owner must have less than others to get a stripe. */
-    private static final double NEIGHBOUR_COST = 0.05;
+    private static final double NEIGHBOUR_PENALTY = 0.05;
 
     private static final String KEPT = "kept";
 
@@ -63,8 +63,8 @@
             stripes.add(new Stripe(a.range(), a.owner(), a.previousOwners().isEmpty(), KEPT));
         }
         reassignOrphans(stripes, weights);
-        fillJoiners(stripes, weights);
-        return merged(stripes).stream()
+        fillUnderloaded(stripes, weights);
+        return mergeNeighbours(stripes).stream()
                 .map(s -> new PlacedRange(s.range(), s.owner(), s.reason()))
                 .toList();
     }
@@ -76,17 +76,17 @@
         for (int i = 0; i < count; i++) {
             parts.add(1.0);
         }
-        Map<MemberId, Double> credit = new HashMap<>();
+        Map<MemberId, Double> credits = new HashMap<>();
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
         List<PlacedRange> placed = new ArrayList<>();
         for (KeyRange range : KeyRanges.divide(parts)) {
-            weights.forEach((member, weight) -> credit.merge(member, weight, Double::sum));
+            weights.forEach((member, weight) -> credits.merge(member, weight, Double::sum));
             MemberId next = weights.keySet().stream()
-                    .max(Comparator.comparingDouble((MemberId m) -> credit.get(m))
+                    .max(Comparator.comparingDouble((MemberId m) -> credits.get(m))
                             .thenComparing(Comparator.reverseOrder()))
                     .orElseThrow();
-            credit.merge(next, -total, Double::sum);
+            credits.merge(next, -total, Double::sum);
             placed.add(new PlacedRange(range, next, "initial"));
         }
         return placed;
@@ -100,8 +100,8 @@
         Map<MemberId, Double> shares = shares(stripes);
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        boolean join = stripes.size() > MERGE_ABOVE_PER_MEMBER * weights.size();
-        double neighbourCost = join ? -NEIGHBOUR_COST : NEIGHBOUR_COST;
+        boolean mergeNeeded = stripes.size() > MERGE_ABOVE_PER_MEMBER * weights.size();
+        double neighbourPenalty = mergeNeeded ? -NEIGHBOUR_PENALTY : NEIGHBOUR_PENALTY;
         for (int i = 0; i < stripes.size(); i++) {
             Stripe stripe = stripes.get(i);
             if (weights.containsKey(stripe.owner())) {
@@ -111,7 +111,7 @@
             MemberId owner = weights.keySet().stream()
                     .min(Comparator.comparingDouble(
                                     (MemberId m) -> shares.getOrDefault(m, 0.0) / (weights.get(m) / total)
-                                            + (neighbours.contains(m) ? neighbourCost : 0))
+                                            + (neighbours.contains(m) ? neighbourPenalty : 0))
                             .thenComparing(Comparator.naturalOrder()))
                     .orElseThrow();
             shares.merge(owner, stripe.range().share(), Double::sum);
@@ -131,26 +131,29 @@
     }
 
     /** Gives stripes from all over the key space to servers that have far less than their share. */
-    private static void fillJoiners(List<Stripe> stripes, Map<MemberId, Double> weights) {
+    private static void fillUnderloaded(List<Stripe> stripes, Map<MemberId, Double> weights) {
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
         Map<MemberId, Double> shares = shares(stripes);
-        for (MemberId joiner : weights.keySet()) {
-            double fair = weights.get(joiner) / total;
-            if (shares.getOrDefault(joiner, 0.0) >= FILL_BELOW * fair) {
+        for (MemberId receiver : weights.keySet()) {
+            double fairShare = weights.get(receiver) / total;
+            if (shares.getOrDefault(receiver, 0.0) >= FILL_THRESHOLD * fairShare) {
                 continue;
             }
-            for (int i = 0; i < stripes.size() && shares.getOrDefault(joiner, 0.0) < fair; i++) {
+            for (int i = 0; i < stripes.size() && shares.getOrDefault(receiver, 0.0) < fairShare; i++) {
                 Stripe stripe = stripes.get(i);
-                double donorFair = weights.get(stripe.owner()) / total;
+                double donorFairShare = weights.get(stripe.owner()) / total;
                 double width = stripe.range().share();
-                double passed = (double) (i + 1) / stripes.size();
-                boolean behind = shares.getOrDefault(joiner, 0.0) + width <= fair * passed + width;
-                boolean spares = shares.get(stripe.owner()) - width >= donorFair;
-                if (stripe.stable() && spares && behind && !stripe.owner().equals(joiner)) {
+                double visitedFraction = (double) (i + 1) / stripes.size();
+                boolean belowQuota = shares.getOrDefault(receiver, 0.0) + width <= fairShare * visitedFraction + width;
+                boolean donorHasSurplus = shares.get(stripe.owner()) - width >= donorFairShare;
+                if (stripe.stable()
+                        && donorHasSurplus
+                        && belowQuota
+                        && !stripe.owner().equals(receiver)) {
                     shares.merge(stripe.owner(), -width, Double::sum);
-                    shares.merge(joiner, width, Double::sum);
-                    stripes.set(i, stripe.withOwner(joiner, "server-joins"));
+                    shares.merge(receiver, width, Double::sum);
+                    stripes.set(i, stripe.withOwner(receiver, "server-joins"));
                 }
             }
         }
@@ -163,21 +166,21 @@
     }
 
     /** Joins neighbours of one owner that has too many ranges. */
-    private static List<Stripe> merged(List<Stripe> stripes) {
+    private static List<Stripe> mergeNeighbours(List<Stripe> stripes) {
         Map<MemberId, Integer> counts = new HashMap<>();
         stripes.forEach(s -> counts.merge(s.owner(), 1, Integer::sum));
         List<Stripe> result = new ArrayList<>();
         for (Stripe stripe : stripes) {
             Optional<Stripe> last = result.isEmpty() ? Optional.empty() : Optional.of(result.get(result.size() - 1));
-            boolean joins = last.isPresent()
+            boolean mergeable = last.isPresent()
                     && last.get().owner().equals(stripe.owner())
                     && last.get().stable()
                     && stripe.stable()
                     && counts.get(stripe.owner()) > MERGE_ABOVE_PER_MEMBER;
-            if (joins) {
+            if (mergeable) {
                 counts.merge(stripe.owner(), -1, Integer::sum);
-                KeyRange joined = KeyRanges.join(last.get().range(), stripe.range());
-                result.set(result.size() - 1, new Stripe(joined, stripe.owner(), true, KEPT));
+                KeyRange mergedRange = KeyRanges.join(last.get().range(), stripe.range());
+                result.set(result.size() - 1, new Stripe(mergedRange, stripe.owner(), true, KEPT));
             } else {
                 result.add(stripe);
             }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -43,17 +43,19 @@
      * Removes previous owners that are gone, and all previous owners of a range that its owner serves under its fence.
      */
     public static List<RangeAssignment> clearPreviousOwners(
-            AssignmentTable table, Predicate<MemberId> gone, Map<MemberId, LoadReport> reports) {
+            AssignmentTable table, Predicate<MemberId> isRemoved, Map<MemberId, LoadReport> reports) {
         List<RangeAssignment> cleared = new ArrayList<>(table.assignments().size());
-        for (RangeAssignment a : table.assignments()) {
-            if (a.previousOwners().isEmpty()) {
-                cleared.add(a);
+        for (RangeAssignment assignment : table.assignments()) {
+            if (assignment.previousOwners().isEmpty()) {
+                cleared.add(assignment);
                 continue;
             }
-            List<MemberId> remaining = isServed(a, reports.get(a.owner()))
+            List<MemberId> remaining = isServed(assignment, reports.get(assignment.owner()))
                     ? List.of()
-                    : a.previousOwners().stream().filter(gone.negate()).toList();
-            cleared.add(new RangeAssignment(a.range(), a.owner(), a.fence(), remaining));
+                    : assignment.previousOwners().stream()
+                            .filter(isRemoved.negate())
+                            .toList();
+            cleared.add(new RangeAssignment(assignment.range(), assignment.owner(), assignment.fence(), remaining));
         }
         return cleared;
     }
@@ -74,86 +76,94 @@
      * Applies wanted owners.
      *
      * @param current assignments of the present table, with cleared previous owners
-     * @param mayHold members that may still serve a hash which the present table assigns to nobody
+     * @param potentialHolders members that may still serve a hash which the present table assigns to nobody
      */
     public static Result build(
             AssignmentTable table,
             List<RangeAssignment> current,
             List<PlacedRange> wanted,
-            Predicate<MemberId> gone,
-            Set<MemberId> mayHold) {
+            Predicate<MemberId> isRemoved,
+            Set<MemberId> potentialHolders) {
         Generation next = new Generation(table.generation().value() + 1);
         List<RangeAssignment> assignments = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        int from = 0;
-        for (PlacedRange want : wanted) {
-            while (from < current.size()
-                    && current.get(from).range().last().compareTo(want.range().first()) < 0) {
-                from++;
+        int firstIndex = 0;
+        for (PlacedRange wantedRange : wanted) {
+            while (firstIndex < current.size()
+                    && current.get(firstIndex)
+                                    .range()
+                                    .last()
+                                    .compareTo(wantedRange.range().first())
+                            < 0) {
+                firstIndex++;
             }
-            List<Segment> pieces = segments(current, from, want, next, gone, mayHold, changes);
-            mergeUnchanged(pieces).forEach(assignments::add);
+            List<Segment> segments =
+                    segments(current, firstIndex, wantedRange, next, isRemoved, potentialHolders, changes);
+            mergeUnchanged(segments).forEach(assignments::add);
         }
         return new Result(new AssignmentTable(table.service(), next, assignments), changes);
     }
 
     private static List<Segment> segments(
             List<RangeAssignment> current,
-            int from,
-            PlacedRange want,
+            int firstIndex,
+            PlacedRange wantedRange,
             Generation next,
-            Predicate<MemberId> gone,
-            Set<MemberId> mayHold,
+            Predicate<MemberId> isRemoved,
+            Set<MemberId> potentialHolders,
             List<Change> changes) {
-        List<Segment> pieces = new ArrayList<>();
+        List<Segment> segments = new ArrayList<>();
         List<KeyRange> covered = new ArrayList<>();
-        for (int i = from; i < current.size(); i++) {
+        for (int i = firstIndex; i < current.size(); i++) {
             RangeAssignment old = current.get(i);
-            if (old.range().first().compareTo(want.range().last()) > 0) {
+            if (old.range().first().compareTo(wantedRange.range().last()) > 0) {
                 break;
             }
-            KeyRange common = KeyRanges.intersect(old.range(), want.range()).orElseThrow();
+            KeyRange common =
+                    KeyRanges.intersect(old.range(), wantedRange.range()).orElseThrow();
             covered.add(common);
-            if (old.owner().equals(want.owner())) {
-                pieces.add(
+            if (old.owner().equals(wantedRange.owner())) {
+                segments.add(
                         new Segment(new RangeAssignment(common, old.owner(), old.fence(), old.previousOwners()), true));
                 continue;
             }
             Set<MemberId> previous = new LinkedHashSet<>();
             previous.add(old.owner());
             previous.addAll(old.previousOwners());
-            pieces.add(reassigned(common, want.owner(), next, previous, gone));
-            changes.add(new Change(common, Optional.of(old.owner()), want.owner(), next, want.reason()));
+            segments.add(reassigned(common, wantedRange.owner(), next, previous, isRemoved));
+            changes.add(new Change(common, Optional.of(old.owner()), wantedRange.owner(), next, wantedRange.reason()));
         }
-        for (KeyRange hole : KeyRanges.subtract(want.range(), covered)) {
-            pieces.add(reassigned(hole, want.owner(), next, mayHold, gone));
-            changes.add(new Change(hole, Optional.empty(), want.owner(), next, want.reason()));
+        for (KeyRange gap : KeyRanges.subtract(wantedRange.range(), covered)) {
+            segments.add(reassigned(gap, wantedRange.owner(), next, potentialHolders, isRemoved));
+            changes.add(new Change(gap, Optional.empty(), wantedRange.owner(), next, wantedRange.reason()));
         }
-        pieces.sort((a, b) -> a.assignment.range().compareTo(b.assignment.range()));
-        return pieces;
+        segments.sort((a, b) -> a.assignment.range().compareTo(b.assignment.range()));
+        return segments;
     }
 
     private static Segment reassigned(
-            KeyRange range, MemberId owner, Generation fence, Set<MemberId> previous, Predicate<MemberId> gone) {
-        List<MemberId> remaining =
-                previous.stream().filter(m -> !m.equals(owner) && !gone.test(m)).toList();
+            KeyRange range, MemberId owner, Generation fence, Set<MemberId> previous, Predicate<MemberId> isRemoved) {
+        List<MemberId> remaining = previous.stream()
+                .filter(m -> !m.equals(owner) && !isRemoved.test(m))
+                .toList();
         return new Segment(new RangeAssignment(range, owner, fence, remaining), false);
     }
 
-    private static List<RangeAssignment> mergeUnchanged(List<Segment> pieces) {
-        List<RangeAssignment> joined = new ArrayList<>();
-        boolean lastMayJoin = false;
-        for (Segment piece : pieces) {
-            RangeAssignment a = piece.assignment;
-            boolean mayJoin = piece.unchanged && a.previousOwners().isEmpty();
-            if (mayJoin && lastMayJoin) {
-                RangeAssignment last = joined.remove(joined.size() - 1);
-                Generation fence = last.fence().isNewerThan(a.fence()) ? last.fence() : a.fence();
-                a = new RangeAssignment(KeyRanges.join(last.range(), a.range()), a.owner(), fence, List.of());
+    private static List<RangeAssignment> mergeUnchanged(List<Segment> segments) {
+        List<RangeAssignment> merged = new ArrayList<>();
+        boolean lastMergeable = false;
+        for (Segment segment : segments) {
+            RangeAssignment assignment = segment.assignment;
+            boolean mergeable = segment.unchanged && assignment.previousOwners().isEmpty();
+            if (mergeable && lastMergeable) {
+                RangeAssignment last = merged.remove(merged.size() - 1);
+                Generation fence = last.fence().isNewerThan(assignment.fence()) ? last.fence() : assignment.fence();
+                assignment = new RangeAssignment(
+                        KeyRanges.join(last.range(), assignment.range()), assignment.owner(), fence, List.of());
             }
-            joined.add(a);
-            lastMayJoin = mayJoin;
+            merged.add(assignment);
+            lastMergeable = mergeable;
         }
-        return joined;
+        return merged;
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
@@ -11,11 +11,11 @@
 final class TableCompaction {
     static final int MAX_RANGES_PER_MEMBER = 16;
     private static final int MERGE_ABOVE_PER_MEMBER = 10;
-    private static final int RETURN_ABOVE_PER_MEMBER = 13;
-    private static final int MAX_RETURNS = 16;
+    private static final int REASSIGN_ABOVE_PER_MEMBER = 13;
+    private static final int MAX_REASSIGNED_FRAGMENTS = 16;
     private static final int RANGES_ADDED_BY_SPLIT = 2;
-    private static final double HOT_RATIO = 0.05;
-    private static final double FRAGMENT_RATIO = 0.03;
+    private static final double HOT_LOAD_RATIO = 0.05;
+    private static final double FRAGMENT_SHARE_RATIO = 0.03;
 
     private TableCompaction() {}
 
@@ -35,47 +35,48 @@
         if (toMerge > 0) {
             mergeNeighbours(table, toMerge);
         }
-        int toReturn = table.entries().size() - RETURN_ABOVE_PER_MEMBER * servers;
-        if (toReturn > 0) {
-            returnFragments(table, Math.min(MAX_RETURNS, toReturn));
+        int toReassign = table.entries().size() - REASSIGN_ABOVE_PER_MEMBER * servers;
+        if (toReassign > 0) {
+            reassignFragments(table, Math.min(MAX_REASSIGNED_FRAGMENTS, toReassign));
         }
     }
 
-    private static void returnFragments(WorkingTable table, int limit) {
-        List<WorkingTable.Entry> slots = table.entries();
-        IntStream.range(1, slots.size() - 1)
+    private static void reassignFragments(WorkingTable table, int limit) {
+        List<WorkingTable.Entry> entries = table.entries();
+        IntStream.range(1, entries.size() - 1)
                 .filter(i -> isColdFragment(table, i))
                 .boxed()
-                .sorted(Comparator.comparingDouble(i -> slots.get(i).range().share()))
+                .sorted(Comparator.comparingDouble(i -> entries.get(i).range().share()))
                 .limit(limit)
                 .forEach(i -> {
-                    MemberId left = slots.get(i - 1).owner();
-                    MemberId right = slots.get(i + 1).owner();
+                    MemberId left = entries.get(i - 1).owner();
+                    MemberId right = entries.get(i + 1).owner();
                     boolean toLeft = left.equals(right) || table.loadRatio(left) <= table.loadRatio(right);
                     table.assign(i, toLeft ? left : right, "rejoin");
                 });
     }
 
     private static boolean isColdFragment(WorkingTable table, int index) {
-        WorkingTable.Entry slot = table.entries().get(index);
-        return slot.stable()
-                && !slot.moved()
-                && slot.range().share() <= FRAGMENT_RATIO / table.weights().size()
-                && !isHot(table, slot)
-                && !table.entries().get(index - 1).owner().equals(slot.owner())
-                && !table.entries().get(index + 1).owner().equals(slot.owner());
+        WorkingTable.Entry entry = table.entries().get(index);
+        return entry.stable()
+                && !entry.moved()
+                && entry.range().share()
+                        <= FRAGMENT_SHARE_RATIO / table.weights().size()
+                && !isHot(table, entry)
+                && !table.entries().get(index - 1).owner().equals(entry.owner())
+                && !table.entries().get(index + 1).owner().equals(entry.owner());
     }
 
     private static void mergeNeighbours(WorkingTable table, int excess) {
         List<Integer> mergeable = new ArrayList<>();
-        List<WorkingTable.Entry> slots = table.entries();
-        for (int i = 0; i + 1 < slots.size(); i++) {
-            if (mayMerge(table, slots.get(i), slots.get(i + 1))) {
+        List<WorkingTable.Entry> entries = table.entries();
+        for (int i = 0; i + 1 < entries.size(); i++) {
+            if (mayMerge(table, entries.get(i), entries.get(i + 1))) {
                 mergeable.add(i);
             }
         }
         mergeable.sort(Comparator.comparingDouble(
-                i -> slots.get(i).range().share() + slots.get(i + 1).range().share()));
+                i -> entries.get(i).range().share() + entries.get(i + 1).range().share()));
         mergeable.subList(0, Math.min(excess, mergeable.size())).stream()
                 .sorted(Comparator.reverseOrder())
                 .forEach(table::mergeWithNext);
@@ -92,8 +93,8 @@
                 && !(KeyRanges.isSingleHash(b.range()) && isHot(table, b));
     }
 
-    private static boolean isHot(WorkingTable table, WorkingTable.Entry slot) {
-        return slot.load().perSecond()
-                > HOT_RATIO * table.totalLoad() / table.weights().size();
+    private static boolean isHot(WorkingTable table, WorkingTable.Entry entry) {
+        return entry.load().perSecond()
+                > HOT_LOAD_RATIO * table.totalLoad() / table.weights().size();
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -79,33 +79,36 @@
     private final PlacementPolicy policy;
     private final long firstTableDelayMs;
 
-    public TablePlanner(PlacementPolicy policy, long settleMs) {
+    public TablePlanner(PlacementPolicy policy, long firstTableDelayMs) {
         this.policy = policy;
-        this.firstTableDelayMs = settleMs;
+        this.firstTableDelayMs = firstTableDelayMs;
     }
 
     /** The members that may get ranges of a service, sorted by id. */
     public static List<Member> candidates(View view) {
         return view.members().values().stream()
-                .filter(m -> m.state() == MemberState.ACTIVE && !view.removed().contains(m.id()))
-                .filter(m -> serves(m, view.table())
+                .filter(member ->
+                        member.state() == MemberState.ACTIVE && !view.removed().contains(member.id()))
+                .filter(member -> serves(member, view.table())
                         && !view.configuration()
-                                .isDraining(m.backend().orElseThrow().name())
-                        && ServerWeights.of(view.configuration(), m) > 0)
-                .sorted((a, b) -> a.id().compareTo(b.id()))
+                                .isDraining(member.backend().orElseThrow().name())
+                        && ServerWeights.of(view.configuration(), member) > 0)
+                .sorted((assignment, backend) -> assignment.id().compareTo(backend.id()))
                 .toList();
     }
 
     private static boolean serves(Member member, AssignmentTable table) {
-        return member.backend().map(b -> b.service().equals(table.service())).orElse(false);
+        return member.backend()
+                .map(backend -> backend.service().equals(table.service()))
+                .orElse(false);
     }
 
     /** The next table, or empty if the present one stands. */
     public Optional<Decision> decide(View view) {
         AssignmentTable table = view.table();
-        Optional<ServiceConfig> rules =
+        Optional<ServiceConfig> serviceConfig =
                 view.configuration().service(table.service()).filter(ServiceConfig::keyed);
-        if (rules.isEmpty()) {
+        if (serviceConfig.isEmpty()) {
             return table.assignments().isEmpty() ? Optional.empty() : Optional.of(withdraw(table));
         }
         List<Member> candidates = candidates(view);
@@ -115,16 +118,17 @@
         if (table.assignments().isEmpty() && view.nowMs() - view.candidatesSinceMs() < firstTableDelayMs) {
             return Optional.empty();
         }
-        List<RangeAssignment> current = TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
+        List<RangeAssignment> current =
+                TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
         List<PlacedRange> wanted = validated(
                 RangeAlignment.align(
-                        policy.place(input(view, candidates, current)),
-                        rules.get().keySpaceBits()),
+                        policy.place(policyInput(view, candidates, current)),
+                        serviceConfig.get().keySpaceBits()),
                 candidates);
-        boolean ownerLost =
-                table.assignments().stream().anyMatch(a -> view.removed().contains(a.owner()));
+        boolean ownerLost = table.assignments().stream()
+                .anyMatch(assignment -> view.removed().contains(assignment.owner()));
         if (ownerLost) {
-            return decisionIfChanged(view, Kind.TAKEOVER, current, takeover(view, current, wanted));
+            return decisionIfChanged(view, Kind.TAKEOVER, current, takeoverRanges(view, current, wanted));
         }
         Kind kind = table.assignments().isEmpty() ? Kind.FIRST_TABLE : Kind.POLICY;
         return decisionIfChanged(view, kind, current, wanted);
@@ -135,7 +139,7 @@
         return new Decision(Kind.WITHDRAW, new AssignmentTable(table.service(), next, List.of()), List.of());
     }
 
-    private static PlacementInput input(View view, List<Member> candidates, List<RangeAssignment> current) {
+    private static PlacementInput policyInput(View view, List<Member> candidates, List<RangeAssignment> current) {
         Map<MemberId, List<RangeLoad>> loads = new HashMap<>();
         view.reports().forEach((member, report) -> loads.put(member, report.ranges()));
         return new PlacementInput(
@@ -151,17 +155,17 @@
     /** Policies are plug-ins, so their output is checked before it can reach the store. */
     private static List<PlacedRange> validated(List<PlacedRange> placed, List<Member> candidates) {
         Set<MemberId> allowed = new HashSet<>();
-        candidates.forEach(m -> allowed.add(m.id()));
+        candidates.forEach(member -> allowed.add(member.id()));
         KeyHash expected = KeyHash.MIN;
         for (int i = 0; i < placed.size(); i++) {
-            PlacedRange p = placed.get(i);
+            PlacedRange placedRange = placed.get(i);
             boolean last = i == placed.size() - 1;
-            if (!p.range().first().equals(expected)
-                    || last != p.range().last().equals(KeyHash.MAX)
-                    || !allowed.contains(p.owner())) {
-                throw new IllegalStateException("policy placed an invalid range: " + p);
+            if (!placedRange.range().first().equals(expected)
+                    || last != placedRange.range().last().equals(KeyHash.MAX)
+                    || !allowed.contains(placedRange.owner())) {
+                throw new IllegalStateException("policy placed an invalid range: " + placedRange);
             }
-            expected = KeyRanges.next(p.range().last());
+            expected = KeyRanges.next(placedRange.range().last());
         }
         if (placed.isEmpty()) {
             throw new IllegalStateException("policy placed nothing although there are candidates");
@@ -169,34 +173,35 @@
         return placed;
     }
 
-    private static List<PlacedRange> takeover(View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
-        List<PlacedRange> taken = new ArrayList<>();
-        for (RangeAssignment a : current) {
-            if (!view.removed().contains(a.owner())) {
-                taken.add(new PlacedRange(a.range(), a.owner(), WorkingTable.KEPT));
+    private static List<PlacedRange> takeoverRanges(
+            View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
+        List<PlacedRange> result = new ArrayList<>();
+        for (RangeAssignment assignment : current) {
+            if (!view.removed().contains(assignment.owner())) {
+                result.add(new PlacedRange(assignment.range(), assignment.owner(), WorkingTable.KEPT));
                 continue;
             }
-            Optional<MemberId> successor = successor(view, a.owner());
+            Optional<MemberId> successor = restartedMember(view, assignment.owner());
             if (successor.isPresent()) {
-                taken.add(new PlacedRange(a.range(), successor.get(), OWNER_RESTARTED_REASON));
+                result.add(new PlacedRange(assignment.range(), successor.get(), OWNER_RESTARTED_REASON));
                 continue;
             }
-            for (PlacedRange p : wanted) {
-                Optional<KeyRange> common = KeyRanges.intersect(p.range(), a.range());
-                common.ifPresent(range -> taken.add(new PlacedRange(range, p.owner(), OWNER_LOST_REASON)));
+            for (PlacedRange placedRange : wanted) {
+                Optional<KeyRange> common = KeyRanges.intersect(placedRange.range(), assignment.range());
+                common.ifPresent(range -> result.add(new PlacedRange(range, placedRange.owner(), OWNER_LOST_REASON)));
             }
         }
-        return taken;
+        return result;
     }
 
     /** The candidate at the address of a lost member. */
-    private static Optional<MemberId> successor(View view, MemberId lost) {
-        Member former = view.members().get(lost);
-        if (former == null) {
+    private static Optional<MemberId> restartedMember(View view, MemberId lost) {
+        Member lostMember = view.members().get(lost);
+        if (lostMember == null) {
             return Optional.empty();
         }
         return candidates(view).stream()
-                .filter(m -> m.peerAddress().equals(former.peerAddress()))
+                .filter(member -> member.peerAddress().equals(lostMember.peerAddress()))
                 .map(Member::id)
                 .findFirst();
     }
@@ -204,7 +209,8 @@
     private static Optional<Decision> decisionIfChanged(
             View view, Kind kind, List<RangeAssignment> current, List<PlacedRange> wanted) {
         AssignmentTable table = view.table();
-        TableBuilder.Result result = TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
+        TableBuilder.Result result =
+                TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
         if (result.table().assignments().equals(table.assignments())) {
             return Optional.empty();
         }
@@ -223,10 +229,10 @@
         }
         for (Member member : view.members().values()) {
             LoadReport report = view.reports().get(member.id());
-            boolean settled = report != null
+            boolean releasedAll = report != null
                     && report.ranges().isEmpty()
                     && report.tableGeneration().compareTo(view.table().generation()) >= 0;
-            if (serves(member, view.table()) && !settled) {
+            if (serves(member, view.table()) && !releasedAll) {
                 holders.add(member.id());
             }
         }
@@ -240,7 +246,10 @@
             return 0;
         }
         WorkingTable table =
-                new WorkingTable(input(view, candidates, view.table().assignments()));
-        return table.weights().keySet().stream().mapToDouble(table::loadRatio).max().orElse(0);
+                new WorkingTable(policyInput(view, candidates, view.table().assignments()));
+        return table.weights().keySet().stream()
+                .mapToDouble(table::loadRatio)
+                .max()
+                .orElse(0);
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
@@ -31,11 +31,11 @@
     /**
      * A writer.
      *
-     * @param whenWritten called with a table and its stored form as soon as its write was answered
+     * @param onWritten called with a table and its stored form as soon as its write was answered
      */
-    public TableWriter(ObjectStore store, BiConsumer<AssignmentTable, StoredObject> whenWritten) {
+    public TableWriter(ObjectStore store, BiConsumer<AssignmentTable, StoredObject> onWritten) {
         this.store = store;
-        this.onWritten = whenWritten;
+        this.onWritten = onWritten;
     }
 
     /**
@@ -51,10 +51,10 @@
         String name = ObjectNames.assignments(service);
         return store.get(name)
                 .thenComposeAsync(
-                        found -> {
-                            AssignmentTable table = table(service, found);
+                        stored -> {
+                            AssignmentTable table = decodeTable(service, stored);
                             Revision revision =
-                                    found.map(StoredObject::revision).orElse(Revision.NONE);
+                                    stored.map(StoredObject::revision).orElse(Revision.NONE);
                             return decide.apply(table)
                                     .thenComposeAsync(
                                             decision -> decision.isEmpty()
@@ -65,8 +65,8 @@
                         executor);
     }
 
-    private static AssignmentTable table(ServiceName service, Optional<StoredObject> found) {
-        return found.map(o -> TableCodec.decode(o.value())).orElse(AssignmentTable.empty(service));
+    private static AssignmentTable decodeTable(ServiceName service, Optional<StoredObject> stored) {
+        return stored.map(object -> TableCodec.decode(object.value())).orElse(AssignmentTable.empty(service));
     }
 
     private CompletableFuture<Outcome> put(
@@ -90,8 +90,8 @@
 
     /** A write that is still on its way cannot take effect after another write, because it names its revision. */
     private CompletableFuture<Outcome> readBack(String name, ServiceName service, Outcome written) {
-        return store.get(name).thenApply(found -> {
-            AssignmentTable table = table(service, found);
+        return store.get(name).thenApply(stored -> {
+            AssignmentTable table = decodeTable(service, stored);
             return table.equals(written.table()) ? written : new Outcome(table, Optional.empty());
         });
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
@@ -36,9 +36,9 @@
 
     /** Gives each slot whose owner is no candidate to the candidate with the least load and share for its weight. */
     static void reassignOrphans(WorkingTable table, String reason) {
-        Map<MemberId, Double> charge = new TreeMap<>();
+        Map<MemberId, Double> charges = new TreeMap<>();
         for (MemberId m : table.weights().keySet()) {
-            charge.put(m, table.loadRatio(m) + table.share(m) / table.fairShare(m));
+            charges.put(m, table.loadRatio(m) + table.share(m) / table.fairShare(m));
         }
         List<Integer> orphans = new ArrayList<>();
         for (int i = 0; i < table.entries().size(); i++) {
@@ -48,11 +48,12 @@
         }
         orphans.sort((a, b) -> Double.compare(cost(table, b), cost(table, a)));
         for (int index : orphans) {
-            Optional<MemberId> owner =
-                    charge.entrySet().stream().min(Map.Entry.comparingByValue()).map(Map.Entry::getKey);
+            Optional<MemberId> owner = charges.entrySet().stream()
+                    .min(Map.Entry.comparingByValue())
+                    .map(Map.Entry::getKey);
             if (owner.isPresent()) {
                 table.assign(index, owner.get(), reason);
-                charge.put(
+                charges.put(
                         owner.get(),
                         table.loadRatio(owner.get()) + table.share(owner.get()) / table.fairShare(owner.get()));
             }
@@ -60,8 +61,8 @@
     }
 
     private static double cost(WorkingTable table, int index) {
-        WorkingTable.Entry slot = table.entries().get(index);
-        double loadPart = table.totalLoad() > 0 ? slot.load().perSecond() / table.totalLoad() : 0;
-        return loadPart + slot.range().share();
+        WorkingTable.Entry entry = table.entries().get(index);
+        double loadPart = table.totalLoad() > 0 ? entry.load().perSecond() / table.totalLoad() : 0;
+        return loadPart + entry.range().share();
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
@@ -49,17 +49,23 @@
         weights = ServerWeights.of(input);
         totalWeight = weights.values().stream().mapToDouble(Double::doubleValue).sum();
         AssignmentTable table = input.table();
-        List<RangeLoads.Load> reported = RangeLoads.of(table, input.loads());
-        double sum = reported.stream().mapToDouble(RangeLoads.Load::perSecond).sum();
-        reportedLoad = sum;
+        List<RangeLoads.Load> reported = RangeLoads.loadsOf(table, input.loads());
+        double totalReportedLoad =
+                reported.stream().mapToDouble(RangeLoads.Load::perSecond).sum();
+        reportedLoad = totalReportedLoad;
         for (int i = 0; i < reported.size(); i++) {
-            RangeAssignment a = table.assignments().get(i);
-            RangeLoads.Load load = sum >= IDLE_TOTAL_PER_SECOND
+            RangeAssignment assignment = table.assignments().get(i);
+            RangeLoads.Load load = totalReportedLoad >= IDLE_TOTAL_PER_SECOND
                     ? reported.get(i)
-                    : new RangeLoads.Load(a.range().share(), List.of());
-            Entry slot = new Entry(a.range(), a.owner(), load, a.previousOwners().isEmpty(), KEPT);
-            entries.add(slot);
-            addToTotals(slot, 1);
+                    : new RangeLoads.Load(assignment.range().share(), List.of());
+            Entry entry = new Entry(
+                    assignment.range(),
+                    assignment.owner(),
+                    load,
+                    assignment.previousOwners().isEmpty(),
+                    KEPT);
+            entries.add(entry);
+            addToTotals(entry, 1);
             totalLoad += load.perSecond();
         }
     }
@@ -104,51 +110,52 @@
     }
 
     double loadRatio(MemberId member, double load) {
-        double fair = fairLoad(member);
-        return fair <= 0 ? 0 : load / fair;
+        double fairLoad = fairLoad(member);
+        return fairLoad <= 0 ? 0 : load / fairLoad;
     }
 
     void assign(int index, MemberId owner, String reason) {
         Entry old = entries.get(index);
         addToTotals(old, -1);
-        Entry slot = new Entry(old.range(), owner, old.load(), false, reason);
-        entries.set(index, slot);
-        addToTotals(slot, 1);
+        Entry entry = new Entry(old.range(), owner, old.load(), false, reason);
+        entries.set(index, entry);
+        addToTotals(entry, 1);
     }
 
     /** Replaces a slot by parts of it with the same owner; returns the index of the first part. */
     int split(int index, List<KeyRange> parts) {
         Entry old = entries.remove(index);
-        int at = index;
+        int insertIndex = index;
         for (KeyRange part : parts) {
             entries.add(
-                    at++, new Entry(part, old.owner(), old.load().partOf(old.range(), part), old.stable(), old.reason()));
+                    insertIndex++,
+                    new Entry(part, old.owner(), old.load().partOf(old.range(), part), old.stable(), old.reason()));
         }
         return index;
     }
 
     /** Joins a slot with the next one, which has the same owner. */
     void mergeWithNext(int index) {
-        Entry a = entries.get(index);
+        Entry assignment = entries.get(index);
         Entry b = entries.remove(index + 1);
         entries.set(
                 index,
                 new Entry(
-                        KeyRanges.join(a.range(), b.range()),
-                        a.owner(),
-                        a.load().plus(b.load()),
+                        KeyRanges.join(assignment.range(), b.range()),
+                        assignment.owner(),
+                        assignment.load().plus(b.load()),
                         true,
-                        a.reason()));
+                        assignment.reason()));
     }
 
     List<PlacedRange> toPlacedRanges() {
         return entries.stream()
-                .map(s -> new PlacedRange(s.range(), s.owner(), s.reason()))
+                .map(entry -> new PlacedRange(entry.range(), entry.owner(), entry.reason()))
                 .toList();
     }
 
-    private void addToTotals(Entry slot, int sign) {
-        loads.merge(slot.owner(), sign * slot.load().perSecond(), Double::sum);
-        shares.merge(slot.owner(), sign * slot.range().share(), Double::sum);
+    private void addToTotals(Entry entry, int sign) {
+        loads.merge(entry.owner(), sign * entry.load().perSecond(), Double::sum);
+        shares.merge(entry.owner(), sign * entry.range().share(), Double::sum);
     }
 }
