--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -209,7 +209,7 @@
             if (!isDead(daemon)) {
                 replace(daemon, action.range(), new Served(action.range(), action.fence(), true));
             }
-            daemon.state.acquired(action);
+            daemon.state.acquireCompleted(action);
         });
     }
 
@@ -219,7 +219,7 @@
             return;
         }
         replace(daemon, release.range(), null);
-        daemon.state.releasedRecords(release, TransferredRecords.NONE, nowMs);
+        daemon.state.releaseCompleted(release, TransferredRecords.NONE, nowMs);
     }
 
     private static void replace(Daemon daemon, KeyRange range, Served served) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -53,12 +53,12 @@
         state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
         assertThat(acquire.transferred()).isEqualTo(TransferredRecords.NEVER_OWNED);
-        state.acquired(acquire);
+        state.acquireCompleted(acquire);
     }
 
     private void finishRelease(KeyRange range) {
         assertThat(poll()).containsExactly(new OwnershipAction.Release(range));
-        state.releasedRecords(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
+        state.releaseCompleted(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
     }
 
     /** Guards against an old table that makes a daemon serve a range again which it released to a newer owner. */
@@ -116,7 +116,7 @@
         assertThat(poll()).isEmpty();
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000))
                 .isEmpty();
-        state.acquired(acquire);
+        state.acquireCompleted(acquire);
         assertThat(poll()).containsExactly(new OwnershipAction.Release(KeyRange.ALL));
     }
 
@@ -215,9 +215,9 @@
     private static void perform(OwnershipState state, long nowMs) {
         for (OwnershipAction action : state.poll(nowMs, member -> false)) {
             if (action instanceof OwnershipAction.Acquire acquire) {
-                state.acquired(acquire);
+                state.acquireCompleted(acquire);
             } else if (action instanceof OwnershipAction.Release release) {
-                state.releasedRecords(release, TransferredRecords.NONE, nowMs);
+                state.releaseCompleted(release, TransferredRecords.NONE, nowMs);
             }
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
@@ -11,9 +11,15 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * The parts of the daemon that placement works with. Immutable; all parts are thread safe.
+ * The components of the daemon that the planner and range ownership depend on. Immutable; all components are thread
+ * safe.
  *
- * @param executors makes the duties that placement runs on
+ * @param self member id of this daemon
+ * @param view current configuration, members and assignment tables
+ * @param peers sends messages to other daemons
+ * @param handlers registry of the handlers for messages from other daemons
+ * @param decisionLog log of placement decisions and of acquired and released ranges
+ * @param executors creates the serial executors of the planner and of range ownership
  */
 public record PlacementContext(
         MemberId self,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -47,17 +47,22 @@
 import org.coriandercrank.placement.internal.TableWriter;
 
 /**
- * Holds the planner role when it is free, and then places the ranges of every keyed service.
+ * Competes for the planner role and, while this daemon holds it, assigns the key ranges of every keyed service.
  *
- * <p>Thread safe. All state is touched only on the duty thread {@code planner}. Any number of planners may run at once:
- * each table is written only by a conditional write on the revision that the decision was made on.
+ * <p>Thread safe: all state is confined to the serial executor {@code planner}. Several planners may be active at the
+ * same time, because each table is written only if the stored table still has the revision that the decision is based
+ * on.
  */
 public final class Planner implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int TASK_QUEUE_CAPACITY = 16_384;
+    private static final int TASK_QUEUE_CAPACITY = 16_384; // tasks
     private static final long ENQUEUE_RETRY_MS = 1;
     private static final long TABLE_WRITE_RETRY_MS = 200;
+
+    /** Planning runs again after the load query interval divided by this number, when load reports have arrived. */
     private static final long LOAD_REPORT_WAIT_DIVISOR = 4;
+
+    /** Load of the most loaded server in percent of its fair load. */
     private static final long IMBALANCE_TARGET_PERCENT = 125;
 
     private final PlacementContext context;
@@ -73,7 +78,10 @@
     private final PlacementMeters meters;
     private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceParameters.AVAILABILITY);
     private final Map<ServiceName, ServicePlanningState> serviceStates = new HashMap<>();
+
+    /** Incremented with each snapshot and each round of load reports. */
     private final AtomicLong inputVersion = new AtomicLong();
+
     private TimerService.Subscription tickTimer = () -> {};
     private TimerService.Subscription loadQueryTimer = () -> {};
 
@@ -98,12 +106,12 @@
         meters = new PlacementMeters(context.meters());
     }
 
-    /** Whether this daemon held the planner role at its latest step. */
+    /** Whether this daemon held the planner role when it last checked. */
     public boolean holdsRole() {
         return holdsRole;
     }
 
-    /** Begins to compete for the role; called once, after the handlers of this daemon are registered. */
+    /** Starts to compete for the planner role. Call once, after the peer handlers of this daemon are registered. */
     public void start() {
         context.view().subscribe(snapshot -> {
             inputVersion.incrementAndGet();
@@ -114,8 +122,9 @@
     }
 
     /**
-     * Sends a table to the members that get ranges by it, so that they ask for them before other daemons send requests
-     * there. A lost message costs no more than the time of dissemination.
+     * Sends a new table to the members that it assigns ranges to, so that they request the release of these ranges
+     * before other daemons route requests to them. If the message is lost, the member receives the table a little later
+     * by normal dissemination.
      */
     private void sendToNewOwners(AssignmentTable table, StoredObject object) {
         RoutingSnapshot snapshot = context.view().current();
@@ -128,7 +137,7 @@
                 .forEach(owner -> context.peers().send(PeerTarget.of(owner), data));
     }
 
-    /** Stops renewing the role, so that another daemon takes it after {@link PlannerOptions#roleTimeoutMs}. */
+    /** Stops renewing the planner role; another daemon takes it over after {@link PlannerOptions#roleTimeoutMs}. */
     @Override
     public void close() {
         tickTimer.cancel();
@@ -136,6 +145,7 @@
         executor.close();
     }
 
+    /** Queues a task that must not be lost, and retries while the task queue is full. */
     private void enqueue(Runnable task) {
         if (!executor.offer(task)) {
             context.timers().once(ENQUEUE_RETRY_MS, executor, task);
@@ -249,7 +259,10 @@
         planIfRoleHeld();
     }
 
-    /** Decides again on the table read from the store, with the facts that the decision must not have wrong. */
+    /**
+     * Decides on the table that was just read from the store. A decision that must not rest on an outdated snapshot is
+     * also checked against the members or the configuration in the store.
+     */
     private CompletableFuture<Optional<TablePlanner.Decision>> decideOnStoredTable(
             ServicePlanningState state, AssignmentTable table) {
         RoutingSnapshot snapshot = context.view().current();
@@ -274,7 +287,7 @@
         return CompletableFuture.completedFuture(decision);
     }
 
-    /** The snapshot may be older than a note that added the service again, so the store is asked. */
+    /** Checks the stored configuration, because the snapshot may be older than a change that added the service again. */
     private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> storedConfiguration) {
         return storedConfiguration
                 .map(object -> JsonCodec.decode(object.value(), Configuration.class))
@@ -285,7 +298,7 @@
                 .orElse(false);
     }
 
-    /** Members that the snapshot lacks may still hold ranges of the table before the withdrawal. */
+    /** Adds the stored members that the snapshot lacks; they may still hold ranges from before the withdrawal. */
     private static TablePlanner.View withStoredMembers(TablePlanner.View view, List<Member> storedMembers) {
         Map<MemberId, Member> members = new HashMap<>(view.members());
         storedMembers.forEach(m -> members.putIfAbsent(m.id(), m));
@@ -321,9 +334,9 @@
     private TablePlanner.View serviceView(RoutingSnapshot snapshot, ServicePlanningState state, AssignmentTable table) {
         Map<MemberId, Member> members = new HashMap<>(memberLookup.foundMembers());
         Set<MemberId> removed = new HashSet<>(memberLookup.removedMembers());
-        snapshot.members().forEach((id, known) -> {
-            members.put(id, known.member());
-            if (known.member().state() == MemberState.SEALED) {
+        snapshot.members().forEach((id, versioned) -> {
+            members.put(id, versioned.member());
+            if (versioned.member().state() == MemberState.SEALED) {
                 removed.add(id);
             }
         });
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -35,20 +35,21 @@
 import org.coriandercrank.placement.internal.OwnershipState;
 
 /**
- * Makes the owner gate serve exactly the ranges that the tables assign to this daemon.
+ * Makes the owner gate serve exactly the ranges that the assignment tables assign to this daemon.
  *
- * <p>Thread safe. All state is touched only on the duty thread {@code ownership}. A range is acquired only after each
- * previous owner has released it or is sealed; a range that is taken away, or that its new owner asks for, is released
- * first and never acquired again from an older table.
+ * <p>Thread safe: all state is confined to the serial executor {@code ownership}. A range is acquired only after each
+ * previous owner has released it or is sealed. A range that a table assigns to another member, or whose release another
+ * member requests, is released; it is not acquired again on the basis of an older table.
  *
- * <p>A previous owner without a record in the snapshot is looked up in the store, because the snapshot may hold a table
- * that is newer than its members; it counts as sealed only if the store has no record either.
+ * <p>A previous owner without a record in the snapshot is looked up in the store, because the tables of a snapshot may
+ * be newer than its members. Such an owner counts as sealed only if its record in the store is sealed or missing.
  */
 public final class RangeOwnership implements AutoCloseable {
+    /** A release request from another member that waits for the release of its range. */
     private record WaitingRequest(ReleaseRequest request, CompletableFuture<ReleaseAnswer> answer) {}
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int TASK_QUEUE_CAPACITY = 8_192;
+    private static final int TASK_QUEUE_CAPACITY = 8_192; // tasks
     private static final int MAX_SERVICES = 1_024;
     private static final int MAX_WAITING_REQUESTS = 16_384;
     private static final long ENQUEUE_RETRY_MS = 1;
@@ -79,7 +80,7 @@
         failedGateCalls = context.meters().counter("crank.ownership.gate.failures");
     }
 
-    /** Registers the handlers and begins to follow the tables; called once. */
+    /** Registers the peer handlers and starts to apply new assignment tables. Call once. */
     public void start() {
         context.handlers().register(ReleaseRequest.class, releaseHandler);
         context.handlers().register(LoadQuery.class, loadHandler);
@@ -88,7 +89,7 @@
         enqueue(this::applySnapshot);
     }
 
-    /** Releases every range and acquires none any more; for a daemon that found itself sealed. */
+    /** Releases every range and acquires none from now on. Call when the record of this daemon is found to be sealed. */
     public void seal() {
         enqueue(() -> {
             sealed = true;
@@ -97,7 +98,7 @@
         });
     }
 
-    /** Stops following the tables; ranges already served stay with the gate. */
+    /** Stops applying assignment tables; the gate goes on serving the ranges that it has acquired. */
     @Override
     public void close() {
         context.handlers().unregister(ReleaseRequest.class, releaseHandler);
@@ -106,7 +107,7 @@
         executor.close();
     }
 
-    /** Queues a task that must not be lost, also while the ring is full. */
+    /** Queues a task that must not be lost, and retries while the task queue is full. */
     private void enqueue(Runnable task) {
         if (!executor.offer(task)) {
             context.timers().once(ENQUEUE_RETRY_MS, executor, task);
@@ -159,7 +160,7 @@
     private void performActions() {
         RoutingSnapshot snapshot = context.view().current();
         Predicate<MemberId> isSealed =
-                candidateId -> snapshot.member(candidateId).map(Member::state).orElse(null) == MemberState.SEALED;
+                id -> snapshot.member(id).map(Member::state).orElse(null) == MemberState.SEALED;
         states.forEach((service, state) -> {
             for (OwnershipAction action : state.poll(nowMs(), isSealed)) {
                 perform(service, state, action);
@@ -173,8 +174,8 @@
             acquire(service, state, acquire);
         } else if (action instanceof OwnershipAction.Release release) {
             release(service, state, release);
-        } else if (action instanceof OwnershipAction.RequestRelease ask) {
-            requestRelease(service, state, ask);
+        } else if (action instanceof OwnershipAction.RequestRelease request) {
+            requestRelease(service, state, request);
         }
     }
 
@@ -187,7 +188,7 @@
                 .whenComplete((ignored, failure) -> enqueue(() -> {
                     if (failure == null) {
                         acquiredRanges.increment();
-                        state.acquired(action);
+                        state.acquireCompleted(action);
                         context.decisionLog()
                                 .log(() -> String.format(
                                         "event=range-acquired service=%s range=%s fence=%s records=%d",
@@ -208,7 +209,7 @@
                 .whenComplete((records, failure) -> enqueue(() -> {
                     if (failure == null) {
                         releasedRanges.increment();
-                        state.releasedRecords(action, records, nowMs());
+                        state.releaseCompleted(action, records, nowMs());
                         context.decisionLog()
                                 .log(() -> String.format(
                                         "event=range-released service=%s range=%s records=%d",
@@ -232,9 +233,9 @@
     }
 
     private void requestRelease(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action) {
-        Optional<Member> existing = context.view().current().member(action.previousOwner());
-        if (existing.isPresent()) {
-            sendReleaseRequest(service, state, action, existing.get());
+        Optional<Member> previousOwner = context.view().current().member(action.previousOwner());
+        if (previousOwner.isPresent()) {
+            sendReleaseRequest(service, state, action, previousOwner.get());
             return;
         }
         context.store()
@@ -254,7 +255,7 @@
             return;
         }
         Optional<Member> member = found.map(object -> JsonCodec.decode(object.value(), Member.class))
-                .filter(candidateId -> candidateId.state() != MemberState.SEALED);
+                .filter(stored -> stored.state() != MemberState.SEALED);
         if (member.isPresent()) {
             sendReleaseRequest(service, state, action, member.get());
         } else {
@@ -285,8 +286,8 @@
 
     private CompletableFuture<ReleaseAnswer> onReleaseRequest(MemberId sender, ReleaseRequest request) {
         if (!sender.equals(request.requester())) {
-            return CompletableFuture.failedFuture(
-                    new CrankException(ResultCode.WRONG_MEMBER, "release request of " + request.requester()));
+            return CompletableFuture.failedFuture(new CrankException(
+                    ResultCode.WRONG_MEMBER, "release request was not sent by its requester " + request.requester()));
         }
         CompletableFuture<ReleaseAnswer> answer = new CompletableFuture<>();
         boolean queued = executor.offer(() -> {
@@ -299,7 +300,7 @@
             performActions();
             if (!answer.isDone()) {
                 performActions();
-                context.timers().once(options.maxAnswerDelayMs(), executor, () -> answerNotYet(answer));
+                context.timers().once(options.maxAnswerDelayMs(), executor, () -> answerNotReleased(answer));
             }
         });
         if (!queued) {
@@ -308,7 +309,7 @@
         return answer;
     }
 
-    private void answerNotYet(CompletableFuture<ReleaseAnswer> answer) {
+    private void answerNotReleased(CompletableFuture<ReleaseAnswer> answer) {
         waitingRequests.removeIf(waiting -> waiting.answer == answer);
         answer.complete(ReleaseAnswer.notReleased());
     }
@@ -323,7 +324,11 @@
         });
     }
 
-    /** Has a range revoked that a former process of this daemon granted and this one does not serve. */
+    /**
+     * Revokes a grant that an earlier process of this daemon may have left at the backend server.
+     *
+     * @return whether there may be such a grant; its release is then still running
+     */
     private boolean releaseStaleGrant(KeyRange range) {
         if (!gate.mayHoldEarlierGrant(range)) {
             return false;
@@ -339,9 +344,9 @@
                     .member(context.self())
                     .flatMap(Member::backend)
                     .map(BackendInfo::service)
-                    .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server yet"));
+                    .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server is attached yet"));
             OwnershipState state = findOrCreateState(service)
-                    .orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many services"));
+                    .orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many keyed services"));
             return new LoadReport(context.self(), service, state.appliedGeneration(), gate.loads());
         });
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
@@ -1,16 +1,17 @@
 package org.coriandercrank.placement;
 
 /**
- * Options of {@link RangeOwnership}. Immutable.
+ * Options of {@link RangeOwnership}; all times are in milliseconds. Immutable.
  *
- * @param releaseTimeoutMs time limit of one release request
- * @param minRetryDelayMs delay before a release request is repeated for the first time; doubled each time
+ * @param releaseTimeoutMs timeout of one release request
+ * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
  * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
- * @param releaseGraceMs how long a range that a table takes away is served until its new owner asks for it
- * @param maxAnswerDelayMs longest time that a release request from another member waits before it is answered as not yet
- *     released; less than {@code releaseTimeoutMs}
- * @param tickIntervalMs period of checks that need no event
- * @param maxRetainedRecords bound on outcome records kept for next owners, per service
+ * @param releaseGraceMs how long a range that a newer table assigns to another member stays served while that member
+ *     has not requested its release
+ * @param maxAnswerDelayMs how long a release request from another member waits for the release before it is answered as
+ *     not released; less than {@code releaseTimeoutMs}
+ * @param tickIntervalMs interval of periodic checks
+ * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges, per service
  */
 public record RangeOwnershipOptions(
         long releaseTimeoutMs,
@@ -20,8 +21,14 @@
         long maxAnswerDelayMs,
         long tickIntervalMs,
         int maxRetainedRecords) {
-    public static final RangeOwnershipOptions DEFAULTS =
-            new RangeOwnershipOptions(1_000, 10, 500, 500, 250, 250, 100_000);
+    public static final RangeOwnershipOptions DEFAULTS = new RangeOwnershipOptions(
+            /* releaseTimeoutMs= */ 1_000,
+            /* minRetryDelayMs= */ 10,
+            /* maxRetryDelayMs= */ 500,
+            /* releaseGraceMs= */ 500,
+            /* maxAnswerDelayMs= */ 250,
+            /* tickIntervalMs= */ 250,
+            /* maxRetainedRecords= */ 100_000);
 
     public RangeOwnershipOptions {
         if (releaseGraceMs < 0
@@ -29,10 +36,11 @@
                 || maxRetryDelayMs < minRetryDelayMs
                 || tickIntervalMs < 1
                 || maxRetainedRecords < 0) {
-            throw new IllegalArgumentException("retry delays and tick must be positive and ordered");
+            throw new IllegalArgumentException(
+                    "retry delays and tickIntervalMs must be positive and ordered, other options not negative");
         }
         if (maxAnswerDelayMs < 0 || maxAnswerDelayMs >= releaseTimeoutMs) {
-            throw new IllegalArgumentException("answerWaitMs must be less than releaseTimeoutMs");
+            throw new IllegalArgumentException("maxAnswerDelayMs must be less than releaseTimeoutMs");
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
@@ -5,12 +5,13 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A range that the gate serves, is about to serve or is giving up. Immutable.
+ * A range that the gate is acquiring, serving or releasing. Immutable.
  *
- * @param transferred records for the next attempt to acquire; empty once the range is served
+ * @param fence generation of the table under which the range is served
+ * @param transferred outcome records for the next attempt to acquire the range; empty once the range is served
  * @param served whether the gate has served the range under this fence
- * @param callPending whether the gate has not answered yet
- * @param retryAtMs monotonic time of the next call to the gate after a failure
+ * @param callPending whether a call to the gate is running
+ * @param retryAtMs monotonic time before which the gate is not called again after a failure
  */
 record HeldRange(
         KeyRange range,
@@ -20,6 +21,7 @@
         boolean served,
         boolean callPending,
         long retryAtMs) {
+    /** What the gate does or has to do with a held range. */
     enum Phase {
         ACQUIRING,
         SERVING,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
@@ -21,12 +21,13 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Latest load report of each member.
+ * Queries the members for load reports and keeps the latest report of each.
  *
- * <p>Not thread safe: used on the planner duty, to which answers are posted. A member that misses several rounds has no
- * report.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which answers are processed too. A report is
+ * discarded when its member has not answered for {@link #MAX_REPORT_AGE_ROUNDS} rounds.
  */
 public final class LoadCollector {
+    /** A report and the round of queries that it answers. */
     private record Received(LoadReport report, long round) {}
 
     private static final int MAX_REPORT_AGE_ROUNDS = 3;
@@ -48,12 +49,12 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** Asks every member that may own ranges. */
+    /** Starts a round: sends a load query to every member that may own ranges. */
     public void query(RoutingSnapshot snapshot) {
         round++;
         reports.values().removeIf(received -> round - received.round > MAX_REPORT_AGE_ROUNDS);
-        for (VersionedMember known : snapshot.members().values()) {
-            Member member = known.member();
+        for (VersionedMember versioned : snapshot.members().values()) {
+            Member member = versioned.member();
             boolean mayOwn = member.state() == MemberState.ACTIVE || member.state() == MemberState.LEAVING;
             if (mayOwn && member.backend().isPresent()) {
                 long queryRound = round;
@@ -66,7 +67,7 @@
         }
     }
 
-    /** An answer of an earlier round may arrive after that of a later one. */
+    /** Keeps a report unless a later round was answered before; answers may arrive out of order. */
     private void store(LoadReport report, long queryRound) {
         Received previous = reports.get(report.member());
         if (previous == null || previous.round < queryRound) {
@@ -82,12 +83,13 @@
         Optional<PeerHandler<LoadQuery>> handler = handlers.find(query);
         if (handler.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new CrankException(ResultCode.UNSUPPORTED_MESSAGE, "no handler for load queries"));
+                    new CrankException(ResultCode.UNSUPPORTED_MESSAGE, "no handler for load queries is registered"));
         }
         CompletableFuture<? extends Message> answer = handler.get().handle(self, query);
         return answer.thenApply(LoadReport.class::cast);
     }
 
+    /** A copy of the latest reports by member. */
     public Map<MemberId, LoadReport> reports() {
         Map<MemberId, LoadReport> latest = new HashMap<>();
         reports.forEach((member, received) -> latest.put(member, received.report));
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
@@ -10,10 +10,10 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Deletes the records of sealed members that no table has mentioned for a while.
+ * Deletes the records of sealed members that no table has referenced for a retention time.
  *
- * <p>Not thread safe. A record that is deleted although a newer table mentions it does no harm: only sealed records are
- * deleted, and a missing record counts as sealed.
+ * <p>Not thread safe. A deletion does no harm even if a newer table references the member: only sealed records are
+ * deleted, and a member without a record counts as sealed.
  */
 public final class MemberCleaner {
     private final ObjectStore store;
@@ -25,22 +25,22 @@
         this.retentionMs = retentionMs;
     }
 
-    /** Checks all members of a snapshot. */
+    /** Checks all members of a snapshot and deletes the records whose retention time has passed. */
     public void deleteExpired(RoutingSnapshot snapshot, long nowMs) {
         unreferencedSinceMs.keySet().removeIf(m -> !snapshot.members().containsKey(m));
-        snapshot.members().forEach((id, known) -> check(snapshot, id, known, nowMs));
+        snapshot.members().forEach((id, versioned) -> check(snapshot, id, versioned, nowMs));
     }
 
-    private void check(RoutingSnapshot snapshot, MemberId id, VersionedMember known, long nowMs) {
+    private void check(RoutingSnapshot snapshot, MemberId id, VersionedMember versioned, long nowMs) {
         boolean referenced = snapshot.tables().values().stream().anyMatch(t -> t.references(id));
-        if (known.member().state() != MemberState.SEALED || referenced) {
+        if (versioned.member().state() != MemberState.SEALED || referenced) {
             unreferencedSinceMs.remove(id);
             return;
         }
         Long since = unreferencedSinceMs.putIfAbsent(id, nowMs);
         if (since != null && nowMs - since >= retentionMs) {
             unreferencedSinceMs.put(id, nowMs);
-            store.delete(ObjectNames.member(id), known.revision());
+            store.delete(ObjectNames.member(id), versioned.revision());
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
@@ -19,10 +19,10 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Finds out in the store about members that a table mentions and a snapshot lacks.
+ * Looks up members in the store that a table references and a snapshot lacks, and caches the results.
  *
- * <p>Not thread safe: used on the planner duty, to which answers are posted. A member counts as gone only if the store
- * says that its record is sealed or does not exist.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too. A
+ * member counts as removed only if its record in the store is sealed or missing.
  */
 public final class MemberLookup {
     private static final int MAX_CACHED_MEMBERS = 10_000;
@@ -38,20 +38,22 @@
         this.enqueue = enqueue;
     }
 
+    /** Members whose record was found sealed or missing; a live view. */
     public Set<MemberId> removedMembers() {
         return removedMembers;
     }
 
-    /** Forgets the members found alive, which may have been sealed since. */
+    /** Clears the cache of members that were found unsealed, because they may have been sealed since. */
     public void clearFoundMembers() {
         foundMembers.clear();
     }
 
+    /** Members whose record was found and not sealed; a live view. */
     public Map<MemberId, Member> foundMembers() {
         return foundMembers;
     }
 
-    /** Whether every member that a table mentions is known; starts the lookup of those that are not. */
+    /** Whether every member that a table references is known; starts lookups of the members that are not. */
     public boolean resolveMissing(RoutingSnapshot snapshot, AssignmentTable table) {
         if (removedMembers.size() + foundMembers.size() > MAX_CACHED_MEMBERS) {
             removedMembers.clear();
@@ -79,16 +81,16 @@
     }
 
     private void lookupCompleted(MemberId id, Optional<StoredObject> object) {
-        Optional<Member> alive =
+        Optional<Member> unsealed =
                 object.map(o -> JsonCodec.decode(o.value(), Member.class)).filter(m -> m.state() != MemberState.SEALED);
-        if (alive.isPresent()) {
-            foundMembers.put(id, alive.get());
+        if (unsealed.isPresent()) {
+            foundMembers.put(id, unsealed.get());
         } else {
             removedMembers.add(id);
         }
     }
 
-    /** All members in the store. */
+    /** Reads all members in the store. */
     public CompletableFuture<List<Member>> listMembers() {
         return store.list(ObjectNames.MEMBERS_PREFIX)
                 .thenApply(batch -> batch.changes().stream()
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -10,12 +10,19 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
 
-/** Finds the move with the best gain for its cost. Stateless and thread safe. */
+/**
+ * Finds the move of a range, or of a part of it, with the best gain for its cost. The static methods keep no state and are
+ * thread safe.
+ */
 final class MoveSearch {
     /**
-     * A slot, the parts to split it into and the part that moves. Immutable.
+     * The move of an entry, or of a part of it. Immutable.
      *
-     * @param score gain less cost, in units of load over fair load
+     * @param parts the ranges that the entry is split into; the range of the entry itself if the entry moves as a whole
+     * @param movedPartIndex index of the part that moves
+     * @param score the move with the highest score is the best; for moves from an overloaded server this is the gain less
+     *     the cost, in units of load over fair load
+     * @param isHotHash whether the part that moves is a single hash with a high load
      */
     record Move(
             int entryIndex,
@@ -29,8 +36,13 @@
         }
     }
 
+    /** Least reduction of the higher load of source and target, in units of load over fair load. */
     private static final double MIN_GAIN = 0.03;
+
+    /** Largest fraction of a range that is split off, so that a part of the range remains. */
     private static final double MAX_SPLIT_FRACTION = 0.9;
+
+    /** Load over fair load that a server may reach when it gets more hash space. */
     private static final double MAX_FILLED_LOAD_RATIO = 1.0;
 
     private final WorkingTable table;
@@ -48,7 +60,11 @@
         this.maySplit = TableCompaction.maySplit(table);
     }
 
-    /** The best move that takes load off a server. */
+    /**
+     * Finds the best move from an overloaded server to the least loaded other server.
+     *
+     * @param mayMove whether a server may take part in another move
+     */
     static Optional<Move> findMoveFrom(
             WorkingTable table, MemberId source, RebalanceParameters parameters, Predicate<MemberId> mayMove) {
         return table.weights().keySet().stream()
@@ -67,6 +83,7 @@
         return candidates.stream().max(Comparator.comparingDouble(Move::score));
     }
 
+    /** Adds the moves of the whole entry, of each of its hot hashes, and of a part with about the load to be moved. */
     private void addMovesOf(int index, WorkingTable.Entry entry) {
         addIfWorthwhile(index, List.of(entry.range()), 0, entry.load().perSecond(), false);
         if (!maySplit || KeyRanges.isSingleHash(entry.range())) {
@@ -93,6 +110,7 @@
         }
     }
 
+    /** Adds a move if it reduces the higher load ratio of source and target by at least the required gain. */
     private void addIfWorthwhile(int index, List<KeyRange> parts, int moved, double load, boolean hot) {
         double before = Math.max(table.loadRatio(source), table.loadRatio(target));
         double after = Math.max(
@@ -106,7 +124,12 @@
         }
     }
 
-    /** A piece of hash space for a server that has little, from the server that can best spare it. */
+    /**
+     * Finds the best move of hash space to a server that has less than its fair share, from a server that has more than its
+     * fair share. The size of the moved hash space and the load of its owner determine the score.
+     *
+     * @param mayMove whether a server may take part in another move
+     */
     static Optional<Move> findMoveTo(WorkingTable table, MemberId target, Predicate<MemberId> mayMove) {
         double missingShare = table.fairShare(target) - table.share(target);
         double loadRoom = table.fairLoad(target) * MAX_FILLED_LOAD_RATIO - table.load(target);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipAction.java
@@ -5,14 +5,14 @@
 import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.KeyRange;
 
-/** What the driver of an {@link OwnershipState} has to do next. Immutable. */
+/** An action that an {@link OwnershipState} asks its caller to perform. Implementations are immutable. */
 public sealed interface OwnershipAction {
-    /** Call the gate to acquire a range and report the result. */
+    /** Acquire a range at the gate, and report the result to the state. */
     record Acquire(KeyRange range, Generation fence, TransferredRecords transferred) implements OwnershipAction {}
 
-    /** Call the gate to release a range and report the result. */
+    /** Release a range at the gate, and report the result to the state. */
     record Release(KeyRange range) implements OwnershipAction {}
 
-    /** Ask a previous owner to release a range and report the answer. */
+    /** Send a release request to a previous owner of a range, and report the answer to the state. */
     record RequestRelease(KeyRange range, Generation fence, MemberId previousOwner) implements OwnershipAction {}
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -22,28 +22,31 @@
 import org.coriandercrank.placement.internal.HeldRange.Phase;
 
 /**
- * State machine of the ranges of one service at one daemon.
+ * State machine for the ranges of one service at one daemon.
  *
- * <p>Not thread safe and without I/O: the caller reports events, then takes the actions from {@link #poll}. Invariants:
+ * <p>Not thread safe. It performs no I/O: the caller reports events, gets the actions to perform from {@link #poll} and
+ * reports their results. Invariants:
  *
  * <ul>
- *   <li>The applied table never gets older.
- *   <li>Holdings do not overlap, so nothing is acquired twice.
- *   <li>A release request newer than the table sets a barrier: no hash in it is acquired before the table has at least
- *       the generation of the request.
- *   <li>A request is answered as released only if no holding overlaps it and the table, if it is as new as the request,
- *       does not assign any of it to this daemon.
- *   <li>A daemon that keeps a hash across a newer assignment to itself without previous owners goes on serving it under
- *       its old fence; nobody else can have served it in between.
+ *   <li>The generation of the applied table never decreases.
+ *   <li>Held ranges do not overlap, so no hash is acquired twice.
+ *   <li>A release request with a newer generation than the table sets a barrier on its range: no hash of the range is
+ *       acquired before a table with at least that generation is applied.
+ *   <li>A release request is answered as released only if no held range overlaps the requested range. If the table is at
+ *       least as new as the request, it must also not assign any part of the requested range to this daemon.
+ *   <li>If a newer table assigns a served hash to this daemon again and names no previous owners, the daemon goes on
+ *       serving the hash under its old fence, because no other member can have served it in between.
  * </ul>
  */
 public final class OwnershipState {
+    /** Prevents the hashes of a range from being acquired before a table has at least the generation. */
     private record Barrier(KeyRange range, Generation generation) {}
 
     /**
-     * A part of a served range that the table gives to another member, which has not asked for it yet.
+     * A part of a served range that the table assigns to another member, while that member has not requested its release.
      *
-     * @param untilMs when it is released without being asked for; {@link #NOT_SET} before the first poll
+     * @param untilMs monotonic time at which the part is released even without a request; {@link #NOT_SET} before the
+     *     first poll
      */
     private record DeferredRelease(KeyRange range, long untilMs) {
         static final long NOT_SET = Long.MIN_VALUE;
@@ -67,10 +70,14 @@
     private Map<PendingRange.Id, PendingRange> pending = new LinkedHashMap<>();
 
     /**
-     * A state without ranges.
+     * Creates a state that holds no ranges.
      *
-     * @param releaseGraceMs how long a range that the table gives to another member is served until that member asks for it;
-     *     the old owner often learns of a table before the new one, and the range would be served by nobody meanwhile
+     * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
+     * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
+     * @param releaseGraceMs how long a range that the table assigns to another member stays served while that member has
+     *     not requested its release. The old owner often receives a table before the new owner; if it released the range
+     *     immediately, no member would serve the range in between.
+     * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges
      */
     public OwnershipState(
             MemberId self,
@@ -87,7 +94,7 @@
         this.table = AssignmentTable.empty(service);
     }
 
-    /** Uses a table if it is newer than the one in use. */
+    /** Applies a table if it is newer than the current one. */
     public void applyTable(AssignmentTable newTable) {
         if (!newTable.generation().isNewerThan(table.generation())) {
             return;
@@ -101,7 +108,7 @@
         reconcile();
     }
 
-    /** Gives up every range for good. */
+    /** Makes this daemon release every range and acquire none from now on. */
     public void seal() {
         if (!sealed) {
             sealed = true;
@@ -109,19 +116,20 @@
         }
     }
 
-    /** Notes that the record of a member is certainly sealed or deleted. */
+    /** Reports that the stored record of a member is sealed or missing. */
     public void memberRemoved(MemberId member) {
         removedMembers.add(member);
     }
 
     /**
-     * Handles the request of a new owner.
+     * Handles a release request of the new owner of a range. While the release is running, the caller repeats the call
+     * until there is an answer.
      *
      * @return the answer, or empty while a release is still running
      */
     public Optional<ReleaseAnswer> handleReleaseRequest(ReleaseRequest request, long nowMs) {
         KeyRange range = request.range();
-        if (deferredReleases.removeIf(l -> l.range.overlaps(range))) {
+        if (deferredReleases.removeIf(d -> d.range.overlaps(range))) {
             reconcile();
         }
         if (request.generation().isNewerThan(table.generation())) {
@@ -143,8 +151,10 @@
     }
 
     /**
-     * Whether the barrier is news. Repeated requests replace each other; above the bound one barrier covers the hash space
-     * until the table is newer.
+     * Adds a barrier, in place of those that it covers. If there are more than {@link #MAX_BARRIERS}, one barrier on the
+     * whole hash space replaces them until a newer table is applied.
+     *
+     * @return whether the barrier was not covered by an existing one
      */
     private boolean addBarrier(Barrier barrier) {
         boolean covered = barriers.stream()
@@ -164,7 +174,7 @@
         return true;
     }
 
-    /** What has to be done now; each action is returned once until its result is reported. */
+    /** The actions to perform now. An action is not returned again before its result is reported. */
     public List<OwnershipAction> poll(long nowMs, Predicate<MemberId> isSealed) {
         Predicate<MemberId> isSealedOrRemoved = m -> removedMembers.contains(m) || isSealed.test(m);
         List<OwnershipAction> actions = new ArrayList<>();
@@ -192,7 +202,10 @@
         return actions;
     }
 
-    /** Serves what a planned move takes away until the new owner asks; the new owner cannot serve before that. */
+    /**
+     * Goes on serving the ranges that a planned move assigns to another member until that member requests their release;
+     * the new owner cannot serve them before that.
+     */
     private void deferReleases() {
         List<DeferredRelease> next = new ArrayList<>();
         List<RangeAssignment> movedAway = table.assignments().stream()
@@ -212,10 +225,10 @@
         deferredReleases = next;
     }
 
-    /** Keeps the time of a part that lingers already, so that a sequence of tables cannot extend it. */
+    /** Keeps the deadline of a part whose release is already deferred, so that a sequence of tables cannot extend it. */
     private long deferredUntilMs(KeyRange part) {
         return deferredReleases.stream()
-                .filter(l -> l.range.overlaps(part))
+                .filter(d -> d.range.overlaps(part))
                 .mapToLong(DeferredRelease::untilMs)
                 .min()
                 .orElse(DeferredRelease.NOT_SET);
@@ -223,8 +236,8 @@
 
     private void expireDeferredReleases(long nowMs) {
         deferredReleases.replaceAll(
-                l -> l.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(l.range, nowMs + releaseGraceMs) : l);
-        if (deferredReleases.removeIf(l -> nowMs >= l.untilMs)) {
+                d -> d.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(d.range, nowMs + releaseGraceMs) : d);
+        if (deferredReleases.removeIf(d -> nowMs >= d.untilMs)) {
             reconcile();
         }
     }
@@ -242,7 +255,7 @@
         }
     }
 
-    /** Reports the answer of a previous owner. */
+    /** Reports the answer of a previous owner to a release request. */
     public void releaseRequestAnswered(OwnershipAction.RequestRelease request, ReleaseAnswer answer, long nowMs) {
         if (!answer.released()) {
             releaseRequestFailed(request, nowMs);
@@ -252,7 +265,8 @@
     }
 
     /**
-     * Reports that a previous owner could not be asked, did not answer or has not released the range yet.
+     * Reports that a release request could not be sent, was not answered, or that the previous owner has not released the
+     * range yet.
      *
      * @return delay until the next attempt, in milliseconds
      */
@@ -270,18 +284,25 @@
                 .toList();
     }
 
-    public void acquired(OwnershipAction.Acquire action) {
+    /** Reports that the gate serves a range. */
+    public void acquireCompleted(OwnershipAction.Acquire action) {
         releasedRecords.remove(action.range());
         updateHeldRanges(action.range(), HeldRange::asServing);
         reconcileNeeded = true;
     }
 
+    /** Reports that the gate could not acquire a range; the call is repeated later. */
     public void acquireFailed(OwnershipAction.Acquire action, long nowMs) {
         updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
         reconcileNeeded = true;
     }
 
-    public void releasedRecords(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
+    /**
+     * Reports that the gate has released a range.
+     *
+     * @param records outcome records of the range, retained for its next owner
+     */
+    public void releaseCompleted(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
         for (HeldRange heldRange : List.copyOf(heldRanges)) {
             if (heldRange.range().equals(action.range())) {
                 heldRanges.remove(heldRange);
@@ -293,10 +314,12 @@
         reconcileNeeded = true;
     }
 
+    /** Reports that the gate could not release a range; the call is repeated later. */
     public void releaseFailed(OwnershipAction.Release action, long nowMs) {
         updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
     }
 
+    /** The generation up to which a release counts: that of the newest overlapping barrier, or of the table. */
     private Generation releaseGeneration(KeyRange range) {
         return barriers.stream()
                 .filter(b -> b.range.overlaps(range))
@@ -310,13 +333,14 @@
         heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
-    /** Results come in groups; what follows from them is worked out once before the next actions. */
+    /** Results are often reported in batches, so the state is reconciled once after a batch and not after each result. */
     private void reconcileIfNeeded() {
         if (reconcileNeeded) {
             reconcile();
         }
     }
 
+    /** Recomputes which parts of the held ranges are kept or released, and which ranges are pending. */
     private void reconcile() {
         reconcileNeeded = false;
         List<HeldRange> next = new ArrayList<>();
@@ -325,15 +349,15 @@
                 next.add(heldRange);
                 continue;
             }
-            List<KeyRange> allowed = retainedParts(heldRange);
-            allowed.forEach(part -> next.add(heldRange.withRange(part)));
-            KeyRanges.subtract(heldRange.range(), allowed).forEach(part -> next.add(heldRange.asReleasing(part)));
+            List<KeyRange> retained = retainedParts(heldRange);
+            retained.forEach(part -> next.add(heldRange.withRange(part)));
+            KeyRanges.subtract(heldRange.range(), retained).forEach(part -> next.add(heldRange.asReleasing(part)));
         }
         heldRanges = next;
         pending = findPending();
     }
 
-    /** What the table allows, and what lingers. */
+    /** The parts of a held range that the table allows this daemon to serve, and those whose release is deferred. */
     private List<KeyRange> retainedParts(HeldRange heldRange) {
         List<KeyRange> parts = new ArrayList<>(allowedParts(heldRange));
         if (sealed || heldRange.phase() != Phase.SERVING) {
@@ -350,7 +374,10 @@
         return parts;
     }
 
-    /** Only what overlaps is looked at closely: a service may have hundreds of ranges, and each event comes here. */
+    /**
+     * The parts of a held range that the table allows this daemon to serve. Only overlapping assignments are intersected,
+     * because a service may have hundreds of ranges and this method runs for every event.
+     */
     private List<KeyRange> allowedParts(HeldRange heldRange) {
         if (sealed) {
             return List.of();
@@ -360,10 +387,10 @@
             if (!assignment.range().overlaps(heldRange.range())) {
                 continue;
             }
-            boolean keeps = assignment.fence().equals(heldRange.fence())
+            boolean mayServe = assignment.fence().equals(heldRange.fence())
                     || (heldRange.phase() == Phase.SERVING
                             && assignment.previousOwners().isEmpty());
-            if (keeps) {
+            if (mayServe) {
                 KeyRanges.intersect(assignment.range(), heldRange.range())
                         .ifPresent(common -> parts.addAll(KeyRanges.subtract(common, barriersIn(common))));
             }
@@ -381,6 +408,7 @@
         return overlapping;
     }
 
+    /** The assigned ranges that this daemon does not hold yet; known pending ranges keep the answers received so far. */
     private Map<PendingRange.Id, PendingRange> findPending() {
         Map<PendingRange.Id, PendingRange> next = new LinkedHashMap<>();
         if (sealed) {
@@ -405,8 +433,8 @@
     }
 
     /**
-     * The generation of the table if nothing that it takes from this daemon is still held, else {@link
-     * Generation#NONE}.
+     * The generation of the table, or {@link Generation#NONE} while this daemon still holds a range that the table does
+     * not assign to it.
      */
     public Generation appliedGeneration() {
         reconcileIfNeeded();
@@ -420,7 +448,7 @@
         return table;
     }
 
-    /** Whether the gate may hold, get or lose any range. */
+    /** Whether there are neither held nor pending ranges. */
     public boolean isIdle() {
         reconcileIfNeeded();
         return heldRanges.isEmpty() && pending.isEmpty();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
@@ -14,18 +14,20 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A range that is assigned to this daemon and waits for its previous owners. Not thread safe.
+ * A range that is assigned to this daemon but not acquired, because its previous owners may still serve it. Not thread
+ * safe.
  *
- * <p>It is ready only when each previous owner has released it or is sealed.
+ * <p>The range is ready to be acquired when each previous owner has released it or is sealed.
  */
 final class PendingRange {
-    /** What makes two pending ranges the same wait. Immutable. */
+    /** Identity of a pending range; answers received for it stay valid while the identity is the same. Immutable. */
     record Id(KeyRange range, Generation fence, List<MemberId> previousOwners) {
         Id {
             previousOwners = List.copyOf(previousOwners);
         }
     }
 
+    private static final int MAX_BACKOFF_DOUBLINGS = 16;
     private static final Generation FIRST_GENERATION = new Generation(1);
 
     private final Id id;
@@ -41,12 +43,15 @@
         return id;
     }
 
-    /** The previous owners to ask now; marks them as asked until an answer or failure is reported. */
-    List<MemberId> dueRequests(long nowMs, Predicate<MemberId> sealed) {
+    /**
+     * The previous owners to send a release request to now. They are not returned again until {@link #scheduleRetry} is
+     * called.
+     */
+    List<MemberId> dueRequests(long nowMs, Predicate<MemberId> isSealed) {
         List<MemberId> dueMembers = new ArrayList<>();
         for (MemberId member : id.previousOwners()) {
             if (!answers.containsKey(member)
-                    && !sealed.test(member)
+                    && !isSealed.test(member)
                     && nowMs >= nextRequestAtMs.getOrDefault(member, 0L)) {
                 nextRequestAtMs.put(member, Long.MAX_VALUE);
                 dueMembers.add(member);
@@ -55,26 +60,33 @@
         return dueMembers;
     }
 
+    /** Adds the answer of a previous owner that has released the range; the first answer counts. */
     void addAnswer(MemberId member, ReleaseAnswer answer) {
         answers.putIfAbsent(member, answer);
     }
 
-    long scheduleRetry(MemberId member, long nowMs, long minRetryMs, long maxRetryMs) {
+    /**
+     * Schedules another release request to a previous owner, with exponential backoff.
+     *
+     * @return delay until the request, in milliseconds
+     */
+    long scheduleRetry(MemberId member, long nowMs, long minRetryDelayMs, long maxRetryDelayMs) {
         int attempt = attempts.merge(member, 1, Integer::sum);
-        long delayMs = Math.min(maxRetryMs, minRetryMs << Math.min(attempt - 1, 16));
+        long delayMs = Math.min(maxRetryDelayMs, minRetryDelayMs << Math.min(attempt - 1, MAX_BACKOFF_DOUBLINGS));
         nextRequestAtMs.put(member, nowMs + delayMs);
         return delayMs;
     }
 
-    boolean isReady(Predicate<MemberId> sealed) {
-        return id.previousOwners().stream().allMatch(m -> answers.containsKey(m) || sealed.test(m));
+    boolean isReady(Predicate<MemberId> isSealed) {
+        return id.previousOwners().stream().allMatch(m -> answers.containsKey(m) || isSealed.test(m));
     }
 
     /**
-     * What the gate inherits: complete as far back as the last member that served the range says, and not at all if
-     * that member cannot be known.
+     * The outcome records that the gate receives with the range. They count as complete for the shortest period reported
+     * by a member that has served the range. They count as incomplete if no member reports this or if a previous owner
+     * did not answer, because the last member that served the range is then unknown.
      *
-     * @param ownAnswer records that this daemon itself kept of the range
+     * @param ownAnswer the records that this daemon itself retained for the range
      */
     TransferredRecords transferredRecords(ReleaseAnswer ownAnswer) {
         boolean neverServed =
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlacementMeters.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlacementMeters.java
@@ -24,10 +24,11 @@
         this.registry = registry;
     }
 
-    public void setRoleHeld(boolean holder) {
-        set("crank.planner.holder", Tags.empty(), holder ? 1 : 0);
+    public void setRoleHeld(boolean held) {
+        set("crank.planner.holder", Tags.empty(), held ? 1 : 0);
     }
 
+    /** Counts changes of owners by reason, and the share of the hash space that they move. */
     public void countChanges(ServiceName service, List<TableBuilder.Change> changes) {
         for (TableBuilder.Change change : changes) {
             Tags tags = Tags.of("service", service.value(), "reason", change.reason());
@@ -37,6 +38,7 @@
         }
     }
 
+    /** Records the number of ranges of a table and the highest load of a server over its fair load. */
     public void setTable(ServiceName service, AssignmentTable table, double imbalance) {
         Tags tags = Tags.of("service", service.value());
         set("crank.placement.ranges", tags, table.assignments().size());
@@ -44,9 +46,10 @@
     }
 
     /**
-     * Counts the share of hash space that no owner reported as served, over the time that the reports stand for.
+     * Records the share of the hash space that no owner reports as served, and adds it to the counter of unserved
+     * share-seconds.
      *
-     * @param elapsedSeconds time since the last call
+     * @param elapsedSeconds time since the previous call
      */
     public void recordUnserved(
             ServiceName service, AssignmentTable table, Map<MemberId, LoadReport> reports, double elapsedSeconds) {
@@ -56,21 +59,21 @@
         registry.counter("crank.placement.unserved.share.seconds", tags).increment(unserved * elapsedSeconds);
     }
 
-    /** Share of the hash space whose owner does not report that it serves it. */
+    /** The share of the hash space, 0 to 1, whose owner does not report that it serves it. */
     public static double unservedShare(AssignmentTable table, Map<MemberId, LoadReport> reports) {
         double served = 0;
-        for (RangeAssignment a : table.assignments()) {
-            LoadReport report = reports.get(a.owner());
+        for (RangeAssignment assignment : table.assignments()) {
+            LoadReport report = reports.get(assignment.owner());
             if (report == null) {
                 continue;
             }
             List<KeyRange> reported = report.ranges().stream()
                     .filter(RangeLoad::serving)
                     .map(RangeLoad::range)
-                    .filter(r -> r.overlaps(a.range()))
+                    .filter(r -> r.overlaps(assignment.range()))
                     .toList();
-            served += a.range().share();
-            for (KeyRange missing : KeyRanges.subtract(a.range(), reported)) {
+            served += assignment.range().share();
+            for (KeyRange missing : KeyRanges.subtract(assignment.range(), reported)) {
                 served -= missing.share();
             }
         }
@@ -79,9 +82,9 @@
 
     private void set(String name, Tags tags, double value) {
         gauges.computeIfAbsent(name + tags, key -> {
-                    AtomicReference<Double> holder = new AtomicReference<>(0.0);
-                    registry.gauge(name, tags, holder, AtomicReference::get);
-                    return holder;
+                    AtomicReference<Double> current = new AtomicReference<>(0.0);
+                    registry.gauge(name, tags, current, AtomicReference::get);
+                    return current;
                 })
                 .set(value);
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -5,14 +5,15 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Decides when this daemon reads, takes or renews the planner object.
+ * Leader election for the planner role: decides when this daemon reads the planner object, takes over the role or renews
+ * it.
  *
- * <p>Not thread safe, without I/O. The role only saves work: two daemons that both believe they hold it do no harm,
- * because every write of a planner is conditional. Daemons of low rank read the object often; the others read it
- * seldom, so that the reads at the store do not grow with the fleet.
+ * <p>Not thread safe; performs no I/O. The role only avoids duplicate work. Two daemons that both consider themselves
+ * the holder do no harm, because every write of a planner is conditional. The daemons with the lowest ranks read the
+ * object often and all others rarely, so that the load on the store does not grow with the number of daemons.
  */
 public final class PlannerElection {
-    /** What to do now. */
+    /** The store operation to perform next. */
     public enum Step {
         NONE,
         READ,
@@ -20,13 +21,14 @@
     }
 
     /**
-     * Delays in milliseconds. Immutable.
+     * Options of the election; all times are in milliseconds. Immutable.
      *
-     * @param renewIntervalMs period of renewal
-     * @param roleTimeoutMs time without renewal after which the role may be taken
-     * @param rankDelayMs additional time per rank
-     * @param slowReadIntervalMs period of reads by daemons whose rank is not below {@code readers}
-     * @param fastReaders number of daemons that read at the period of renewal
+     * @param renewIntervalMs interval at which the holder renews the role
+     * @param roleTimeoutMs time without a renewal after which another daemon may take over the role
+     * @param rankDelayMs additional time per rank that a daemon waits before it takes over the role
+     * @param slowReadIntervalMs interval at which daemons read the planner object if their rank is {@code fastReaders}
+     *     or higher
+     * @param fastReaders number of daemons that read the planner object every {@code renewIntervalMs}
      */
     public record Options(
             long renewIntervalMs, long roleTimeoutMs, long rankDelayMs, long slowReadIntervalMs, int fastReaders) {
@@ -36,7 +38,8 @@
                     || rankDelayMs < 0
                     || slowReadIntervalMs < renewIntervalMs
                     || fastReaders < 1) {
-                throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
+                throw new IllegalArgumentException(
+                        "roleTimeoutMs must exceed renewIntervalMs, and intervals and fastReaders must be positive");
             }
         }
     }
@@ -60,9 +63,12 @@
     }
 
     /**
+     * The store operation to perform now.
+     *
+     * @param nowMs monotonic time
      * @param eligible whether this daemon may hold the role
-     * @param rank position of this daemon among the candidates, 0 first
-     * @param holderLost whether the holder is known to be sealed or leaving
+     * @param rank position of this daemon among the candidates; 0 is the first to take over the role
+     * @param holderLost whether the current holder is sealed or leaving
      */
     public Step nextStep(long nowMs, boolean eligible, int rank, boolean holderLost) {
         if (callPending || !eligible) {
@@ -74,11 +80,14 @@
         if (recordKnown && mayTakeRole(nowMs, rank, holderLost)) {
             return Step.WRITE;
         }
-        long readPeriodMs = rank < options.fastReaders ? options.renewIntervalMs : options.slowReadIntervalMs;
-        return readAttempted && nowMs - lastReadAtMs < readPeriodMs ? Step.NONE : Step.READ;
+        long readIntervalMs = rank < options.fastReaders ? options.renewIntervalMs : options.slowReadIntervalMs;
+        return readAttempted && nowMs - lastReadAtMs < readIntervalMs ? Step.NONE : Step.READ;
     }
 
-    /** The read must be as fresh as a reader's, so that a change since then is rarely missed. */
+    /**
+     * Whether this daemon may take over the role. The last read must not be older than {@code renewIntervalMs}, so that a
+     * renewal since then is rarely missed.
+     */
     private boolean mayTakeRole(long nowMs, int rank, boolean holderLost) {
         if (nowMs - lastReadAtMs > options.renewIntervalMs) {
             return false;
@@ -89,6 +98,7 @@
                 || nowMs - unchangedSinceMs >= options.roleTimeoutMs + cappedRank * options.rankDelayMs;
     }
 
+    /** The holder of the role according to the last read or write. */
     public Optional<MemberId> holder() {
         return record.map(PlannerRecord::holder);
     }
@@ -97,6 +107,7 @@
         callPending = true;
     }
 
+    /** Reports the planner object that was read; empty if it does not exist. */
     public void readDone(Optional<PlannerRecord> storedRecord, Revision storedRevision, long nowMs) {
         callPending = false;
         readAttempted = true;
@@ -113,7 +124,7 @@
         }
     }
 
-    /** The next read keeps its period, so that an outage of the store does not multiply the reads. */
+    /** Reports a failed read. The next read waits for the usual interval, so that a store outage does not cause more reads. */
     public void callFailed(long nowMs) {
         callPending = false;
         readAttempted = true;
@@ -122,17 +133,23 @@
         recordKnown = false;
     }
 
-    /** Starts a write; the caller writes the record if the object still has {@link #revision()}. */
+    /**
+     * Starts a write that takes over or renews the role.
+     *
+     * @return the record, which the caller writes on condition that the stored object still has {@link #revision()}
+     */
     public PlannerRecord writeStarted(long nowMs) {
         callPending = true;
         writeStartedAtMs = nowMs;
         return new PlannerRecord(self, record.map(PlannerRecord::counter).orElse(0L) + 1);
     }
 
+    /** Revision of the planner object according to the last read or write. */
     public Revision revision() {
         return revision;
     }
 
+    /** Reports that a record was written, and the new revision of the planner object. */
     public void writeDone(PlannerRecord written, Revision newRevision) {
         callPending = false;
         holdsRole = true;
@@ -141,7 +158,10 @@
         renewedAtMs = writeStartedAtMs;
     }
 
-    /** Whether this daemon holds the role; false once the last renewal is so old that another may have taken it. */
+    /**
+     * Whether this daemon holds the role. It does not once {@code roleTimeoutMs} have passed since the last renewal, because
+     * another daemon may have taken over the role.
+     */
     public boolean isHolder(long nowMs) {
         return holdsRole && nowMs - renewedAtMs < options.roleTimeoutMs;
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -18,10 +18,10 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Takes and renews the planner object in the store.
+ * Takes over and renews the planner role by writing the planner object in the store.
  *
- * <p>Not thread safe: used on the planner duty, to which completions of the store are posted. A failed or unanswered
- * write is resolved by reading the object back.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too.
+ * After a failed or unanswered write the object is read back to find out whether the write took effect.
  */
 public final class PlannerRole {
     private final MemberId self;
@@ -45,11 +45,12 @@
         this.election = new PlannerElection(self, options);
     }
 
+    /** Whether this daemon holds the planner role now. */
     public boolean isHolder() {
         return election.isHolder(clock.nowMs());
     }
 
-    /** Does what is due; called at each tick. */
+    /** Performs the store operation that is due, if any. Called periodically and after each change of the snapshot. */
     public void update(RoutingSnapshot snapshot) {
         boolean eligible = snapshot.member(self).map(Member::state).orElse(null) == MemberState.ACTIVE;
         boolean holderLost = election.holder()
@@ -63,7 +64,10 @@
         }
     }
 
-    /** Position among the active members by a hash of the id, so that neighbours in one host group rank apart. */
+    /**
+     * Position of this daemon among the active members, ordered by a hash of their ids, so that neighbouring members of a
+     * host group do not get adjacent ranks.
+     */
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
                 .map(VersionedMember::member)
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeAlignment.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeAlignment.java
@@ -7,16 +7,18 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
 
-/** Makes ranges end only between keys, for services whose keys are told apart by some leading bits. Stateless. */
+/**
+ * Aligns range boundaries with key boundaries, for services whose keys differ only in the leading bits of the hash.
+ * Stateless and thread safe.
+ */
 public final class RangeAlignment {
     private RangeAlignment() {}
 
     /**
-     * Moves each boundary up to the next position at which the leading bits change; ranges that become empty are left
-     * out.
+     * Moves each boundary up to the next position at which the leading bits change, and omits ranges that become empty.
      *
      * @param ranges consecutive ranges
-     * @param keyBits leading bits that tell keys apart, 1 to 64
+     * @param keyBits number of leading bits that distinguish keys, 1 to 64
      */
     public static List<PlacedRange> align(List<PlacedRange> ranges, int keyBits) {
         long step = keyBits == Long.SIZE ? 1 : 1L << (Long.SIZE - keyBits);
@@ -35,7 +37,7 @@
         return aligned;
     }
 
-    /** The first multiple of a power of two that is not below a hash; 0 if there is none. */
+    /** The smallest multiple of {@code step}, a power of two, that is not below a hash; 0 if there is none. */
     private static KeyHash roundUp(KeyHash hash, long step) {
         return new KeyHash((hash.value() + step - 1) & -step);
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -13,13 +13,16 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Load of the ranges of a table, from reports whose ranges may be those of an older table. Stateless and thread safe.
+ * Computes the load of the ranges of a table from load reports, whose ranges may be those of an older table. Stateless
+ * and thread safe.
  */
 public final class RangeLoads {
     /**
      * Load of a range. Immutable.
      *
-     * @param evenPerSecond requests per second without the hot hashes, taken as evenly spread
+     * @param evenPerSecond requests per second except those of the hot hashes, assumed to be evenly distributed over the
+     *     range
+     * @param hotHashes the hashes with the highest rates
      */
     public record Load(double evenPerSecond, List<HotHash> hotHashes) {
         static final Load NONE = new Load(0, List.of());
@@ -28,15 +31,16 @@
             hotHashes = List.copyOf(hotHashes);
         }
 
+        /** The load in requests per second, including the hot hashes. */
         public double perSecond() {
             double sum = evenPerSecond;
-            for (HotHash h : hotHashes) {
-                sum += h.requestsPerSecond();
+            for (HotHash hotHash : hotHashes) {
+                sum += hotHash.requestsPerSecond();
             }
             return sum;
         }
 
-        /** The load of a part of the range that has this load. */
+        /** The load of a part of a range, where {@code whole} has this load. */
         Load partOf(KeyRange whole, KeyRange part) {
             double fraction = Math.min(1, part.share() / whole.share());
             return new Load(
@@ -53,6 +57,10 @@
 
     private RangeLoads() {}
 
+    /**
+     * The load of each assignment of a table. If the owner of a range reports no load for it and the range has previous
+     * owners, the reports of all members are used.
+     */
     static List<Load> loadsOf(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
         List<RangeLoad> all = reports.values().stream().flatMap(List::stream).toList();
         List<Load> loads = new ArrayList<>(table.assignments().size());
@@ -66,6 +74,7 @@
         return loads;
     }
 
+    /** The reported load of a range, in proportion to the overlap with the reported ranges. */
     private static Load loadOf(KeyRange range, List<RangeLoad> reported) {
         Load sum = Load.NONE;
         for (RangeLoad load : reported) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalanceParameters.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalanceParameters.java
@@ -1,18 +1,19 @@
 package org.coriandercrank.placement.internal;
 
 /**
- * Parameters of a {@link RebalancePolicy}. Immutable. Marks are loads over the fair load of a server.
+ * Parameters of a {@link RebalancePolicy}. Watermarks are the load of a server over its fair load. Immutable.
  *
- * @param highWatermark load above which the policy acts
- * @param lowWatermark load below which it stops acting
- * @param minIntervalMs least time between load-driven changes
- * @param minImbalanceDurationMs how long the imbalance must have been above the target before the policy acts
- * @param maxMoves bound on the load-driven moves of one decision
- * @param maxMovesPerServer bound on the simultaneous moves to or from one server
- * @param fillThreshold share of hash space over the fair share below which a server gets more of it
- * @param shareCost cost of moving the hash space of one server's fair share, in units of the marks
- * @param moveCost cost of one move, in units of the marks
- * @param minGainFraction least gain of a move, as part of the distance from the low mark
+ * @param highWatermark load of the most loaded server above which the policy moves load
+ * @param lowWatermark load of the most loaded server at or below which the policy stops moving load
+ * @param minIntervalMs least time between changes that balance load or hash space, in milliseconds
+ * @param minImbalanceDurationMs how long the imbalance must have been above the target before load is moved, in
+ *     milliseconds
+ * @param maxMoves bound on the moves of one decision that balance load, and on those that balance hash space
+ * @param maxMovesPerServer bound on the moves of one decision to or from one server
+ * @param fillThreshold share of the hash space over the fair share below which a server gets more hash space
+ * @param shareCost cost of moving a server's fair share of the hash space, in units of the watermarks
+ * @param moveCost cost of one move, in units of the watermarks
+ * @param minGainFraction least gain of a move, as a fraction of the load above the low watermark
  */
 public record RebalanceParameters(
         double highWatermark,
@@ -25,23 +26,51 @@
         double shareCost,
         double moveCost,
         double minGainFraction) {
-    /** Reacts at once and keeps the moves of each server few. */
-    public static final RebalanceParameters AVAILABILITY =
-            new RebalanceParameters(1.2, 1.08, 2_000, 0, 64, 8, 0.2, 1.0, 0.01, 0.2);
+    /** Reacts to imbalance immediately and limits the moves per server. */
+    public static final RebalanceParameters AVAILABILITY = new RebalanceParameters(
+            /* highWatermark= */ 1.2,
+            /* lowWatermark= */ 1.08,
+            /* minIntervalMs= */ 2_000,
+            /* minImbalanceDurationMs= */ 0,
+            /* maxMoves= */ 64,
+            /* maxMovesPerServer= */ 8,
+            /* fillThreshold= */ 0.2,
+            /* shareCost= */ 1.0,
+            /* moveCost= */ 0.01,
+            /* minGainFraction= */ 0.2);
 
-    /** Acts on lasting imbalance only and prefers moves of little hash space. */
-    public static final RebalanceParameters LOW_CHURN =
-            new RebalanceParameters(1.25, 1.08, 2_000, 2_000, 64, 8, 0.2, 3.0, 0.01, 0.2);
+    /** Reacts only to imbalance that lasts, and prefers moves of little hash space. */
+    public static final RebalanceParameters LOW_CHURN = new RebalanceParameters(
+            /* highWatermark= */ 1.25,
+            /* lowWatermark= */ 1.08,
+            /* minIntervalMs= */ 2_000,
+            /* minImbalanceDurationMs= */ 2_000,
+            /* maxMoves= */ 64,
+            /* maxMovesPerServer= */ 8,
+            /* fillThreshold= */ 0.2,
+            /* shareCost= */ 3.0,
+            /* moveCost= */ 0.01,
+            /* minGainFraction= */ 0.2);
 
-    /** Evens out the load at each decision and takes no account of what a move costs. */
-    public static final RebalanceParameters GREEDY = new RebalanceParameters(1.02, 1.02, 1, 0, 256, 256, 0, 0, 0, 0);
+    /** Balances the load at each decision regardless of the cost of moves. */
+    public static final RebalanceParameters GREEDY = new RebalanceParameters(
+            /* highWatermark= */ 1.02,
+            /* lowWatermark= */ 1.02,
+            /* minIntervalMs= */ 1,
+            /* minImbalanceDurationMs= */ 0,
+            /* maxMoves= */ 256,
+            /* maxMovesPerServer= */ 256,
+            /* fillThreshold= */ 0,
+            /* shareCost= */ 0,
+            /* moveCost= */ 0,
+            /* minGainFraction= */ 0);
 
     public RebalanceParameters {
         if (lowWatermark < 1 || highWatermark < lowWatermark) {
-            throw new IllegalArgumentException("marks must be at least 1 and ordered");
+            throw new IllegalArgumentException("watermarks must be at least 1 and ordered");
         }
         if (maxMoves < 1 || maxMovesPerServer < 1 || minIntervalMs < 0 || minImbalanceDurationMs < 0) {
-            throw new IllegalArgumentException("bounds on moves must be positive and times not negative");
+            throw new IllegalArgumentException("bounds on moves must be positive, and times must not be negative");
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
@@ -13,10 +13,11 @@
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 
 /**
- * Moves load from the most to the least loaded server by the cheapest moves, within {@link RebalanceParameters}.
+ * Moves load from the most to the least loaded servers by the moves with the best gain for their cost, within the bounds
+ * of {@link RebalanceParameters}.
  *
- * <p>Stateless and thread safe. The table stays within {@link TableCompaction#MAX_RANGES_PER_MEMBER} ranges per
- * candidate on average, provided that it was within it.
+ * <p>Stateless and thread safe. A table with at most {@link TableCompaction#MAX_RANGES_PER_MEMBER} ranges per candidate on
+ * average stays within this bound.
  */
 public final class RebalancePolicy implements PlacementPolicy {
     private final RebalanceParameters parameters;
@@ -48,7 +49,7 @@
         return table.toPlacedRanges();
     }
 
-    /** Gives hash space to servers that have far less than their share, as after a join. */
+    /** Moves hash space to servers that have far less than their fair share, such as servers that have just joined. */
     private void fillUnderloaded(WorkingTable table, Map<MemberId, Integer> moves, Set<MemberId> unfillable) {
         for (int i = 0; i < parameters.maxMoves(); i++) {
             Optional<MemberId> smallest = table.weights().keySet().stream()
@@ -67,10 +68,12 @@
         }
     }
 
+    /** Share of the hash space of a member over its fair share. */
     private static double shareRatio(WorkingTable table, MemberId member) {
         return table.share(member) / table.fairShare(member);
     }
 
+    /** Moves load from overloaded servers until none is above the low watermark or the bounds are reached. */
     private void rebalance(WorkingTable table, Map<MemberId, Integer> moves) {
         double highestRatio = table.weights().keySet().stream()
                 .mapToDouble(table::loadRatio)
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -15,15 +15,23 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Outcome records of ranges that this daemon has released, kept for the next owner.
+ * Outcome records of ranges that this daemon has released, retained for the next owner of each range.
  *
- * <p>Not thread safe. Records count for one (requester, generation) only: once they were handed over, another member
- * may have served the range, so that they are not complete for anybody else. The number of records is bounded; the
- * oldest entry is dropped first, which makes the next owner treat the records as lost.
+ * <p>Not thread safe. Records count as complete only for the first recipient, a requester at one generation: after the
+ * handover another member may have served the range and added records. The number of records is bounded; the oldest
+ * entry is evicted first, and the next owner of its range then treats the records as lost.
  */
 final class ReleasedRecords {
+    /** The member that records were handed over to, and the generation of its release request. */
     private record Recipient(MemberId requester, Generation generation) {}
 
+    /**
+     * The records of one released range.
+     *
+     * @param generation the entry is kept at least until the table has this generation
+     * @param releasedAtMs monotonic time of the release
+     * @param recipient null while the records have not been handed over
+     */
     private record Entry(
             KeyRange range, Generation generation, TransferredRecords records, long releasedAtMs, Recipient recipient) {
         Entry withRange(KeyRange part, Recipient newRecipient) {
@@ -40,6 +48,7 @@
         this.maxRecords = maxRecords;
     }
 
+    /** Adds the records of a released range, and evicts the oldest entries above the bounds. */
     void add(KeyRange range, Generation generation, TransferredRecords records, long nowMs) {
         remove(range);
         entries.addLast(new Entry(range, generation, records, nowMs, null));
@@ -49,17 +58,17 @@
         }
     }
 
-    /** The records of a range for a requester; repeating the request gives the same records. */
+    /** Hands over the records of a range to a requester. A repeated request gets the same records. */
     ReleaseAnswer handOver(KeyRange range, MemberId requester, Generation generation, long nowMs) {
         Recipient recipient = new Recipient(requester, generation);
         long completeForMs = ReleaseAnswer.NOT_SERVED;
         List<OutcomeRecord> records = new ArrayList<>();
         List<Handover> handovers = new ArrayList<>();
-        Deque<Entry> remaining = new ArrayDeque<>();
+        Deque<Entry> updated = new ArrayDeque<>();
         for (Entry entry : entries) {
             KeyRange common = KeyRanges.intersect(entry.range, range).orElse(null);
             if (common == null) {
-                remaining.addLast(entry);
+                updated.addLast(entry);
                 continue;
             }
             long retainedForMs = nowMs - entry.releasedAtMs;
@@ -71,13 +80,13 @@
                 long ageMs = addSaturated(entry.records.completeForMs(), retainedForMs);
                 completeForMs = completeForMs < 0 ? ageMs : Math.min(completeForMs, ageMs);
                 KeyRanges.subtract(entry.range, List.of(common))
-                        .forEach(rest -> remaining.addLast(entry.withRange(rest, entry.recipient)));
-                remaining.addLast(entry.withRange(common, recipient));
+                        .forEach(rest -> updated.addLast(entry.withRange(rest, entry.recipient)));
+                updated.addLast(entry.withRange(common, recipient));
             } else {
-                remaining.addLast(entry);
+                updated.addLast(entry);
             }
         }
-        entries = remaining;
+        entries = updated;
         return new ReleaseAnswer(true, completeForMs, records, handovers);
     }
 
@@ -95,7 +104,7 @@
         }
     }
 
-    /** Drops what is known of a range, because this daemon serves it again. */
+    /** Removes the records of a range that this daemon serves again. */
     void remove(KeyRange range) {
         Deque<Entry> remaining = new ArrayDeque<>();
         for (Entry entry : entries) {
@@ -105,7 +114,10 @@
         entries = remaining;
     }
 
-    /** Drops the entries that no assignment of a table needs any more. */
+    /**
+     * Removes entries that are not needed once a table is applied: those whose range the table neither assigns to this
+     * daemon nor moves away from it.
+     */
     void prune(AssignmentTable table, MemberId self) {
         entries.removeIf(entry -> !entry.generation.isNewerThan(table.generation())
                 && table.assignments().stream()
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServerWeights.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServerWeights.java
@@ -8,20 +8,23 @@
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.Member;
 
-/** Relative capacity of servers: slots times the weight of their rule. Stateless and thread safe. */
+/**
+ * Relative capacity of backend servers: the number of their slots multiplied by the weight of their configuration rule.
+ * Stateless and thread safe.
+ */
 public final class ServerWeights {
     private ServerWeights() {}
 
-    /** Weight of a member; 0 if it has no backend server or its rule places nothing on it. */
+    /** Weight of a member; 0 if it has no backend server or its rule sets the weight to 0. */
     public static double of(Configuration configuration, Member member) {
-        return member.backend().map(b -> weight(configuration, b)).orElse(0.0);
+        return member.backend().map(backend -> weight(configuration, backend)).orElse(0.0);
     }
 
     private static double weight(Configuration configuration, BackendInfo backend) {
         return backend.slots() * configuration.weightPercent(backend.name()) / 100.0;
     }
 
-    /** Weights of the candidates of an input, by id. */
+    /** Weights of the candidates that have a positive weight, by id. */
     static Map<MemberId, Double> of(PlacementInput input) {
         Map<MemberId, Double> weights = new TreeMap<>();
         for (Member member : input.candidates()) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
@@ -7,9 +7,9 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * What the planner remembers of a service between decisions. Not thread safe.
+ * The state of a service that the planner keeps between decisions. Not thread safe.
  *
- * <p>The table never gets older.
+ * <p>The generation of the table never decreases. All times are monotonic, in milliseconds.
  */
 public final class ServicePlanningState {
     private final long imbalanceTargetPercent;
@@ -34,6 +34,7 @@
         return table;
     }
 
+    /** Replaces the table if the given one is newer. */
     public void updateTable(AssignmentTable newTable) {
         if (newTable.generation().isNewerThan(table.generation())) {
             table = newTable;
@@ -48,6 +49,7 @@
         }
     }
 
+    /** @param imbalance load of the most loaded server over its fair load */
     public void updateImbalance(double imbalance, long nowMs) {
         boolean aboveTarget = imbalance * 100 > imbalanceTargetPercent;
         if (aboveTarget && !imbalanced) {
@@ -56,14 +58,16 @@
         imbalanced = aboveTarget;
     }
 
+    /** Records the time of a change that a placement policy decided on. */
     public void recordPolicyChange(long nowMs) {
         lastChangeMs = nowMs;
     }
 
     /**
-     * Whether a decision may be started, and there is new input or the service waits for its first table.
+     * Whether to decide on the next table now: no write is pending, and there is new input or the service has no table
+     * yet.
      *
-     * @param inputVersion number of the input, which grows with each snapshot and each round of load reports
+     * @param inputVersion version of the input, which increases with each snapshot and each round of load reports
      */
     public boolean shouldDecide(long inputVersion, long nowMs) {
         boolean newInput =
@@ -71,7 +75,7 @@
         return !writePending && nowMs >= retryAtMs && newInput;
     }
 
-    /** Notes that the table stands for an input. */
+    /** Records that the table needs no change for a version of the input. */
     public void recordDecided(long inputVersion) {
         decidedInputVersion = inputVersion;
     }
@@ -80,20 +84,23 @@
         writePending = true;
     }
 
+    /** Ends a write; no decision is made before {@code newRetryAtMs}. */
     public void endWrite(long newRetryAtMs) {
         writePending = false;
         retryAtMs = newRetryAtMs;
     }
 
+    /** The time of the last change that a placement policy decided on. */
     public long lastChangeMs() {
         return lastChangeMs;
     }
 
-    /** Time since which the imbalance has been above the target; {@code nowMs} if it is not. */
+    /** The time since which the imbalance has been above the target without a break; {@code nowMs} if it is not above it. */
     public long imbalancedSinceMs(long nowMs) {
         return imbalanced ? imbalancedSinceMs : nowMs;
     }
 
+    /** The time since which the candidates have been the same. */
     public long candidatesSinceMs() {
         return candidatesSinceMs;
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
@@ -13,10 +13,11 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Baseline: weighted rendezvous hashing of equal ranges, whose number is a power of two; ignores load. Stateless and
- * thread safe.
+ * Baseline policy that ignores load: weighted rendezvous hashing of ranges of equal size, whose number is a power of two.
+ * Stateless and thread safe.
  */
 public final class StaticPolicy implements PlacementPolicy {
+    /** Scales a 53-bit integer to a double between 0 and 1. */
     private static final double UNIT_SCALE = 0x1.0p-53;
 
     @Override
@@ -38,6 +39,7 @@
         return placed;
     }
 
+    /** Score of a member for a bucket; the member with the highest score owns the bucket. */
     private static double score(KeyHash bucket, MemberId member, double weight) {
         long seed = bucket.value();
         for (int i = 0; i < member.value().length(); i++) {
@@ -47,7 +49,7 @@
         return -weight / Math.log(uniform);
     }
 
-    /** The finalizer of SplitMix64. */
+    /** The mixing function of the SplitMix64 generator. */
     private static long mix64(long value) {
         long z = value + 0x9E3779B97F4A7C15L;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -17,32 +17,39 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Spreads neighbouring keys over all servers in narrow stripes, for services whose positions keep the order of keys and
- * whose busy keys lie close together.
+ * Distributes adjacent keys over all servers in narrow stripes. It suits services whose hashes preserve the order of keys
+ * and whose hot keys are close together.
  *
- * <p>Hot spots last for seconds, less than it takes to notice them and to move their ranges. So the stripes are laid out
- * in advance such that a hot spot falls on several servers, and ranges move only when servers come and go. Stateless and
- * thread safe.
+ * <p>A hot spot lasts for seconds, which is less than it takes to detect it and to move its ranges. So the stripes are
+ * laid out in advance so that a hot spot is shared by several servers, and ranges move only when servers join or leave.
+ * Stateless and thread safe.
  */
 public final class StripePolicy implements PlacementPolicy {
-    /** A server takes its grants in one message of some kilobytes, which bounds its ranges. */
+    /** Bounded because a server receives the grants of all its ranges in one message of a few kilobytes. */
     private static final int STRIPES_PER_MEMBER = 100;
 
-    /** Bounds the size of the table. */
+    /** Bound on the number of stripes, which limits the size of the table. */
     private static final int MAX_STRIPES = 800;
 
-    /** Ranges of a server above which neighbours are merged. */
+    /** Number of ranges of a server above which its adjacent ranges are merged. */
     private static final int MERGE_ABOVE_PER_MEMBER = 120;
 
-    /** Share below the fair one at which a server gets more stripes, as after a join. */
+    /** Fraction of its fair share below which a server, such as one that has just joined, gets more stripes. */
     private static final double FILL_THRESHOLD = 0.6;
 
-    /** Part of a fair share by which a neighbour's owner must have less than others to get a stripe. */
+    /**
+     * Added to the relative share of the owners of adjacent stripes when the new owner of a stripe is chosen; as a fraction of
+     * the fair share.
+     */
     private static final double NEIGHBOUR_PENALTY = 0.05;
 
     private static final String KEPT = "kept";
 
-    /** A range and its owner in the wanted table. */
+    /**
+     * A range and its owner in the wanted table.
+     *
+     * @param stable whether no transfer of the range is in progress
+     */
     private record Stripe(KeyRange range, MemberId owner, boolean stable, String reason) {
         Stripe withOwner(MemberId newOwner, String newReason) {
             return new Stripe(range, newOwner, false, newReason);
@@ -69,7 +76,7 @@
                 .toList();
     }
 
-    /** Stripes of equal width; servers take turns in proportion to their weights. */
+    /** The first placement: stripes of equal width, assigned by weighted round-robin. */
     private static List<PlacedRange> initialLayout(Map<MemberId, Double> weights) {
         int count = Math.min(MAX_STRIPES, STRIPES_PER_MEMBER * weights.size());
         List<Double> parts = new ArrayList<>();
@@ -93,8 +100,9 @@
     }
 
     /**
-     * Shares the stripes of lost servers among the others. A neighbour's owner gets one only if it has clearly less than
-     * others, unless there are so many stripes that they have to be joined.
+     * Distributes the stripes of servers that are no longer candidates to the others. A server that owns an adjacent stripe
+     * gets one only if its share is clearly lower than that of the others. If there are so many stripes that they have to
+     * be merged, such a server is preferred.
      */
     private static void reassignOrphans(List<Stripe> stripes, Map<MemberId, Double> weights) {
         Map<MemberId, Double> shares = shares(stripes);
@@ -130,7 +138,7 @@
         return owners;
     }
 
-    /** Gives stripes from all over the key space to servers that have far less than their share. */
+    /** Reassigns stripes that are spread over the whole hash space to servers that have far less than their fair share. */
     private static void fillUnderloaded(List<Stripe> stripes, Map<MemberId, Double> weights) {
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
@@ -165,7 +173,7 @@
         return shares;
     }
 
-    /** Joins neighbours of one owner that has too many ranges. */
+    /** Merges adjacent stripes of each owner that has too many ranges. */
     private static List<Stripe> mergeNeighbours(List<Stripe> stripes) {
         Map<MemberId, Integer> counts = new HashMap<>();
         stripes.forEach(s -> counts.merge(s.owner(), 1, Integer::sum));
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -18,29 +18,35 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Makes the next table from a table and wanted owners. Stateless and thread safe.
+ * Builds the next table from the current table and the wanted owners. Stateless and thread safe.
  *
- * <p>A hash that keeps its owner keeps its fence, or gets that of an adjacent range with which its range is merged; both
- * name generations that assigned the hash to that owner. A hash that changes its owner gets the new generation, and its
- * old owner joins the previous owners unless it is gone.
+ * <p>A hash whose owner does not change keeps its fence, or gets the fence of an adjacent range that its range is merged
+ * with. Both fences are generations that assigned the hash to that owner. A hash whose owner changes gets the new
+ * generation as its fence, and its old owner is added to the previous owners unless it is removed.
  */
 public final class TableBuilder {
-    /** A change of owner. Immutable. */
+    /**
+     * The change of the owner of a range. Immutable.
+     *
+     * @param from the old owner; empty if the range had none
+     */
     public record Change(KeyRange range, Optional<MemberId> from, MemberId to, Generation fence, String reason) {}
 
-    /** A table and the changes that led to it. Immutable. */
+    /** A table and the changes of owners in it. Immutable. */
     public record Result(AssignmentTable table, List<Change> changes) {
         public Result {
             changes = List.copyOf(changes);
         }
     }
 
+    /** An assignment in the next table, and whether its owner is that of the current table. */
     private record Segment(RangeAssignment assignment, boolean unchanged) {}
 
     private TableBuilder() {}
 
     /**
-     * Removes previous owners that are gone, and all previous owners of a range that its owner serves under its fence.
+     * Removes previous owners whose record is sealed or missing, and all previous owners of a range that its owner
+     * reports as served under its fence.
      */
     public static List<RangeAssignment> clearPreviousOwners(
             AssignmentTable table, Predicate<MemberId> isRemoved, Map<MemberId, LoadReport> reports) {
@@ -73,10 +79,13 @@
     }
 
     /**
-     * Applies wanted owners.
+     * Builds the next table.
      *
-     * @param current assignments of the present table, with cleared previous owners
-     * @param potentialHolders members that may still serve a hash which the present table assigns to nobody
+     * @param table the current table
+     * @param current the assignments of the current table after {@link #clearPreviousOwners}
+     * @param wanted the wanted ranges and owners, sorted
+     * @param isRemoved whether the record of a member is sealed or missing
+     * @param potentialHolders members that may still serve a hash that the current table assigns to no member
      */
     public static Result build(
             AssignmentTable table,
@@ -104,6 +113,7 @@
         return new Result(new AssignmentTable(table.service(), next, assignments), changes);
     }
 
+    /** The assignments for one wanted range; adds the changes of owners to {@code changes}. */
     private static List<Segment> segments(
             List<RangeAssignment> current,
             int firstIndex,
@@ -149,6 +159,7 @@
         return new Segment(new RangeAssignment(range, owner, fence, remaining), false);
     }
 
+    /** Merges adjacent assignments with an unchanged owner and no previous owners. */
     private static List<RangeAssignment> mergeUnchanged(List<Segment> segments) {
         List<RangeAssignment> merged = new ArrayList<>();
         boolean lastMergeable = false;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
@@ -7,27 +7,34 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.table.KeyRanges;
 
-/** Keeps the number of ranges of a table bounded. Stateless and thread safe. */
+/** Bounds the number of ranges of a table. All bounds are averages per candidate. Stateless and thread safe. */
 final class TableCompaction {
     static final int MAX_RANGES_PER_MEMBER = 16;
     private static final int MERGE_ABOVE_PER_MEMBER = 10;
     private static final int REASSIGN_ABOVE_PER_MEMBER = 13;
     private static final int MAX_REASSIGNED_FRAGMENTS = 16;
     private static final int RANGES_ADDED_BY_SPLIT = 2;
+
+    /** Load of a hot range, as a fraction of the mean load of a server. */
     private static final double HOT_LOAD_RATIO = 0.05;
+
+    /** Largest hash space of a fragment, as a fraction of the mean hash space of a server. */
     private static final double FRAGMENT_SHARE_RATIO = 0.03;
 
     private TableCompaction() {}
 
+    /** Whether a range may be split without exceeding {@link #MAX_RANGES_PER_MEMBER}. */
     static boolean maySplit(WorkingTable table) {
         return table.entries().size() + RANGES_ADDED_BY_SPLIT
                 <= MAX_RANGES_PER_MEMBER * table.weights().size();
     }
 
     /**
-     * Merges adjacent ranges of one owner while the table is above its first bound, the smallest first. If it stays
-     * above the second bound, small ranges without much load, such as hashes that are no longer hot, go to the owner of
-     * a neighbour. A merge costs nothing, but a return is a move during which its keys are not served.
+     * Merges adjacent ranges of the same owner, the smallest first, while the table has more ranges than {@link
+     * #MERGE_ABOVE_PER_MEMBER} allows. If more than {@link #REASSIGN_ABOVE_PER_MEMBER} remain, fragments are reassigned
+     * to the owner of an adjacent range: small ranges with little load, such as single hashes that are no longer hot. The
+     * bound for reassigning is higher, because merging has no cost, while the keys of a reassigned range are unavailable
+     * during its move.
      */
     static void compact(WorkingTable table) {
         int servers = table.weights().size();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -25,20 +25,25 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Decides on the next table of one service. Stateless and thread safe.
+ * Decides on the next assignment table of one service. Stateless and thread safe.
  *
- * <p>Order of decisions: withdrawal, first table, takeover from lost owners, then the policy together with the
- * clearing of previous owners. A takeover changes only ranges of lost owners. The ranges of a lost owner whose host has
- * joined again go back to it.
+ * <p>The first of these decisions that applies is made: withdrawal of the service, first table, takeover of the ranges of
+ * lost owners, or the changes of the placement policy together with the removal of previous owners that no longer hold a
+ * range. A takeover changes only the ranges of lost owners. If the host of a lost owner has joined again, its new member
+ * gets the ranges back.
  */
 public final class TablePlanner {
     /**
-     * What is known of a service. Immutable.
+     * The input of a decision on one service; all times are monotonic, in milliseconds. Immutable.
      *
-     * @param members all known members
-     * @param removed members that are certainly sealed or deleted
+     * @param members all known members, of any service
+     * @param removed members whose record is sealed or missing in the store
+     * @param table current table of the service
      * @param reports latest load report by member
-     * @param candidatesSinceMs monotonic time since which the candidates are the same
+     * @param lastChangeMs time of the last change by the placement policy
+     * @param imbalancedSinceMs time since which the imbalance has been above the target without a break; {@code nowMs} if
+     *     it is not above it
+     * @param candidatesSinceMs time since which the candidates have been the same
      */
     public record View(
             Configuration configuration,
@@ -57,16 +62,21 @@
         }
     }
 
-    /** A kind of change of a table. */
+    /** The kind of a decision. */
     public enum Kind {
+        /** All assignments are removed, because the service is no longer keyed or configured. */
         WITHDRAW,
+        /** Ranges are assigned for the first time, or again after a withdrawal. */
         FIRST_TABLE,
+        /** The ranges of sealed or deleted owners are assigned to other members. */
         TAKEOVER,
+        /** The placement policy changes owners. */
         POLICY,
+        /** No owner changes; previous owners that no longer hold a range are removed, or ranges are merged. */
         CLEAR
     }
 
-    /** The next table and what changes. Immutable. */
+    /** The next table and the changes of owners in it. Immutable. */
     public record Decision(Kind kind, AssignmentTable table, List<TableBuilder.Change> changes) {
         public Decision {
             changes = List.copyOf(changes);
@@ -79,12 +89,13 @@
     private final PlacementPolicy policy;
     private final long firstTableDelayMs;
 
+    /** @param firstTableDelayMs how long the candidates must stay the same before the first table of a service */
     public TablePlanner(PlacementPolicy policy, long firstTableDelayMs) {
         this.policy = policy;
         this.firstTableDelayMs = firstTableDelayMs;
     }
 
-    /** The members that may get ranges of a service, sorted by id. */
+    /** The members that ranges of the service may be assigned to, sorted by id. */
     public static List<Member> candidates(View view) {
         return view.members().values().stream()
                 .filter(member ->
@@ -93,7 +104,7 @@
                         && !view.configuration()
                                 .isDraining(member.backend().orElseThrow().name())
                         && ServerWeights.of(view.configuration(), member) > 0)
-                .sorted((assignment, backend) -> assignment.id().compareTo(backend.id()))
+                .sorted((a, b) -> a.id().compareTo(b.id()))
                 .toList();
     }
 
@@ -103,7 +114,7 @@
                 .orElse(false);
     }
 
-    /** The next table, or empty if the present one stands. */
+    /** Decides on the next table; empty if the current table needs no change. */
     public Optional<Decision> decide(View view) {
         AssignmentTable table = view.table();
         Optional<ServiceConfig> serviceConfig =
@@ -152,7 +163,7 @@
                 view.imbalancedSinceMs());
     }
 
-    /** Policies are plug-ins, so their output is checked before it can reach the store. */
+    /** Validates the output of a policy before it is written to the store, because policies are plug-ins. */
     private static List<PlacedRange> validated(List<PlacedRange> placed, List<Member> candidates) {
         Set<MemberId> allowed = new HashSet<>();
         candidates.forEach(member -> allowed.add(member.id()));
@@ -163,16 +174,19 @@
             if (!placedRange.range().first().equals(expected)
                     || last != placedRange.range().last().equals(KeyHash.MAX)
                     || !allowed.contains(placedRange.owner())) {
-                throw new IllegalStateException("policy placed an invalid range: " + placedRange);
+                throw new IllegalStateException(
+                        "policy returned a range that leaves a gap, overlaps or has an owner that is not a candidate: "
+                                + placedRange);
             }
             expected = KeyRanges.next(placedRange.range().last());
         }
         if (placed.isEmpty()) {
-            throw new IllegalStateException("policy placed nothing although there are candidates");
+            throw new IllegalStateException("policy returned no ranges although there are candidates");
         }
         return placed;
     }
 
+    /** Keeps the ranges of other owners, and assigns those of lost owners to their restarted members or as wanted. */
     private static List<PlacedRange> takeoverRanges(
             View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
         List<PlacedRange> result = new ArrayList<>();
@@ -181,9 +195,9 @@
                 result.add(new PlacedRange(assignment.range(), assignment.owner(), WorkingTable.KEPT));
                 continue;
             }
-            Optional<MemberId> successor = restartedMember(view, assignment.owner());
-            if (successor.isPresent()) {
-                result.add(new PlacedRange(assignment.range(), successor.get(), OWNER_RESTARTED_REASON));
+            Optional<MemberId> restarted = restartedMember(view, assignment.owner());
+            if (restarted.isPresent()) {
+                result.add(new PlacedRange(assignment.range(), restarted.get(), OWNER_RESTARTED_REASON));
                 continue;
             }
             for (PlacedRange placedRange : wanted) {
@@ -194,7 +208,7 @@
         return result;
     }
 
-    /** The candidate at the address of a lost member. */
+    /** The candidate that has the peer address of a lost member, so that it runs on the same host. */
     private static Optional<MemberId> restartedMember(View view, MemberId lost) {
         Member lostMember = view.members().get(lost);
         if (lostMember == null) {
@@ -219,8 +233,8 @@
     }
 
     /**
-     * Members that may still serve hashes which the table assigns to nobody, as after a withdrawal: all of the service
-     * that have not reported that they gave up everything.
+     * Members that may still serve hashes that the table assigns to no member, as after a withdrawal. These are all members
+     * of the service that have not reported, for the current table, that they serve no ranges.
      */
     private static Set<MemberId> potentialHolders(View view) {
         Set<MemberId> holders = new HashSet<>();
@@ -239,7 +253,7 @@
         return holders;
     }
 
-    /** Highest load over fair load of the candidates; 0 without load. */
+    /** The load of the most loaded candidate over its fair load; 0 if there is no candidate or no assignment. */
     public static double imbalance(View view) {
         List<Member> candidates = candidates(view);
         if (candidates.isEmpty() || view.table().assignments().isEmpty()) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
@@ -18,20 +18,25 @@
 /**
  * Writes tables to the store. Thread safe.
  *
- * <p>The object is read right before a decision and written only if it is still at the revision read, so that a decision
- * never rests on another table than the one it replaces.
+ * <p>A table is read immediately before a decision and written only if its revision has not changed since. So a decision
+ * is always based on the table that it replaces.
  */
 public final class TableWriter {
-    /** What was decided, and the table that is in the store as far as known. Immutable. */
+    /**
+     * The outcome of a write. Immutable.
+     *
+     * @param table the latest table known to be in the store
+     * @param written the decision, if its table was written
+     */
     public record Outcome(AssignmentTable table, Optional<TablePlanner.Decision> written) {}
 
     private final ObjectStore store;
     private final BiConsumer<AssignmentTable, StoredObject> onWritten;
 
     /**
-     * A writer.
+     * Creates a writer.
      *
-     * @param onWritten called with a table and its stored form as soon as its write was answered
+     * @param onWritten called with a table and its stored object when the store confirms the write
      */
     public TableWriter(ObjectStore store, BiConsumer<AssignmentTable, StoredObject> onWritten) {
         this.store = store;
@@ -39,10 +44,11 @@
     }
 
     /**
-     * Reads the table, decides and writes.
+     * Reads the table of a service, lets the caller decide on the next table and writes it.
      *
-     * @param decide called on the executor with the table read
-     * @return fails like the store; a conflict is not an error but an outcome without a written decision
+     * @param decide called on the executor with the table that was read
+     * @return the outcome; fails if a call to the store fails, but a revision conflict gives an outcome without a written
+     *     decision
      */
     public CompletableFuture<Outcome> write(
             ServiceName service,
@@ -88,7 +94,10 @@
                 .thenCompose(outcome -> outcome);
     }
 
-    /** A write that is still on its way cannot take effect after another write, because it names its revision. */
+    /**
+     * Reads the table back to find out whether an unanswered write took effect. If the write is delayed and another table is
+     * written first, the write fails, because it is conditional on the old revision.
+     */
     private CompletableFuture<Outcome> readBack(String name, ServiceName service, Outcome written) {
         return store.get(name).thenApply(stored -> {
             AssignmentTable table = decodeTable(service, stored);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
@@ -10,13 +10,16 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
 
-/** First placement of a service: the hash space is split in proportion to weight. Stateless and thread safe. */
+/** Distributes ranges to members in proportion to their weights. Stateless and thread safe. */
 final class WeightedPlacement {
     static final int RANGES_PER_MEMBER = 8;
 
     private WeightedPlacement() {}
 
-    /** Ranges of a member are spread over the hash space, so that its loss loads no single neighbour. */
+    /**
+     * The first placement of a service. Each member gets several ranges that are spread over the hash space, so that after
+     * its loss the load is not taken over by a single member.
+     */
     static List<PlacedRange> place(Map<MemberId, Double> weights) {
         List<MemberId> owners = new ArrayList<>();
         List<Double> parts = new ArrayList<>();
@@ -34,33 +37,37 @@
         return placed;
     }
 
-    /** Gives each slot whose owner is no candidate to the candidate with the least load and share for its weight. */
+    /**
+     * Reassigns each entry whose owner is not a candidate, the largest first, to the candidate with the lowest load and
+     * share of the hash space in proportion to its weight.
+     */
     static void reassignOrphans(WorkingTable table, String reason) {
-        Map<MemberId, Double> charges = new TreeMap<>();
+        Map<MemberId, Double> utilizations = new TreeMap<>();
         for (MemberId m : table.weights().keySet()) {
-            charges.put(m, table.loadRatio(m) + table.share(m) / table.fairShare(m));
+            utilizations.put(m, table.loadRatio(m) + table.share(m) / table.fairShare(m));
         }
-        List<Integer> orphans = new ArrayList<>();
+        List<Integer> orphanIndexes = new ArrayList<>();
         for (int i = 0; i < table.entries().size(); i++) {
             if (!table.weights().containsKey(table.entries().get(i).owner())) {
-                orphans.add(i);
+                orphanIndexes.add(i);
             }
         }
-        orphans.sort((a, b) -> Double.compare(cost(table, b), cost(table, a)));
-        for (int index : orphans) {
-            Optional<MemberId> owner = charges.entrySet().stream()
+        orphanIndexes.sort((a, b) -> Double.compare(size(table, b), size(table, a)));
+        for (int index : orphanIndexes) {
+            Optional<MemberId> owner = utilizations.entrySet().stream()
                     .min(Map.Entry.comparingByValue())
                     .map(Map.Entry::getKey);
             if (owner.isPresent()) {
                 table.assign(index, owner.get(), reason);
-                charges.put(
+                utilizations.put(
                         owner.get(),
                         table.loadRatio(owner.get()) + table.share(owner.get()) / table.fairShare(owner.get()));
             }
         }
     }
 
-    private static double cost(WorkingTable table, int index) {
+    /** Size of an entry: its part of the total load plus its share of the hash space. */
+    private static double size(WorkingTable table, int index) {
         WorkingTable.Entry entry = table.entries().get(index);
         double loadPart = table.totalLoad() > 0 ? entry.load().perSecond() / table.totalLoad() : 0;
         return loadPart + entry.range().share();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
@@ -13,18 +13,19 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * A table that a policy changes step by step.
+ * A mutable copy of a table that a policy modifies step by step.
  *
- * <p>Not thread safe. The slots are always sorted and cover the same hashes. Load and share of a member are those of
- * its slots. While the service has no load, the share of hash space stands for it.
+ * <p>Not thread safe. The entries are always sorted, and the hashes that they cover do not change. The load and the share
+ * of a member are the sums over its entries. If the service has no load, the share of the hash space is used as load.
  */
 final class WorkingTable {
+    /** Reason of an entry whose owner has not changed. */
     static final String KEPT = "kept";
 
     /**
      * A range and its owner in the wanted table. Immutable.
      *
-     * @param stable whether nobody else may still serve the range
+     * @param stable whether no transfer of the range is in progress, so that no previous owner may still serve it
      */
     record Entry(KeyRange range, MemberId owner, RangeLoads.Load load, boolean stable, String reason) {
         boolean moved() {
@@ -32,9 +33,13 @@
         }
     }
 
+    /** Load of a service, in requests per second, below which the service counts as idle. */
     private static final double IDLE_TOTAL_PER_SECOND = 1.0;
 
-    /** Below this rate the noise of the counts in a report alone exceeds the marks of the policies. */
+    /**
+     * Mean load of a server, in requests per second, below which the statistical noise of the reported loads alone exceeds
+     * the watermarks of the policies.
+     */
     private static final double MIN_MEAN_LOAD_PER_SECOND = 20;
 
     private final Map<MemberId, Double> weights;
@@ -78,24 +83,27 @@
         return entries;
     }
 
+    /** The load of a member, in requests per second. */
     double load(MemberId member) {
         return loads.getOrDefault(member, 0.0);
     }
 
+    /** The share of the hash space that a member owns, 0 to 1. */
     double share(MemberId member) {
         return shares.getOrDefault(member, 0.0);
     }
 
-    /** Load of a member if all had load in proportion to weight. */
+    /** The load of a member if the total load were distributed in proportion to weight. */
     double fairLoad(MemberId member) {
         return totalLoad * weights.get(member) / totalWeight;
     }
 
+    /** The share of the hash space of a member if it were distributed in proportion to weight. */
     double fairShare(MemberId member) {
         return weights.get(member) / totalWeight;
     }
 
-    /** Whether the reported load is high enough to move ranges for it. */
+    /** Whether the reported load is high enough to move ranges because of load. */
     boolean isLoadSignificant() {
         return reportedLoad >= MIN_MEAN_LOAD_PER_SECOND * weights.size();
     }
@@ -104,7 +112,7 @@
         return totalLoad;
     }
 
-    /** Load over fair load. */
+    /** The load of a member over its fair load. */
     double loadRatio(MemberId member) {
         return loadRatio(member, load(member));
     }
@@ -114,6 +122,7 @@
         return fairLoad <= 0 ? 0 : load / fairLoad;
     }
 
+    /** Changes the owner of an entry. */
     void assign(int index, MemberId owner, String reason) {
         Entry old = entries.get(index);
         addToTotals(old, -1);
@@ -122,7 +131,11 @@
         addToTotals(entry, 1);
     }
 
-    /** Replaces a slot by parts of it with the same owner; returns the index of the first part. */
+    /**
+     * Replaces an entry by parts of it that have the same owner.
+     *
+     * @return the index of the first part
+     */
     int split(int index, List<KeyRange> parts) {
         Entry old = entries.remove(index);
         int insertIndex = index;
@@ -134,26 +147,28 @@
         return index;
     }
 
-    /** Joins a slot with the next one, which has the same owner. */
+    /** Merges an entry with the next one, which must have the same owner. */
     void mergeWithNext(int index) {
-        Entry assignment = entries.get(index);
-        Entry b = entries.remove(index + 1);
+        Entry entry = entries.get(index);
+        Entry next = entries.remove(index + 1);
         entries.set(
                 index,
                 new Entry(
-                        KeyRanges.join(assignment.range(), b.range()),
-                        assignment.owner(),
-                        assignment.load().plus(b.load()),
+                        KeyRanges.join(entry.range(), next.range()),
+                        entry.owner(),
+                        entry.load().plus(next.load()),
                         true,
-                        assignment.reason()));
+                        entry.reason()));
     }
 
+    /** The entries as the result of a policy. */
     List<PlacedRange> toPlacedRanges() {
         return entries.stream()
                 .map(entry -> new PlacedRange(entry.range(), entry.owner(), entry.reason()))
                 .toList();
     }
 
+    /** Adds an entry to the load and share of its owner, or subtracts it if {@code sign} is -1. */
     private void addToTotals(Entry entry, int sign) {
         loads.merge(entry.owner(), sign * entry.load().perSecond(), Double::sum);
         shares.merge(entry.owner(), sign * entry.range().share(), Double::sum);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Pure decisions and state machines of placement; not for use by other modules. */
+/** Placement decisions and state machines, free of I/O where possible; internal to this module. */
 package org.coriandercrank.placement.internal;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/package-info.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Planner, placement policies and the ownership of ranges by this daemon. */
+/** Placement of key ranges: the planner, the placement policies and the ranges that this daemon owns. */
 package org.coriandercrank.placement;
