--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -287,7 +287,9 @@
         return CompletableFuture.completedFuture(decision);
     }
 
-    /** Checks the stored configuration, because the snapshot may be older than a change that added the service again. */
+    /**
+     * Checks the stored configuration, because the snapshot may be older than a change that added the service again.
+     */
     private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> storedConfiguration) {
         return storedConfiguration
                 .map(object -> JsonCodec.decode(object.value(), Configuration.class))
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -89,7 +89,9 @@
         enqueue(this::applySnapshot);
     }
 
-    /** Releases every range and acquires none from now on. Call when the record of this daemon is found to be sealed. */
+    /**
+     * Releases every range and acquires none from now on. Call when the record of this daemon is found to be sealed.
+     */
     public void seal() {
         enqueue(() -> {
             sealed = true;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
@@ -21,8 +21,8 @@
 /**
  * Looks up members in the store that a table references and a snapshot lacks, and caches the results.
  *
- * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too. A
- * member counts as removed only if its record in the store is sealed or missing.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too.
+ * A member counts as removed only if its record in the store is sealed or missing.
  */
 public final class MemberLookup {
     private static final int MAX_CACHED_MEMBERS = 10_000;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Finds the move of a range, or of a part of it, with the best gain for its cost. The static methods keep no state and are
- * thread safe.
+ * Finds the move of a range, or of a part of it, with the best gain for its cost. The static methods keep no state and
+ * are thread safe.
  */
 final class MoveSearch {
     /**
@@ -20,8 +20,8 @@
      *
      * @param parts the ranges that the entry is split into; the range of the entry itself if the entry moves as a whole
      * @param movedPartIndex index of the part that moves
-     * @param score the move with the highest score is the best; for moves from an overloaded server this is the gain less
-     *     the cost, in units of load over fair load
+     * @param score the move with the highest score is the best; for moves from an overloaded server this is the gain
+     *     less the cost, in units of load over fair load
      * @param isHotHash whether the part that moves is a single hash with a high load
      */
     record Move(
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Finds the best move of hash space to a server that has less than its fair share, from a server that has more than its
-     * fair share. The size of the moved hash space and the load of its owner determine the score.
+     * Finds the best move of hash space to a server that has less than its fair share, from a server that has more than
+     * its fair share. The size of the moved hash space and the load of its owner determine the score.
      *
      * @param mayMove whether a server may take part in another move
      */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -32,8 +32,8 @@
  *   <li>Held ranges do not overlap, so no hash is acquired twice.
  *   <li>A release request with a newer generation than the table sets a barrier on its range: no hash of the range is
  *       acquired before a table with at least that generation is applied.
- *   <li>A release request is answered as released only if no held range overlaps the requested range. If the table is at
- *       least as new as the request, it must also not assign any part of the requested range to this daemon.
+ *   <li>A release request is answered as released only if no held range overlaps the requested range. If the table is
+ *       at least as new as the request, it must also not assign any part of the requested range to this daemon.
  *   <li>If a newer table assigns a served hash to this daemon again and names no previous owners, the daemon goes on
  *       serving the hash under its old fence, because no other member can have served it in between.
  * </ul>
@@ -43,7 +43,8 @@
     private record Barrier(KeyRange range, Generation generation) {}
 
     /**
-     * A part of a served range that the table assigns to another member, while that member has not requested its release.
+     * A part of a served range that the table assigns to another member, while that member has not requested its
+     * release.
      *
      * @param untilMs monotonic time at which the part is released even without a request; {@link #NOT_SET} before the
      *     first poll
@@ -74,9 +75,9 @@
      *
      * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
      * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
-     * @param releaseGraceMs how long a range that the table assigns to another member stays served while that member has
-     *     not requested its release. The old owner often receives a table before the new owner; if it released the range
-     *     immediately, no member would serve the range in between.
+     * @param releaseGraceMs how long a range that the table assigns to another member stays served while that member
+     *     has not requested its release. The old owner often receives a table before the new owner; if it released the
+     *     range immediately, no member would serve the range in between.
      * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges
      */
     public OwnershipState(
@@ -151,8 +152,8 @@
     }
 
     /**
-     * Adds a barrier, in place of those that it covers. If there are more than {@link #MAX_BARRIERS}, one barrier on the
-     * whole hash space replaces them until a newer table is applied.
+     * Adds a barrier, in place of those that it covers. If there are more than {@link #MAX_BARRIERS}, one barrier on
+     * the whole hash space replaces them until a newer table is applied.
      *
      * @return whether the barrier was not covered by an existing one
      */
@@ -203,8 +204,8 @@
     }
 
     /**
-     * Goes on serving the ranges that a planned move assigns to another member until that member requests their release;
-     * the new owner cannot serve them before that.
+     * Goes on serving the ranges that a planned move assigns to another member until that member requests their
+     * release; the new owner cannot serve them before that.
      */
     private void deferReleases() {
         List<DeferredRelease> next = new ArrayList<>();
@@ -225,7 +226,9 @@
         deferredReleases = next;
     }
 
-    /** Keeps the deadline of a part whose release is already deferred, so that a sequence of tables cannot extend it. */
+    /**
+     * Keeps the deadline of a part whose release is already deferred, so that a sequence of tables cannot extend it.
+     */
     private long deferredUntilMs(KeyRange part) {
         return deferredReleases.stream()
                 .filter(d -> d.range.overlaps(part))
@@ -265,8 +268,8 @@
     }
 
     /**
-     * Reports that a release request could not be sent, was not answered, or that the previous owner has not released the
-     * range yet.
+     * Reports that a release request could not be sent, was not answered, or that the previous owner has not released
+     * the range yet.
      *
      * @return delay until the next attempt, in milliseconds
      */
@@ -333,7 +336,9 @@
         heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
-    /** Results are often reported in batches, so the state is reconciled once after a batch and not after each result. */
+    /**
+     * Results are often reported in batches, so the state is reconciled once after a batch and not after each result.
+     */
     private void reconcileIfNeeded() {
         if (reconcileNeeded) {
             reconcile();
@@ -375,8 +380,8 @@
     }
 
     /**
-     * The parts of a held range that the table allows this daemon to serve. Only overlapping assignments are intersected,
-     * because a service may have hundreds of ranges and this method runs for every event.
+     * The parts of a held range that the table allows this daemon to serve. Only overlapping assignments are
+     * intersected, because a service may have hundreds of ranges and this method runs for every event.
      */
     private List<KeyRange> allowedParts(HeldRange heldRange) {
         if (sealed) {
@@ -408,7 +413,9 @@
         return overlapping;
     }
 
-    /** The assigned ranges that this daemon does not hold yet; known pending ranges keep the answers received so far. */
+    /**
+     * The assigned ranges that this daemon does not hold yet; known pending ranges keep the answers received so far.
+     */
     private Map<PendingRange.Id, PendingRange> findPending() {
         Map<PendingRange.Id, PendingRange> next = new LinkedHashMap<>();
         if (sealed) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -5,8 +5,8 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Leader election for the planner role: decides when this daemon reads the planner object, takes over the role or renews
- * it.
+ * Leader election for the planner role: decides when this daemon reads the planner object, takes over the role or
+ * renews it.
  *
  * <p>Not thread safe; performs no I/O. The role only avoids duplicate work. Two daemons that both consider themselves
  * the holder do no harm, because every write of a planner is conditional. The daemons with the lowest ranks read the
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Whether this daemon may take over the role. The last read must not be older than {@code renewIntervalMs}, so that a
-     * renewal since then is rarely missed.
+     * Whether this daemon may take over the role. The last read must not be older than {@code renewIntervalMs}, so that
+     * a renewal since then is rarely missed.
      */
     private boolean mayTakeRole(long nowMs, int rank, boolean holderLost) {
         if (nowMs - lastReadAtMs > options.renewIntervalMs) {
@@ -124,7 +124,10 @@
         }
     }
 
-    /** Reports a failed read. The next read waits for the usual interval, so that a store outage does not cause more reads. */
+    /**
+     * Reports a failed read. The next read waits for the usual interval, so that a store outage does not cause more
+     * reads.
+     */
     public void callFailed(long nowMs) {
         callPending = false;
         readAttempted = true;
@@ -159,8 +162,8 @@
     }
 
     /**
-     * Whether this daemon holds the role. It does not once {@code roleTimeoutMs} have passed since the last renewal, because
-     * another daemon may have taken over the role.
+     * Whether this daemon holds the role. It does not once {@code roleTimeoutMs} have passed since the last renewal,
+     * because another daemon may have taken over the role.
      */
     public boolean isHolder(long nowMs) {
         return holdsRole && nowMs - renewedAtMs < options.roleTimeoutMs;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -20,8 +20,8 @@
     /**
      * Load of a range. Immutable.
      *
-     * @param evenPerSecond requests per second except those of the hot hashes, assumed to be evenly distributed over the
-     *     range
+     * @param evenPerSecond requests per second except those of the hot hashes, assumed to be evenly distributed over
+     *     the range
      * @param hotHashes the hashes with the highest rates
      */
     public record Load(double evenPerSecond, List<HotHash> hotHashes) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
@@ -13,11 +13,11 @@
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 
 /**
- * Moves load from the most to the least loaded servers by the moves with the best gain for their cost, within the bounds
- * of {@link RebalanceParameters}.
+ * Moves load from the most to the least loaded servers by the moves with the best gain for their cost, within the
+ * bounds of {@link RebalanceParameters}.
  *
- * <p>Stateless and thread safe. A table with at most {@link TableCompaction#MAX_RANGES_PER_MEMBER} ranges per candidate on
- * average stays within this bound.
+ * <p>Stateless and thread safe. A table with at most {@link TableCompaction#MAX_RANGES_PER_MEMBER} ranges per candidate
+ * on average stays within this bound.
  */
 public final class RebalancePolicy implements PlacementPolicy {
     private final RebalanceParameters parameters;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
@@ -95,7 +95,10 @@
         return lastChangeMs;
     }
 
-    /** The time since which the imbalance has been above the target without a break; {@code nowMs} if it is not above it. */
+    /**
+     * The time since which the imbalance has been above the target without a break; {@code nowMs} if it is not above
+     * it.
+     */
     public long imbalancedSinceMs(long nowMs) {
         return imbalanced ? imbalancedSinceMs : nowMs;
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
@@ -13,8 +13,8 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Baseline policy that ignores load: weighted rendezvous hashing of ranges of equal size, whose number is a power of two.
- * Stateless and thread safe.
+ * Baseline policy that ignores load: weighted rendezvous hashing of ranges of equal size, whose number is a power of
+ * two. Stateless and thread safe.
  */
 public final class StaticPolicy implements PlacementPolicy {
     /** Scales a 53-bit integer to a double between 0 and 1. */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -17,8 +17,8 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Distributes adjacent keys over all servers in narrow stripes. It suits services whose hashes preserve the order of keys
- * and whose hot keys are close together.
+ * Distributes adjacent keys over all servers in narrow stripes. It suits services whose hashes preserve the order of
+ * keys and whose hot keys are close together.
  *
  * <p>A hot spot lasts for seconds, which is less than it takes to detect it and to move its ranges. So the stripes are
  * laid out in advance so that a hot spot is shared by several servers, and ranges move only when servers join or leave.
@@ -38,8 +38,8 @@
     private static final double FILL_THRESHOLD = 0.6;
 
     /**
-     * Added to the relative share of the owners of adjacent stripes when the new owner of a stripe is chosen; as a fraction of
-     * the fair share.
+     * Added to the relative share of the owners of adjacent stripes when the new owner of a stripe is chosen; as a
+     * fraction of the fair share.
      */
     private static final double NEIGHBOUR_PENALTY = 0.05;
 
@@ -100,9 +100,9 @@
     }
 
     /**
-     * Distributes the stripes of servers that are no longer candidates to the others. A server that owns an adjacent stripe
-     * gets one only if its share is clearly lower than that of the others. If there are so many stripes that they have to
-     * be merged, such a server is preferred.
+     * Distributes the stripes of servers that are no longer candidates to the others. A server that owns an adjacent
+     * stripe gets one only if its share is clearly lower than that of the others. If there are so many stripes that
+     * they have to be merged, such a server is preferred.
      */
     private static void reassignOrphans(List<Stripe> stripes, Map<MemberId, Double> weights) {
         Map<MemberId, Double> shares = shares(stripes);
@@ -138,7 +138,9 @@
         return owners;
     }
 
-    /** Reassigns stripes that are spread over the whole hash space to servers that have far less than their fair share. */
+    /**
+     * Reassigns stripes that are spread over the whole hash space to servers that have far less than their fair share.
+     */
     private static void fillUnderloaded(List<Stripe> stripes, Map<MemberId, Double> weights) {
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -20,9 +20,9 @@
 /**
  * Builds the next table from the current table and the wanted owners. Stateless and thread safe.
  *
- * <p>A hash whose owner does not change keeps its fence, or gets the fence of an adjacent range that its range is merged
- * with. Both fences are generations that assigned the hash to that owner. A hash whose owner changes gets the new
- * generation as its fence, and its old owner is added to the previous owners unless it is removed.
+ * <p>A hash whose owner does not change keeps its fence, or gets the fence of an adjacent range that its range is
+ * merged with. Both fences are generations that assigned the hash to that owner. A hash whose owner changes gets the
+ * new generation as its fence, and its old owner is added to the previous owners unless it is removed.
  */
 public final class TableBuilder {
     /**
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Merges adjacent ranges of the same owner, the smallest first, while the table has more ranges than {@link
-     * #MERGE_ABOVE_PER_MEMBER} allows. If more than {@link #REASSIGN_ABOVE_PER_MEMBER} remain, fragments are reassigned
-     * to the owner of an adjacent range: small ranges with little load, such as single hashes that are no longer hot. The
-     * bound for reassigning is higher, because merging has no cost, while the keys of a reassigned range are unavailable
-     * during its move.
+     * Merges adjacent ranges of the same owner, the smallest first, while the table has more ranges than
+     * {@link #MERGE_ABOVE_PER_MEMBER} allows. If more than {@link #REASSIGN_ABOVE_PER_MEMBER} remain, fragments are
+     * reassigned to the owner of an adjacent range: small ranges with little load, such as single hashes that are no
+     * longer hot. The bound for reassigning is higher, because merging has no cost, while the keys of a reassigned
+     * range are unavailable during its move.
      */
     static void compact(WorkingTable table) {
         int servers = table.weights().size();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -27,10 +27,10 @@
 /**
  * Decides on the next assignment table of one service. Stateless and thread safe.
  *
- * <p>The first of these decisions that applies is made: withdrawal of the service, first table, takeover of the ranges of
- * lost owners, or the changes of the placement policy together with the removal of previous owners that no longer hold a
- * range. A takeover changes only the ranges of lost owners. If the host of a lost owner has joined again, its new member
- * gets the ranges back.
+ * <p>The first of these decisions that applies is made: withdrawal of the service, first table, takeover of the ranges
+ * of lost owners, or the changes of the placement policy together with the removal of previous owners that no longer
+ * hold a range. A takeover changes only the ranges of lost owners. If the host of a lost owner has joined again, its
+ * new member gets the ranges back.
  */
 public final class TablePlanner {
     /**
@@ -41,8 +41,8 @@
      * @param table current table of the service
      * @param reports latest load report by member
      * @param lastChangeMs time of the last change by the placement policy
-     * @param imbalancedSinceMs time since which the imbalance has been above the target without a break; {@code nowMs} if
-     *     it is not above it
+     * @param imbalancedSinceMs time since which the imbalance has been above the target without a break; {@code nowMs}
+     *     if it is not above it
      * @param candidatesSinceMs time since which the candidates have been the same
      */
     public record View(
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Members that may still serve hashes that the table assigns to no member, as after a withdrawal. These are all members
-     * of the service that have not reported, for the current table, that they serve no ranges.
+     * Members that may still serve hashes that the table assigns to no member, as after a withdrawal. These are all
+     * members of the service that have not reported, for the current table, that they serve no ranges.
      */
     private static Set<MemberId> potentialHolders(View view) {
         Set<MemberId> holders = new HashSet<>();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableWriter.java
@@ -18,8 +18,8 @@
 /**
  * Writes tables to the store. Thread safe.
  *
- * <p>A table is read immediately before a decision and written only if its revision has not changed since. So a decision
- * is always based on the table that it replaces.
+ * <p>A table is read immediately before a decision and written only if its revision has not changed since. So a
+ * decision is always based on the table that it replaces.
  */
 public final class TableWriter {
     /**
@@ -47,8 +47,8 @@
      * Reads the table of a service, lets the caller decide on the next table and writes it.
      *
      * @param decide called on the executor with the table that was read
-     * @return the outcome; fails if a call to the store fails, but a revision conflict gives an outcome without a written
-     *     decision
+     * @return the outcome; fails if a call to the store fails, but a revision conflict gives an outcome without a
+     *     written decision
      */
     public CompletableFuture<Outcome> write(
             ServiceName service,
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Reads the table back to find out whether an unanswered write took effect. If the write is delayed and another table is
-     * written first, the write fails, because it is conditional on the old revision.
+     * Reads the table back to find out whether an unanswered write took effect. If the write is delayed and another
+     * table is written first, the write fails, because it is conditional on the old revision.
      */
     private CompletableFuture<Outcome> readBack(String name, ServiceName service, Outcome written) {
         return store.get(name).thenApply(stored -> {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
@@ -17,8 +17,8 @@
     private WeightedPlacement() {}
 
     /**
-     * The first placement of a service. Each member gets several ranges that are spread over the hash space, so that after
-     * its loss the load is not taken over by a single member.
+     * The first placement of a service. Each member gets several ranges that are spread over the hash space, so that
+     * after its loss the load is not taken over by a single member.
      */
     static List<PlacedRange> place(Map<MemberId, Double> weights) {
         List<MemberId> owners = new ArrayList<>();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
@@ -15,8 +15,9 @@
 /**
  * A mutable copy of a table that a policy modifies step by step.
  *
- * <p>Not thread safe. The entries are always sorted, and the hashes that they cover do not change. The load and the share
- * of a member are the sums over its entries. If the service has no load, the share of the hash space is used as load.
+ * <p>Not thread safe. The entries are always sorted, and the hashes that they cover do not change. The load and the
+ * share of a member are the sums over its entries. If the service has no load, the share of the hash space is used as
+ * load.
  */
 final class WorkingTable {
     /** Reason of an entry whose owner has not changed. */
@@ -37,8 +38,8 @@
     private static final double IDLE_TOTAL_PER_SECOND = 1.0;
 
     /**
-     * Mean load of a server, in requests per second, below which the statistical noise of the reported loads alone exceeds
-     * the watermarks of the policies.
+     * Mean load of a server, in requests per second, below which the statistical noise of the reported loads alone
+     * exceeds the watermarks of the policies.
      */
     private static final double MIN_MEAN_LOAD_PER_SECOND = 20;
 
