--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -52,22 +52,24 @@
     private void serveAllFromGenerationOne() {
         state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
-        assertThat(acquire.inherited()).isEqualTo(TransferredRecords.NEVER_OWNED);
-        state.acquired(acquire);
+        assertThat(acquire.transferred()).isEqualTo(TransferredRecords.NEVER_OWNED);
+        state.acquireCompleted(acquire);
     }
 
     private void finishRelease(KeyRange range) {
         assertThat(poll()).containsExactly(new OwnershipAction.Release(range));
-        state.releasedRecords(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
+        state.releaseCompleted(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
     }
 
     /** Guards against an old table that makes a daemon serve a range again which it released to a newer owner. */
     @Test
     void staysReleasedUntilTheTableIsAsNew() {
         serveAllFromGenerationOne();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isPresent();
         state.applyTable(table(4, range(KeyRange.ALL, A, 4)));
         assertThat(poll()).isEmpty();
         state.applyTable(table(6, range(KeyRange.ALL, A, 6, B)));
@@ -77,7 +79,9 @@
     /** Guards against a daemon that never served a range and acquires it after it has answered. */
     @Test
     void keepsThePromiseForARangeNeverServed() {
-        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000).orElseThrow().recordsCompleteForMs())
+        assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000)
+                        .orElseThrow()
+                        .recordsCompleteForMs())
                 .isEqualTo(ReleaseAnswer.NOT_SERVED);
         state.applyTable(table(3, range(KeyRange.ALL, A, 3)));
         assertThat(poll()).singleElement().extracting("range").isEqualTo(HIGH);
@@ -110,8 +114,9 @@
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
         state.applyTable(table(2, range(KeyRange.ALL, B, 2, A)));
         assertThat(poll()).isEmpty();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000)).isEmpty();
-        state.acquired(acquire);
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000))
+                .isEmpty();
+        state.acquireCompleted(acquire);
         assertThat(poll()).containsExactly(new OwnershipAction.Release(KeyRange.ALL));
     }
 
@@ -134,9 +139,11 @@
     })
     void vouchesForRecordsOnce(String label, String requester, long generation, long completeForMs) {
         serveAllFromGenerationOne();
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000)).isEmpty();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
+                .isEmpty();
         finishRelease(KeyRange.ALL);
-        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050)).isPresent();
+        assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050))
+                .isPresent();
         Optional<ReleaseAnswer> answer =
                 state.handleReleaseRequest(request(new MemberId(requester), KeyRange.ALL, generation), 1_100);
         assertThat(answer.orElseThrow().recordsCompleteForMs()).as(label).isEqualTo(completeForMs);
@@ -208,9 +215,9 @@
     private static void perform(OwnershipState state, long nowMs) {
         for (OwnershipAction action : state.poll(nowMs, member -> false)) {
             if (action instanceof OwnershipAction.Acquire acquire) {
-                state.acquired(acquire);
+                state.acquireCompleted(acquire);
             } else if (action instanceof OwnershipAction.Release release) {
-                state.releasedRecords(release, TransferredRecords.NONE, nowMs);
+                state.releaseCompleted(release, TransferredRecords.NONE, nowMs);
             }
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
@@ -1,19 +1,25 @@
 package org.coriandercrank.placement;
 
 import io.micrometer.core.instrument.MeterRegistry;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.ownership.RoutingView;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * The parts of the daemon that placement works with. Immutable; all parts are thread safe.
+ * The components of the daemon that the planner and range ownership depend on. Immutable; all components are thread
+ * safe.
  *
- * @param duties makes the duties that placement runs on
+ * @param self member id of this daemon
+ * @param view current configuration, members and assignment tables
+ * @param peers sends messages to other daemons
+ * @param handlers registry of the handlers for messages from other daemons
+ * @param decisionLog log of placement decisions and of acquired and released ranges
+ * @param executors creates the serial executors of the planner and of range ownership
  */
 public record PlacementContext(
         MemberId self,
@@ -22,6 +28,6 @@
         PeerClient peers,
         PeerHandlers handlers,
         TimerService timers,
-        DecisionLog log,
+        DecisionLog decisionLog,
         MeterRegistry meters,
-        SerialExecutor.Factory duties) {}
+        SerialExecutor.Factory executors) {}
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -22,28 +22,32 @@
 import org.coriandercrank.placement.internal.HeldRange.Phase;
 
 /**
- * State machine of the ranges of one service at one daemon.
+ * State machine for the ranges of one service at one daemon.
  *
- * <p>Not thread safe and without I/O: the caller reports events, then takes the actions from {@link #poll}. Invariants:
+ * <p>Not thread safe. It performs no I/O: the caller reports events, gets the actions to perform from {@link #poll} and
+ * reports their results. Invariants:
  *
  * <ul>
- *   <li>The applied table never gets older.
- *   <li>Holdings do not overlap, so nothing is acquired twice.
- *   <li>A release request newer than the table sets a barrier: no hash in it is acquired before the table has at least
- *       the generation of the request.
- *   <li>A request is answered as released only if no holding overlaps it and the table, if it is as new as the request,
- *       does not assign any of it to this daemon.
- *   <li>A daemon that keeps a hash across a newer assignment to itself without previous owners goes on serving it under
- *       its old fence; nobody else can have served it in between.
+ *   <li>The generation of the applied table never decreases.
+ *   <li>Held ranges do not overlap, so no hash is acquired twice.
+ *   <li>A release request with a newer generation than the table sets a barrier on its range: no hash of the range is
+ *       acquired before a table with at least that generation is applied.
+ *   <li>A release request is answered as released only if no held range overlaps the requested range. If the table is
+ *       at least as new as the request, it must also not assign any part of the requested range to this daemon.
+ *   <li>If a newer table assigns a served hash to this daemon again and names no previous owners, the daemon goes on
+ *       serving the hash under its old fence, because no other member can have served it in between.
  * </ul>
  */
 public final class OwnershipState {
+    /** Prevents the hashes of a range from being acquired before a table has at least the generation. */
     private record Barrier(KeyRange range, Generation generation) {}
 
     /**
-     * A part of a served range that the table gives to another member, which has not asked for it yet.
+     * A part of a served range that the table assigns to another member, while that member has not requested its
+     * release.
      *
-     * @param untilMs when it is released without being asked for; {@link #NOT_SET} before the first poll
+     * @param untilMs monotonic time at which the part is released even without a request; {@link #NOT_SET} before the
+     *     first poll
      */
     private record DeferredRelease(KeyRange range, long untilMs) {
         static final long NOT_SET = Long.MIN_VALUE;
@@ -58,7 +62,7 @@
     private final ReleasedRecords releasedRecords;
     private final Set<MemberId> removedMembers = new HashSet<>();
     private AssignmentTable table;
-    private List<RangeAssignment> owned = List.of();
+    private List<RangeAssignment> ownAssignments = List.of();
     private boolean sealed;
     private boolean reconcileNeeded;
     private List<HeldRange> heldRanges = new ArrayList<>();
@@ -67,28 +71,37 @@
     private Map<PendingRange.Id, PendingRange> pending = new LinkedHashMap<>();
 
     /**
-     * A state without ranges.
+     * Creates a state that holds no ranges.
      *
-     * @param lingerMs how long a range that the table gives to another member is served until that member asks for it;
-     *     the old owner often learns of a table before the new one, and the range would be served by nobody meanwhile
+     * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
+     * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
+     * @param releaseGraceMs how long a range that the table assigns to another member stays served while that member
+     *     has not requested its release. The old owner often receives a table before the new owner; if it released the
+     *     range immediately, no member would serve the range in between.
+     * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges
      */
     public OwnershipState(
-            MemberId self, ServiceName service, long minRetryMs, long maxRetryMs, long lingerMs, int maxKeptRecords) {
-        this.releaseGraceMs = lingerMs;
+            MemberId self,
+            ServiceName service,
+            long minRetryDelayMs,
+            long maxRetryDelayMs,
+            long releaseGraceMs,
+            int maxRetainedRecords) {
+        this.releaseGraceMs = releaseGraceMs;
         this.self = self;
-        this.minRetryDelayMs = minRetryMs;
-        this.maxRetryDelayMs = maxRetryMs;
-        this.releasedRecords = new ReleasedRecords(maxKeptRecords);
+        this.minRetryDelayMs = minRetryDelayMs;
+        this.maxRetryDelayMs = maxRetryDelayMs;
+        this.releasedRecords = new ReleasedRecords(maxRetainedRecords);
         this.table = AssignmentTable.empty(service);
     }
 
-    /** Uses a table if it is newer than the one in use. */
+    /** Applies a table if it is newer than the current one. */
     public void applyTable(AssignmentTable newTable) {
         if (!newTable.generation().isNewerThan(table.generation())) {
             return;
         }
         table = newTable;
-        owned = newTable.ownedBy(self);
+        ownAssignments = newTable.ownedBy(self);
         barriers.removeIf(b -> !b.generation.isNewerThan(table.generation()));
         releasedRecords.prune(table, self);
         removedMembers.removeIf(m -> !table.references(m));
@@ -96,7 +109,7 @@
         reconcile();
     }
 
-    /** Gives up every range for good. */
+    /** Makes this daemon release every range and acquire none from now on. */
     public void seal() {
         if (!sealed) {
             sealed = true;
@@ -104,26 +117,27 @@
         }
     }
 
-    /** Notes that the record of a member is certainly sealed or deleted. */
+    /** Reports that the stored record of a member is sealed or missing. */
     public void memberRemoved(MemberId member) {
         removedMembers.add(member);
     }
 
     /**
-     * Handles the request of a new owner.
+     * Handles a release request of the new owner of a range. While the release is running, the caller repeats the call
+     * until there is an answer.
      *
      * @return the answer, or empty while a release is still running
      */
     public Optional<ReleaseAnswer> handleReleaseRequest(ReleaseRequest request, long nowMs) {
         KeyRange range = request.range();
-        if (deferredReleases.removeIf(l -> l.range.overlaps(range))) {
+        if (deferredReleases.removeIf(d -> d.range.overlaps(range))) {
             reconcile();
         }
         if (request.generation().isNewerThan(table.generation())) {
             if (addBarrier(new Barrier(range, request.generation()))) {
                 reconcile();
             }
-        } else if (!sealed && isAssigned(range)) {
+        } else if (!sealed && isAssignedToSelf(range)) {
             return Optional.of(ReleaseAnswer.notReleased());
         }
         if (heldRanges.stream().anyMatch(h -> h.range().overlaps(range))) {
@@ -132,19 +146,21 @@
         return Optional.of(releasedRecords.handOver(range, request.requester(), request.generation(), nowMs));
     }
 
-    private boolean isAssigned(KeyRange range) {
+    private boolean isAssignedToSelf(KeyRange range) {
         return table.assignments().stream()
                 .anyMatch(a -> a.owner().equals(self) && a.range().overlaps(range));
     }
 
     /**
-     * Whether the barrier is news. Repeated requests replace each other; above the bound one barrier covers the hash space
-     * until the table is newer.
+     * Adds a barrier, in place of those that it covers. If there are more than {@link #MAX_BARRIERS}, one barrier on
+     * the whole hash space replaces them until a newer table is applied.
+     *
+     * @return whether the barrier was not covered by an existing one
      */
     private boolean addBarrier(Barrier barrier) {
-        boolean known = barriers.stream()
+        boolean covered = barriers.stream()
                 .anyMatch(b -> b.range.contains(barrier.range) && b.generation.compareTo(barrier.generation) >= 0);
-        if (known) {
+        if (covered) {
             return false;
         }
         barriers.removeIf(b -> barrier.range.contains(b.range) && barrier.generation.compareTo(b.generation) >= 0);
@@ -159,46 +175,50 @@
         return true;
     }
 
-    /** What has to be done now; each action is returned once until its result is reported. */
+    /** The actions to perform now. An action is not returned again before its result is reported. */
     public List<OwnershipAction> poll(long nowMs, Predicate<MemberId> isSealed) {
-        Predicate<MemberId> lost = m -> removedMembers.contains(m) || isSealed.test(m);
+        Predicate<MemberId> isSealedOrRemoved = m -> removedMembers.contains(m) || isSealed.test(m);
         List<OwnershipAction> actions = new ArrayList<>();
         reconcileIfNeeded();
         expireDeferredReleases(nowMs);
-        acquireReady(nowMs, lost);
+        acquireReady(nowMs, isSealedOrRemoved);
         for (int i = 0; i < heldRanges.size(); i++) {
-            HeldRange holding = heldRanges.get(i);
-            if (holding.phase() == Phase.SERVING || holding.callPending() || nowMs < holding.retryAtMs()) {
+            HeldRange heldRange = heldRanges.get(i);
+            if (heldRange.phase() == Phase.SERVING || heldRange.callPending() || nowMs < heldRange.retryAtMs()) {
                 continue;
             }
-            heldRanges.set(i, holding.withCallPending());
+            heldRanges.set(i, heldRange.withCallPending());
             actions.add(
-                    holding.phase() == Phase.RELEASING
-                            ? new OwnershipAction.Release(holding.range())
-                            : new OwnershipAction.Acquire(holding.range(), holding.fence(), holding.inherited()));
+                    heldRange.phase() == Phase.RELEASING
+                            ? new OwnershipAction.Release(heldRange.range())
+                            : new OwnershipAction.Acquire(
+                                    heldRange.range(), heldRange.fence(), heldRange.transferred()));
         }
         for (PendingRange range : pending.values()) {
-            for (MemberId member : range.dueRequests(nowMs, lost)) {
-                actions.add(
-                        new OwnershipAction.RequestRelease(range.id().range(), range.id().fence(), member));
+            for (MemberId member : range.dueRequests(nowMs, isSealedOrRemoved)) {
+                actions.add(new OwnershipAction.RequestRelease(
+                        range.id().range(), range.id().fence(), member));
             }
         }
         return actions;
     }
 
-    /** Serves what a planned move takes away until the new owner asks; the new owner cannot serve before that. */
+    /**
+     * Goes on serving the ranges that a planned move assigns to another member until that member requests their
+     * release; the new owner cannot serve them before that.
+     */
     private void deferReleases() {
         List<DeferredRelease> next = new ArrayList<>();
-        List<RangeAssignment> taken = table.assignments().stream()
+        List<RangeAssignment> movedAway = table.assignments().stream()
                 .filter(a -> a.previousOwners().contains(self))
                 .toList();
-        for (HeldRange holding : heldRanges) {
-            if (holding.phase() != Phase.SERVING) {
+        for (HeldRange heldRange : heldRanges) {
+            if (heldRange.phase() != Phase.SERVING) {
                 continue;
             }
-            for (RangeAssignment assignment : taken) {
-                if (assignment.range().overlaps(holding.range())) {
-                    KeyRanges.intersect(assignment.range(), holding.range())
+            for (RangeAssignment assignment : movedAway) {
+                if (assignment.range().overlaps(heldRange.range())) {
+                    KeyRanges.intersect(assignment.range(), heldRange.range())
                             .ifPresent(part -> next.add(new DeferredRelease(part, deferredUntilMs(part))));
                 }
             }
@@ -206,89 +226,104 @@
         deferredReleases = next;
     }
 
-    /** Keeps the time of a part that lingers already, so that a sequence of tables cannot extend it. */
+    /**
+     * Keeps the deadline of a part whose release is already deferred, so that a sequence of tables cannot extend it.
+     */
     private long deferredUntilMs(KeyRange part) {
         return deferredReleases.stream()
-                .filter(l -> l.range.overlaps(part))
+                .filter(d -> d.range.overlaps(part))
                 .mapToLong(DeferredRelease::untilMs)
                 .min()
                 .orElse(DeferredRelease.NOT_SET);
     }
 
     private void expireDeferredReleases(long nowMs) {
-        deferredReleases.replaceAll(l -> l.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(l.range, nowMs + releaseGraceMs) : l);
-        if (deferredReleases.removeIf(l -> nowMs >= l.untilMs)) {
+        deferredReleases.replaceAll(
+                d -> d.untilMs == DeferredRelease.NOT_SET ? new DeferredRelease(d.range, nowMs + releaseGraceMs) : d);
+        if (deferredReleases.removeIf(d -> nowMs >= d.untilMs)) {
             reconcile();
         }
     }
 
-    private void acquireReady(long nowMs, Predicate<MemberId> lost) {
-        List<PendingRange> ready =
-                pending.values().stream().filter(p -> p.isReady(lost)).toList();
+    private void acquireReady(long nowMs, Predicate<MemberId> isSealedOrRemoved) {
+        List<PendingRange> ready = pending.values().stream()
+                .filter(p -> p.isReady(isSealedOrRemoved))
+                .toList();
         for (PendingRange range : ready) {
             PendingRange.Id id = range.id();
             pending.remove(id);
-            ReleaseAnswer own = releasedRecords.handOver(id.range(), self, id.fence(), nowMs);
-            heldRanges.add(new HeldRange(id.range(), id.fence(), Phase.ACQUIRING, range.inheritedRecords(own), false, false, 0));
+            ReleaseAnswer ownAnswer = releasedRecords.handOver(id.range(), self, id.fence(), nowMs);
+            heldRanges.add(new HeldRange(
+                    id.range(), id.fence(), Phase.ACQUIRING, range.transferredRecords(ownAnswer), false, false, 0));
         }
     }
 
-    /** Reports the answer of a previous owner. */
-    public void releaseRequestAnswered(OwnershipAction.RequestRelease ask, ReleaseAnswer answer, long nowMs) {
+    /** Reports the answer of a previous owner to a release request. */
+    public void releaseRequestAnswered(OwnershipAction.RequestRelease request, ReleaseAnswer answer, long nowMs) {
         if (!answer.released()) {
-            releaseRequestFailed(ask, nowMs);
+            releaseRequestFailed(request, nowMs);
             return;
         }
-        matching(ask).forEach(p -> p.addAnswer(ask.previousOwner(), answer));
+        pendingRangesOf(request).forEach(p -> p.addAnswer(request.previousOwner(), answer));
     }
 
     /**
-     * Reports that a previous owner could not be asked, did not answer or has not released the range yet.
+     * Reports that a release request could not be sent, was not answered, or that the previous owner has not released
+     * the range yet.
      *
      * @return delay until the next attempt, in milliseconds
      */
-    public long releaseRequestFailed(OwnershipAction.RequestRelease ask, long nowMs) {
-        return matching(ask).stream()
-                .mapToLong(p -> p.scheduleRetry(ask.previousOwner(), nowMs, minRetryDelayMs, maxRetryDelayMs))
+    public long releaseRequestFailed(OwnershipAction.RequestRelease request, long nowMs) {
+        return pendingRangesOf(request).stream()
+                .mapToLong(p -> p.scheduleRetry(request.previousOwner(), nowMs, minRetryDelayMs, maxRetryDelayMs))
                 .max()
                 .orElse(minRetryDelayMs);
     }
 
-    private List<PendingRange> matching(OwnershipAction.RequestRelease ask) {
+    private List<PendingRange> pendingRangesOf(OwnershipAction.RequestRelease request) {
         return pending.values().stream()
                 .filter(p ->
-                        p.id().range().equals(ask.range()) && p.id().fence().equals(ask.fence()))
+                        p.id().range().equals(request.range()) && p.id().fence().equals(request.fence()))
                 .toList();
     }
 
-    public void acquired(OwnershipAction.Acquire action) {
+    /** Reports that the gate serves a range. */
+    public void acquireCompleted(OwnershipAction.Acquire action) {
         releasedRecords.remove(action.range());
-        replace(action.range(), HeldRange::asServing);
+        updateHeldRanges(action.range(), HeldRange::asServing);
         reconcileNeeded = true;
     }
 
+    /** Reports that the gate could not acquire a range; the call is repeated later. */
     public void acquireFailed(OwnershipAction.Acquire action, long nowMs) {
-        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
+        updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
         reconcileNeeded = true;
     }
 
-    public void releasedRecords(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
-        for (HeldRange holding : List.copyOf(heldRanges)) {
-            if (holding.range().equals(action.range())) {
-                heldRanges.remove(holding);
-                if (holding.served()) {
-                    releasedRecords.add(action.range(), newestGeneration(action.range()), records, nowMs);
+    /**
+     * Reports that the gate has released a range.
+     *
+     * @param records outcome records of the range, retained for its next owner
+     */
+    public void releaseCompleted(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
+        for (HeldRange heldRange : List.copyOf(heldRanges)) {
+            if (heldRange.range().equals(action.range())) {
+                heldRanges.remove(heldRange);
+                if (heldRange.served()) {
+                    releasedRecords.add(action.range(), releaseGeneration(action.range()), records, nowMs);
                 }
             }
         }
         reconcileNeeded = true;
     }
 
+    /** Reports that the gate could not release a range; the call is repeated later. */
     public void releaseFailed(OwnershipAction.Release action, long nowMs) {
-        replace(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
+        updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
     }
 
-    private Generation newestGeneration(KeyRange range) {
+    /** The generation up to which a release counts: that of the newest overlapping barrier, or of the table. */
+    private Generation releaseGeneration(KeyRange range) {
         return barriers.stream()
                 .filter(b -> b.range.overlaps(range))
                 .map(Barrier::generation)
@@ -297,65 +332,71 @@
                 .orElse(table.generation());
     }
 
-    private void replace(KeyRange range, UnaryOperator<HeldRange> change) {
+    private void updateHeldRanges(KeyRange range, UnaryOperator<HeldRange> change) {
         heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
-    /** Results come in groups; what follows from them is worked out once before the next actions. */
+    /**
+     * Results are often reported in batches, so the state is reconciled once after a batch and not after each result.
+     */
     private void reconcileIfNeeded() {
         if (reconcileNeeded) {
             reconcile();
         }
     }
 
+    /** Recomputes which parts of the held ranges are kept or released, and which ranges are pending. */
     private void reconcile() {
         reconcileNeeded = false;
         List<HeldRange> next = new ArrayList<>();
-        for (HeldRange holding : heldRanges) {
-            if (holding.phase() == Phase.RELEASING || holding.callPending()) {
-                next.add(holding);
+        for (HeldRange heldRange : heldRanges) {
+            if (heldRange.phase() == Phase.RELEASING || heldRange.callPending()) {
+                next.add(heldRange);
                 continue;
             }
-            List<KeyRange> allowed = retainedParts(holding);
-            allowed.forEach(part -> next.add(holding.withRange(part)));
-            KeyRanges.subtract(holding.range(), allowed).forEach(part -> next.add(holding.asReleasing(part)));
+            List<KeyRange> retained = retainedParts(heldRange);
+            retained.forEach(part -> next.add(heldRange.withRange(part)));
+            KeyRanges.subtract(heldRange.range(), retained).forEach(part -> next.add(heldRange.asReleasing(part)));
         }
         heldRanges = next;
         pending = findPending();
     }
 
-    /** What the table allows, and what lingers. */
-    private List<KeyRange> retainedParts(HeldRange holding) {
-        List<KeyRange> parts = new ArrayList<>(allowedParts(holding));
-        if (sealed || holding.phase() != Phase.SERVING) {
+    /** The parts of a held range that the table allows this daemon to serve, and those whose release is deferred. */
+    private List<KeyRange> retainedParts(HeldRange heldRange) {
+        List<KeyRange> parts = new ArrayList<>(allowedParts(heldRange));
+        if (sealed || heldRange.phase() != Phase.SERVING) {
             return parts;
         }
         for (DeferredRelease part : deferredReleases) {
-            KeyRanges.intersect(part.range, holding.range()).ifPresent(common -> {
-                List<KeyRange> taken = new ArrayList<>(parts);
-                taken.addAll(barriersIn(common));
-                parts.addAll(KeyRanges.subtract(common, taken));
+            KeyRanges.intersect(part.range, heldRange.range()).ifPresent(common -> {
+                List<KeyRange> excluded = new ArrayList<>(parts);
+                excluded.addAll(barriersIn(common));
+                parts.addAll(KeyRanges.subtract(common, excluded));
             });
         }
         parts.sort(null);
         return parts;
     }
 
-    /** Only what overlaps is looked at closely: a service may have hundreds of ranges, and each event comes here. */
-    private List<KeyRange> allowedParts(HeldRange holding) {
+    /**
+     * The parts of a held range that the table allows this daemon to serve. Only overlapping assignments are
+     * intersected, because a service may have hundreds of ranges and this method runs for every event.
+     */
+    private List<KeyRange> allowedParts(HeldRange heldRange) {
         if (sealed) {
             return List.of();
         }
         List<KeyRange> parts = new ArrayList<>();
-        for (RangeAssignment assignment : owned) {
-            if (!assignment.range().overlaps(holding.range())) {
+        for (RangeAssignment assignment : ownAssignments) {
+            if (!assignment.range().overlaps(heldRange.range())) {
                 continue;
             }
-            boolean keeps = assignment.fence().equals(holding.fence())
-                    || (holding.phase() == Phase.SERVING
+            boolean mayServe = assignment.fence().equals(heldRange.fence())
+                    || (heldRange.phase() == Phase.SERVING
                             && assignment.previousOwners().isEmpty());
-            if (keeps) {
-                KeyRanges.intersect(assignment.range(), holding.range())
+            if (mayServe) {
+                KeyRanges.intersect(assignment.range(), heldRange.range())
                         .ifPresent(common -> parts.addAll(KeyRanges.subtract(common, barriersIn(common))));
             }
         }
@@ -372,46 +413,49 @@
         return overlapping;
     }
 
+    /**
+     * The assigned ranges that this daemon does not hold yet; known pending ranges keep the answers received so far.
+     */
     private Map<PendingRange.Id, PendingRange> findPending() {
         Map<PendingRange.Id, PendingRange> next = new LinkedHashMap<>();
         if (sealed) {
             return next;
         }
-        for (RangeAssignment assignment : owned) {
-            List<HeldRange> held = heldRanges.stream()
+        for (RangeAssignment assignment : ownAssignments) {
+            List<HeldRange> overlapping = heldRanges.stream()
                     .filter(h -> h.range().overlaps(assignment.range()))
                     .toList();
-            if (held.stream().anyMatch(h -> h.phase() != Phase.SERVING)) {
+            if (overlapping.stream().anyMatch(h -> h.phase() != Phase.SERVING)) {
                 continue;
             }
-            List<KeyRange> taken = new ArrayList<>(barriersIn(assignment.range()));
-            held.forEach(h -> taken.add(h.range()));
-            for (KeyRange gap : KeyRanges.subtract(assignment.range(), taken)) {
+            List<KeyRange> excluded = new ArrayList<>(barriersIn(assignment.range()));
+            overlapping.forEach(h -> excluded.add(h.range()));
+            for (KeyRange gap : KeyRanges.subtract(assignment.range(), excluded)) {
                 PendingRange.Id id = new PendingRange.Id(gap, assignment.fence(), assignment.previousOwners());
-                PendingRange known = pending.get(id);
-                next.put(id, known != null ? known : new PendingRange(id));
+                PendingRange existing = pending.get(id);
+                next.put(id, existing != null ? existing : new PendingRange(id));
             }
         }
         return next;
     }
 
     /**
-     * The generation of the table if nothing that it takes from this daemon is still held, else {@link
-     * Generation#NONE}.
+     * The generation of the table, or {@link Generation#NONE} while this daemon still holds a range that the table does
+     * not assign to it.
      */
     public Generation appliedGeneration() {
         reconcileIfNeeded();
-        boolean unsettled = heldRanges.stream()
+        boolean transferPending = heldRanges.stream()
                 .anyMatch(h -> h.phase() == Phase.RELEASING
                         || !KeyRanges.subtract(h.range(), allowedParts(h)).isEmpty());
-        return unsettled ? Generation.NONE : table.generation();
+        return transferPending ? Generation.NONE : table.generation();
     }
 
     public AssignmentTable table() {
         return table;
     }
 
-    /** Whether the gate may hold, get or lose any range. */
+    /** Whether there are neither held nor pending ranges. */
     public boolean isIdle() {
         reconcileIfNeeded();
         return heldRanges.isEmpty() && pending.isEmpty();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -7,8 +7,8 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -18,16 +18,16 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Takes and renews the planner object in the store.
+ * Takes over and renews the planner role by writing the planner object in the store.
  *
- * <p>Not thread safe: used on the planner duty, to which completions of the store are posted. A failed or unanswered
- * write is resolved by reading the object back.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too.
+ * After a failed or unanswered write the object is read back to find out whether the write took effect.
  */
 public final class PlannerRole {
     private final MemberId self;
     private final ObjectStore store;
     private final MonotonicClock clock;
-    private final Consumer<Runnable> post;
+    private final Consumer<Runnable> enqueue;
     private final PlannerElection election;
     private final long ownRankHash;
 
@@ -35,22 +35,23 @@
             MemberId self,
             ObjectStore store,
             MonotonicClock clock,
-            Consumer<Runnable> post,
-            PlannerElection.Options delays) {
+            Consumer<Runnable> enqueue,
+            PlannerElection.Options options) {
         this.self = self;
         this.store = store;
         this.clock = clock;
-        this.post = post;
+        this.enqueue = enqueue;
         this.ownRankHash = rankHash(self);
-        this.election = new PlannerElection(self, delays);
+        this.election = new PlannerElection(self, options);
     }
 
+    /** Whether this daemon holds the planner role now. */
     public boolean isHolder() {
         return election.isHolder(clock.nowMs());
     }
 
-    /** Does what is due; called at each tick. */
-    public void step(RoutingSnapshot snapshot) {
+    /** Performs the store operation that is due, if any. Called periodically and after each change of the snapshot. */
+    public void update(RoutingSnapshot snapshot) {
         boolean eligible = snapshot.member(self).map(Member::state).orElse(null) == MemberState.ACTIVE;
         boolean holderLost = election.holder()
                 .flatMap(snapshot::member)
@@ -63,7 +64,10 @@
         }
     }
 
-    /** Position among the active members by a hash of the id, so that neighbours in one host group rank apart. */
+    /**
+     * Position of this daemon among the active members, ordered by a hash of their ids, so that neighbouring members of
+     * a host group do not get adjacent ranks.
+     */
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
                 .map(VersionedMember::member)
@@ -80,7 +84,7 @@
     private void read() {
         election.readStarted();
         store.get(ObjectNames.PLANNER)
-                .whenComplete((found, failure) -> post.accept(() -> {
+                .whenComplete((found, failure) -> enqueue.accept(() -> {
                     if (failure != null) {
                         election.callFailed(clock.nowMs());
                     } else {
@@ -102,7 +106,7 @@
     private void write() {
         PlannerRecord record = election.writeStarted(clock.nowMs());
         store.put(ObjectNames.PLANNER, JsonCodec.encode(record), election.revision())
-                .whenComplete((revision, failure) -> post.accept(() -> {
+                .whenComplete((revision, failure) -> enqueue.accept(() -> {
                     if (failure == null) {
                         election.writeDone(record, revision);
                     } else {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -13,57 +13,69 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Load of the ranges of a table, from reports whose ranges may be those of an older table. Stateless and thread safe.
+ * Computes the load of the ranges of a table from load reports, whose ranges may be those of an older table. Stateless
+ * and thread safe.
  */
 public final class RangeLoads {
     /**
      * Load of a range. Immutable.
      *
-     * @param evenPerSecond requests per second without the hot hashes, taken as evenly spread
+     * @param evenPerSecond requests per second except those of the hot hashes, assumed to be evenly distributed over
+     *     the range
+     * @param hotHashes the hashes with the highest rates
      */
-    public record Load(double evenPerSecond, List<HotHash> hot) {
+    public record Load(double evenPerSecond, List<HotHash> hotHashes) {
         static final Load NONE = new Load(0, List.of());
 
         public Load {
-            hot = List.copyOf(hot);
+            hotHashes = List.copyOf(hotHashes);
         }
 
+        /** The load in requests per second, including the hot hashes. */
         public double perSecond() {
             double sum = evenPerSecond;
-            for (HotHash h : hot) {
-                sum += h.requestsPerSecond();
+            for (HotHash hotHash : hotHashes) {
+                sum += hotHash.requestsPerSecond();
             }
             return sum;
         }
 
-        /** The load of a part of the range that has this load. */
+        /** The load of a part of a range, where {@code whole} has this load. */
         Load partOf(KeyRange whole, KeyRange part) {
             double fraction = Math.min(1, part.share() / whole.share());
             return new Load(
                     evenPerSecond * fraction,
-                    hot.stream().filter(h -> part.contains(h.hash())).toList());
+                    hotHashes.stream().filter(h -> part.contains(h.hash())).toList());
         }
 
         Load plus(Load other) {
             return new Load(
                     evenPerSecond + other.evenPerSecond,
-                    Stream.concat(hot.stream(), other.hot.stream()).toList());
+                    Stream.concat(hotHashes.stream(), other.hotHashes.stream()).toList());
         }
     }
 
     private RangeLoads() {}
 
-    static List<Load> of(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
+    /**
+     * The load of each assignment of a table. If the owner of a range reports no load for it and the range has previous
+     * owners, the reports of all members are used.
+     */
+    static List<Load> loadsOf(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
         List<RangeLoad> all = reports.values().stream().flatMap(List::stream).toList();
         List<Load> loads = new ArrayList<>(table.assignments().size());
-        for (RangeAssignment a : table.assignments()) {
-            Load own = sum(a.range(), reports.getOrDefault(a.owner(), List.of()));
-            loads.add(own.perSecond() > 0 || a.previousOwners().isEmpty() ? own : sum(a.range(), all));
+        for (RangeAssignment assignment : table.assignments()) {
+            Load own = loadOf(assignment.range(), reports.getOrDefault(assignment.owner(), List.of()));
+            loads.add(
+                    own.perSecond() > 0 || assignment.previousOwners().isEmpty()
+                            ? own
+                            : loadOf(assignment.range(), all));
         }
         return loads;
     }
 
-    private static Load sum(KeyRange range, List<RangeLoad> reported) {
+    /** The reported load of a range, in proportion to the overlap with the reported ranges. */
+    private static Load loadOf(KeyRange range, List<RangeLoad> reported) {
         Load sum = Load.NONE;
         for (RangeLoad load : reported) {
             KeyRange common = KeyRanges.intersect(load.range(), range).orElse(null);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StaticPolicy.java
@@ -13,11 +13,12 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Baseline: weighted rendezvous hashing of equal ranges, whose number is a power of two; ignores load. Stateless and
- * thread safe.
+ * Baseline policy that ignores load: weighted rendezvous hashing of ranges of equal size, whose number is a power of
+ * two. Stateless and thread safe.
  */
 public final class StaticPolicy implements PlacementPolicy {
-    private static final double UNIT = 0x1.0p-53;
+    /** Scales a 53-bit integer to a double between 0 and 1. */
+    private static final double UNIT_SCALE = 0x1.0p-53;
 
     @Override
     public List<PlacedRange> place(PlacementInput input) {
@@ -38,17 +39,18 @@
         return placed;
     }
 
+    /** Score of a member for a bucket; the member with the highest score owns the bucket. */
     private static double score(KeyHash bucket, MemberId member, double weight) {
         long seed = bucket.value();
         for (int i = 0; i < member.value().length(); i++) {
-            seed = mix(seed * 31 + member.value().charAt(i));
+            seed = mix64(seed * 31 + member.value().charAt(i));
         }
-        double uniform = ((seed >>> 11) + 0.5) * UNIT;
+        double uniform = ((seed >>> 11) + 0.5) * UNIT_SCALE;
         return -weight / Math.log(uniform);
     }
 
-    /** The finalizer of SplitMix64. */
-    private static long mix(long value) {
+    /** The mixing function of the SplitMix64 generator. */
+    private static long mix64(long value) {
         long z = value + 0x9E3779B97F4A7C15L;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
         z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -17,32 +17,39 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Spreads neighbouring keys over all servers in narrow stripes, for services whose positions keep the order of keys and
- * whose busy keys lie close together.
+ * Distributes adjacent keys over all servers in narrow stripes. It suits services whose hashes preserve the order of
+ * keys and whose hot keys are close together.
  *
- * <p>Hot spots last for seconds, less than it takes to notice them and to move their ranges. So the stripes are laid out
- * in advance such that a hot spot falls on several servers, and ranges move only when servers come and go. Stateless and
- * thread safe.
+ * <p>A hot spot lasts for seconds, which is less than it takes to detect it and to move its ranges. So the stripes are
+ * laid out in advance so that a hot spot is shared by several servers, and ranges move only when servers join or leave.
+ * Stateless and thread safe.
  */
 public final class StripePolicy implements PlacementPolicy {
-    /** A server takes its grants in one message of some kilobytes, which bounds its ranges. */
+    /** Bounded because a server receives the grants of all its ranges in one message of a few kilobytes. */
     private static final int STRIPES_PER_MEMBER = 100;
 
-    /** Bounds the size of the table. */
+    /** Bound on the number of stripes, which limits the size of the table. */
     private static final int MAX_STRIPES = 800;
 
-    /** Ranges of a server above which neighbours are merged. */
+    /** Number of ranges of a server above which its adjacent ranges are merged. */
     private static final int MERGE_ABOVE_PER_MEMBER = 120;
 
-    /** Share below the fair one at which a server gets more stripes, as after a join. */
-    private static final double FILL_BELOW = 0.6;
+    /** Fraction of its fair share below which a server, such as one that has just joined, gets more stripes. */
+    private static final double FILL_THRESHOLD = 0.6;
 
-    /** Part of a fair share by which a neighbour's owner must have less than others to get a stripe. */
-    private static final double NEIGHBOUR_COST = 0.05;
+    /**
+     * Added to the relative share of the owners of adjacent stripes when the new owner of a stripe is chosen; as a
+     * fraction of the fair share.
+     */
+    private static final double NEIGHBOUR_PENALTY = 0.05;
 
     private static final String KEPT = "kept";
 
-    /** A range and its owner in the wanted table. */
+    /**
+     * A range and its owner in the wanted table.
+     *
+     * @param stable whether no transfer of the range is in progress
+     */
     private record Stripe(KeyRange range, MemberId owner, boolean stable, String reason) {
         Stripe withOwner(MemberId newOwner, String newReason) {
             return new Stripe(range, newOwner, false, newReason);
@@ -63,45 +70,46 @@
             stripes.add(new Stripe(a.range(), a.owner(), a.previousOwners().isEmpty(), KEPT));
         }
         reassignOrphans(stripes, weights);
-        fillJoiners(stripes, weights);
-        return merged(stripes).stream()
+        fillUnderloaded(stripes, weights);
+        return mergeNeighbours(stripes).stream()
                 .map(s -> new PlacedRange(s.range(), s.owner(), s.reason()))
                 .toList();
     }
 
-    /** Stripes of equal width; servers take turns in proportion to their weights. */
+    /** The first placement: stripes of equal width, assigned by weighted round-robin. */
     private static List<PlacedRange> initialLayout(Map<MemberId, Double> weights) {
         int count = Math.min(MAX_STRIPES, STRIPES_PER_MEMBER * weights.size());
         List<Double> parts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             parts.add(1.0);
         }
-        Map<MemberId, Double> credit = new HashMap<>();
+        Map<MemberId, Double> credits = new HashMap<>();
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
         List<PlacedRange> placed = new ArrayList<>();
         for (KeyRange range : KeyRanges.divide(parts)) {
-            weights.forEach((member, weight) -> credit.merge(member, weight, Double::sum));
+            weights.forEach((member, weight) -> credits.merge(member, weight, Double::sum));
             MemberId next = weights.keySet().stream()
-                    .max(Comparator.comparingDouble((MemberId m) -> credit.get(m))
+                    .max(Comparator.comparingDouble((MemberId m) -> credits.get(m))
                             .thenComparing(Comparator.reverseOrder()))
                     .orElseThrow();
-            credit.merge(next, -total, Double::sum);
+            credits.merge(next, -total, Double::sum);
             placed.add(new PlacedRange(range, next, "initial"));
         }
         return placed;
     }
 
     /**
-     * Shares the stripes of lost servers among the others. A neighbour's owner gets one only if it has clearly less than
-     * others, unless there are so many stripes that they have to be joined.
+     * Distributes the stripes of servers that are no longer candidates to the others. A server that owns an adjacent
+     * stripe gets one only if its share is clearly lower than that of the others. If there are so many stripes that
+     * they have to be merged, such a server is preferred.
      */
     private static void reassignOrphans(List<Stripe> stripes, Map<MemberId, Double> weights) {
         Map<MemberId, Double> shares = shares(stripes);
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        boolean join = stripes.size() > MERGE_ABOVE_PER_MEMBER * weights.size();
-        double neighbourCost = join ? -NEIGHBOUR_COST : NEIGHBOUR_COST;
+        boolean mergeNeeded = stripes.size() > MERGE_ABOVE_PER_MEMBER * weights.size();
+        double neighbourPenalty = mergeNeeded ? -NEIGHBOUR_PENALTY : NEIGHBOUR_PENALTY;
         for (int i = 0; i < stripes.size(); i++) {
             Stripe stripe = stripes.get(i);
             if (weights.containsKey(stripe.owner())) {
@@ -111,7 +119,7 @@
             MemberId owner = weights.keySet().stream()
                     .min(Comparator.comparingDouble(
                                     (MemberId m) -> shares.getOrDefault(m, 0.0) / (weights.get(m) / total)
-                                            + (neighbours.contains(m) ? neighbourCost : 0))
+                                            + (neighbours.contains(m) ? neighbourPenalty : 0))
                             .thenComparing(Comparator.naturalOrder()))
                     .orElseThrow();
             shares.merge(owner, stripe.range().share(), Double::sum);
@@ -130,27 +138,32 @@
         return owners;
     }
 
-    /** Gives stripes from all over the key space to servers that have far less than their share. */
-    private static void fillJoiners(List<Stripe> stripes, Map<MemberId, Double> weights) {
+    /**
+     * Reassigns stripes that are spread over the whole hash space to servers that have far less than their fair share.
+     */
+    private static void fillUnderloaded(List<Stripe> stripes, Map<MemberId, Double> weights) {
         double total =
                 weights.values().stream().mapToDouble(Double::doubleValue).sum();
         Map<MemberId, Double> shares = shares(stripes);
-        for (MemberId joiner : weights.keySet()) {
-            double fair = weights.get(joiner) / total;
-            if (shares.getOrDefault(joiner, 0.0) >= FILL_BELOW * fair) {
+        for (MemberId receiver : weights.keySet()) {
+            double fairShare = weights.get(receiver) / total;
+            if (shares.getOrDefault(receiver, 0.0) >= FILL_THRESHOLD * fairShare) {
                 continue;
             }
-            for (int i = 0; i < stripes.size() && shares.getOrDefault(joiner, 0.0) < fair; i++) {
+            for (int i = 0; i < stripes.size() && shares.getOrDefault(receiver, 0.0) < fairShare; i++) {
                 Stripe stripe = stripes.get(i);
-                double donorFair = weights.get(stripe.owner()) / total;
+                double donorFairShare = weights.get(stripe.owner()) / total;
                 double width = stripe.range().share();
-                double passed = (double) (i + 1) / stripes.size();
-                boolean behind = shares.getOrDefault(joiner, 0.0) + width <= fair * passed + width;
-                boolean spares = shares.get(stripe.owner()) - width >= donorFair;
-                if (stripe.stable() && spares && behind && !stripe.owner().equals(joiner)) {
+                double visitedFraction = (double) (i + 1) / stripes.size();
+                boolean belowQuota = shares.getOrDefault(receiver, 0.0) + width <= fairShare * visitedFraction + width;
+                boolean donorHasSurplus = shares.get(stripe.owner()) - width >= donorFairShare;
+                if (stripe.stable()
+                        && donorHasSurplus
+                        && belowQuota
+                        && !stripe.owner().equals(receiver)) {
                     shares.merge(stripe.owner(), -width, Double::sum);
-                    shares.merge(joiner, width, Double::sum);
-                    stripes.set(i, stripe.withOwner(joiner, "server-joins"));
+                    shares.merge(receiver, width, Double::sum);
+                    stripes.set(i, stripe.withOwner(receiver, "server-joins"));
                 }
             }
         }
@@ -162,22 +175,22 @@
         return shares;
     }
 
-    /** Joins neighbours of one owner that has too many ranges. */
-    private static List<Stripe> merged(List<Stripe> stripes) {
+    /** Merges adjacent stripes of each owner that has too many ranges. */
+    private static List<Stripe> mergeNeighbours(List<Stripe> stripes) {
         Map<MemberId, Integer> counts = new HashMap<>();
         stripes.forEach(s -> counts.merge(s.owner(), 1, Integer::sum));
         List<Stripe> result = new ArrayList<>();
         for (Stripe stripe : stripes) {
             Optional<Stripe> last = result.isEmpty() ? Optional.empty() : Optional.of(result.get(result.size() - 1));
-            boolean joins = last.isPresent()
+            boolean mergeable = last.isPresent()
                     && last.get().owner().equals(stripe.owner())
                     && last.get().stable()
                     && stripe.stable()
                     && counts.get(stripe.owner()) > MERGE_ABOVE_PER_MEMBER;
-            if (joins) {
+            if (mergeable) {
                 counts.merge(stripe.owner(), -1, Integer::sum);
-                KeyRange joined = KeyRanges.join(last.get().range(), stripe.range());
-                result.set(result.size() - 1, new Stripe(joined, stripe.owner(), true, KEPT));
+                KeyRange mergedRange = KeyRanges.join(last.get().range(), stripe.range());
+                result.set(result.size() - 1, new Stripe(mergedRange, stripe.owner(), true, KEPT));
             } else {
                 result.add(stripe);
             }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -25,20 +25,25 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Decides on the next table of one service. Stateless and thread safe.
+ * Decides on the next assignment table of one service. Stateless and thread safe.
  *
- * <p>Order of decisions: withdrawal, first table, takeover from lost owners, then the policy together with the
- * clearing of previous owners. A takeover changes only ranges of lost owners. The ranges of a lost owner whose host has
- * joined again go back to it.
+ * <p>The first of these decisions that applies is made: withdrawal of the service, first table, takeover of the ranges
+ * of lost owners, or the changes of the placement policy together with the removal of previous owners that no longer
+ * hold a range. A takeover changes only the ranges of lost owners. If the host of a lost owner has joined again, its
+ * new member gets the ranges back.
  */
 public final class TablePlanner {
     /**
-     * What is known of a service. Immutable.
+     * The input of a decision on one service; all times are monotonic, in milliseconds. Immutable.
      *
-     * @param members all known members
-     * @param removed members that are certainly sealed or deleted
+     * @param members all known members, of any service
+     * @param removed members whose record is sealed or missing in the store
+     * @param table current table of the service
      * @param reports latest load report by member
-     * @param candidatesSinceMs monotonic time since which the candidates are the same
+     * @param lastChangeMs time of the last change by the placement policy
+     * @param imbalancedSinceMs time since which the imbalance has been above the target without a break; {@code nowMs}
+     *     if it is not above it
+     * @param candidatesSinceMs time since which the candidates have been the same
      */
     public record View(
             Configuration configuration,
@@ -57,16 +62,21 @@
         }
     }
 
-    /** A kind of change of a table. */
+    /** The kind of a decision. */
     public enum Kind {
+        /** All assignments are removed, because the service is no longer keyed or configured. */
         WITHDRAW,
+        /** Ranges are assigned for the first time, or again after a withdrawal. */
         FIRST_TABLE,
+        /** The ranges of sealed or deleted owners are assigned to other members. */
         TAKEOVER,
+        /** The placement policy changes owners. */
         POLICY,
+        /** No owner changes; previous owners that no longer hold a range are removed, or ranges are merged. */
         CLEAR
     }
 
-    /** The next table and what changes. Immutable. */
+    /** The next table and the changes of owners in it. Immutable. */
     public record Decision(Kind kind, AssignmentTable table, List<TableBuilder.Change> changes) {
         public Decision {
             changes = List.copyOf(changes);
@@ -79,33 +89,37 @@
     private final PlacementPolicy policy;
     private final long firstTableDelayMs;
 
-    public TablePlanner(PlacementPolicy policy, long settleMs) {
+    /** @param firstTableDelayMs how long the candidates must stay the same before the first table of a service */
+    public TablePlanner(PlacementPolicy policy, long firstTableDelayMs) {
         this.policy = policy;
-        this.firstTableDelayMs = settleMs;
+        this.firstTableDelayMs = firstTableDelayMs;
     }
 
-    /** The members that may get ranges of a service, sorted by id. */
+    /** The members that ranges of the service may be assigned to, sorted by id. */
     public static List<Member> candidates(View view) {
         return view.members().values().stream()
-                .filter(m -> m.state() == MemberState.ACTIVE && !view.removed().contains(m.id()))
-                .filter(m -> serves(m, view.table())
+                .filter(member ->
+                        member.state() == MemberState.ACTIVE && !view.removed().contains(member.id()))
+                .filter(member -> serves(member, view.table())
                         && !view.configuration()
-                                .isDraining(m.backend().orElseThrow().name())
-                        && ServerWeights.of(view.configuration(), m) > 0)
+                                .isDraining(member.backend().orElseThrow().name())
+                        && ServerWeights.of(view.configuration(), member) > 0)
                 .sorted((a, b) -> a.id().compareTo(b.id()))
                 .toList();
     }
 
     private static boolean serves(Member member, AssignmentTable table) {
-        return member.backend().map(b -> b.service().equals(table.service())).orElse(false);
+        return member.backend()
+                .map(backend -> backend.service().equals(table.service()))
+                .orElse(false);
     }
 
-    /** The next table, or empty if the present one stands. */
+    /** Decides on the next table; empty if the current table needs no change. */
     public Optional<Decision> decide(View view) {
         AssignmentTable table = view.table();
-        Optional<ServiceConfig> rules =
+        Optional<ServiceConfig> serviceConfig =
                 view.configuration().service(table.service()).filter(ServiceConfig::keyed);
-        if (rules.isEmpty()) {
+        if (serviceConfig.isEmpty()) {
             return table.assignments().isEmpty() ? Optional.empty() : Optional.of(withdraw(table));
         }
         List<Member> candidates = candidates(view);
@@ -115,16 +129,17 @@
         if (table.assignments().isEmpty() && view.nowMs() - view.candidatesSinceMs() < firstTableDelayMs) {
             return Optional.empty();
         }
-        List<RangeAssignment> current = TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
+        List<RangeAssignment> current =
+                TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
         List<PlacedRange> wanted = validated(
                 RangeAlignment.align(
-                        policy.place(input(view, candidates, current)),
-                        rules.get().keySpaceBits()),
+                        policy.place(policyInput(view, candidates, current)),
+                        serviceConfig.get().keySpaceBits()),
                 candidates);
-        boolean ownerLost =
-                table.assignments().stream().anyMatch(a -> view.removed().contains(a.owner()));
+        boolean ownerLost = table.assignments().stream()
+                .anyMatch(assignment -> view.removed().contains(assignment.owner()));
         if (ownerLost) {
-            return decisionIfChanged(view, Kind.TAKEOVER, current, takeover(view, current, wanted));
+            return decisionIfChanged(view, Kind.TAKEOVER, current, takeoverRanges(view, current, wanted));
         }
         Kind kind = table.assignments().isEmpty() ? Kind.FIRST_TABLE : Kind.POLICY;
         return decisionIfChanged(view, kind, current, wanted);
@@ -135,7 +150,7 @@
         return new Decision(Kind.WITHDRAW, new AssignmentTable(table.service(), next, List.of()), List.of());
     }
 
-    private static PlacementInput input(View view, List<Member> candidates, List<RangeAssignment> current) {
+    private static PlacementInput policyInput(View view, List<Member> candidates, List<RangeAssignment> current) {
         Map<MemberId, List<RangeLoad>> loads = new HashMap<>();
         view.reports().forEach((member, report) -> loads.put(member, report.ranges()));
         return new PlacementInput(
@@ -148,55 +163,59 @@
                 view.imbalancedSinceMs());
     }
 
-    /** Policies are plug-ins, so their output is checked before it can reach the store. */
+    /** Validates the output of a policy before it is written to the store, because policies are plug-ins. */
     private static List<PlacedRange> validated(List<PlacedRange> placed, List<Member> candidates) {
         Set<MemberId> allowed = new HashSet<>();
-        candidates.forEach(m -> allowed.add(m.id()));
+        candidates.forEach(member -> allowed.add(member.id()));
         KeyHash expected = KeyHash.MIN;
         for (int i = 0; i < placed.size(); i++) {
-            PlacedRange p = placed.get(i);
+            PlacedRange placedRange = placed.get(i);
             boolean last = i == placed.size() - 1;
-            if (!p.range().first().equals(expected)
-                    || last != p.range().last().equals(KeyHash.MAX)
-                    || !allowed.contains(p.owner())) {
-                throw new IllegalStateException("policy placed an invalid range: " + p);
+            if (!placedRange.range().first().equals(expected)
+                    || last != placedRange.range().last().equals(KeyHash.MAX)
+                    || !allowed.contains(placedRange.owner())) {
+                throw new IllegalStateException(
+                        "policy returned a range that leaves a gap, overlaps or has an owner that is not a candidate: "
+                                + placedRange);
             }
-            expected = KeyRanges.next(p.range().last());
+            expected = KeyRanges.next(placedRange.range().last());
         }
         if (placed.isEmpty()) {
-            throw new IllegalStateException("policy placed nothing although there are candidates");
+            throw new IllegalStateException("policy returned no ranges although there are candidates");
         }
         return placed;
     }
 
-    private static List<PlacedRange> takeover(View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
-        List<PlacedRange> taken = new ArrayList<>();
-        for (RangeAssignment a : current) {
-            if (!view.removed().contains(a.owner())) {
-                taken.add(new PlacedRange(a.range(), a.owner(), WorkingTable.KEPT));
+    /** Keeps the ranges of other owners, and assigns those of lost owners to their restarted members or as wanted. */
+    private static List<PlacedRange> takeoverRanges(
+            View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
+        List<PlacedRange> result = new ArrayList<>();
+        for (RangeAssignment assignment : current) {
+            if (!view.removed().contains(assignment.owner())) {
+                result.add(new PlacedRange(assignment.range(), assignment.owner(), WorkingTable.KEPT));
                 continue;
             }
-            Optional<MemberId> successor = successor(view, a.owner());
-            if (successor.isPresent()) {
-                taken.add(new PlacedRange(a.range(), successor.get(), OWNER_RESTARTED_REASON));
+            Optional<MemberId> restarted = restartedMember(view, assignment.owner());
+            if (restarted.isPresent()) {
+                result.add(new PlacedRange(assignment.range(), restarted.get(), OWNER_RESTARTED_REASON));
                 continue;
             }
-            for (PlacedRange p : wanted) {
-                Optional<KeyRange> common = KeyRanges.intersect(p.range(), a.range());
-                common.ifPresent(range -> taken.add(new PlacedRange(range, p.owner(), OWNER_LOST_REASON)));
+            for (PlacedRange placedRange : wanted) {
+                Optional<KeyRange> common = KeyRanges.intersect(placedRange.range(), assignment.range());
+                common.ifPresent(range -> result.add(new PlacedRange(range, placedRange.owner(), OWNER_LOST_REASON)));
             }
         }
-        return taken;
+        return result;
     }
 
-    /** The candidate at the address of a lost member. */
-    private static Optional<MemberId> successor(View view, MemberId lost) {
-        Member former = view.members().get(lost);
-        if (former == null) {
+    /** The candidate that has the peer address of a lost member, so that it runs on the same host. */
+    private static Optional<MemberId> restartedMember(View view, MemberId lost) {
+        Member lostMember = view.members().get(lost);
+        if (lostMember == null) {
             return Optional.empty();
         }
         return candidates(view).stream()
-                .filter(m -> m.peerAddress().equals(former.peerAddress()))
+                .filter(member -> member.peerAddress().equals(lostMember.peerAddress()))
                 .map(Member::id)
                 .findFirst();
     }
@@ -204,7 +223,8 @@
     private static Optional<Decision> decisionIfChanged(
             View view, Kind kind, List<RangeAssignment> current, List<PlacedRange> wanted) {
         AssignmentTable table = view.table();
-        TableBuilder.Result result = TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
+        TableBuilder.Result result =
+                TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
         if (result.table().assignments().equals(table.assignments())) {
             return Optional.empty();
         }
@@ -213,8 +233,8 @@
     }
 
     /**
-     * Members that may still serve hashes which the table assigns to nobody, as after a withdrawal: all of the service
-     * that have not reported that they gave up everything.
+     * Members that may still serve hashes that the table assigns to no member, as after a withdrawal. These are all
+     * members of the service that have not reported, for the current table, that they serve no ranges.
      */
     private static Set<MemberId> potentialHolders(View view) {
         Set<MemberId> holders = new HashSet<>();
@@ -223,24 +243,27 @@
         }
         for (Member member : view.members().values()) {
             LoadReport report = view.reports().get(member.id());
-            boolean settled = report != null
+            boolean releasedAll = report != null
                     && report.ranges().isEmpty()
                     && report.tableGeneration().compareTo(view.table().generation()) >= 0;
-            if (serves(member, view.table()) && !settled) {
+            if (serves(member, view.table()) && !releasedAll) {
                 holders.add(member.id());
             }
         }
         return holders;
     }
 
-    /** Highest load over fair load of the candidates; 0 without load. */
+    /** The load of the most loaded candidate over its fair load; 0 if there is no candidate or no assignment. */
     public static double imbalance(View view) {
         List<Member> candidates = candidates(view);
         if (candidates.isEmpty() || view.table().assignments().isEmpty()) {
             return 0;
         }
         WorkingTable table =
-                new WorkingTable(input(view, candidates, view.table().assignments()));
-        return table.weights().keySet().stream().mapToDouble(table::loadRatio).max().orElse(0);
+                new WorkingTable(policyInput(view, candidates, view.table().assignments()));
+        return table.weights().keySet().stream()
+                .mapToDouble(table::loadRatio)
+                .max()
+                .orElse(0);
     }
 }
