--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
@@ -32,9 +32,7 @@
      */
     CompletableFuture<Long> grant(Grant grant);
 
-    /**
-     * Returns and removes the handover tokens of released ranges that overlap a range and whose tokens have arrived.
-     */
+    /** Returns and removes the handover tokens received so far for released ranges that overlap a range. */
     default List<Handover> takeHandovers(KeyRange range) {
         return List.of();
     }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/CrankException.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/CrankException.java
@@ -28,14 +28,14 @@
      * {@link ResultCode#INTERNAL}.
      */
     public static CrankException of(Throwable failure) {
-        Throwable current = failure;
-        while ((current instanceof CompletionException || current instanceof ExecutionException)
-                && current.getCause() != null) {
-            current = current.getCause();
+        Throwable cause = failure;
+        while ((cause instanceof CompletionException || cause instanceof ExecutionException)
+                && cause.getCause() != null) {
+            cause = cause.getCause();
         }
-        if (current instanceof CrankException) {
-            return (CrankException) current;
+        if (cause instanceof CrankException) {
+            return (CrankException) cause;
         }
-        return new CrankException(ResultCode.INTERNAL, String.valueOf(current), current);
+        return new CrankException(ResultCode.INTERNAL, String.valueOf(cause), cause);
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/log/DecisionLog.java
@@ -40,9 +40,9 @@
 
     /** Starts a new window after one second and logs how many lines the previous window dropped. */
     private void rollWindow() {
-        long now = clock.nowNanos();
-        long start = windowStartNanos.get();
-        if (now - start < NANOS_PER_SECOND || !windowStartNanos.compareAndSet(start, now)) {
+        long nowNanos = clock.nowNanos();
+        long startNanos = windowStartNanos.get();
+        if (nowNanos - startNanos < NANOS_PER_SECOND || !windowStartNanos.compareAndSet(startNanos, nowNanos)) {
             return;
         }
         long suppressed = linesInWindow.getAndSet(0) - maxLinesPerSecond;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Asks a witness to stop voting for the lease of a member at a record revision, so that the sender can take over.
- * Immutable.
+ * Sent by a daemon that takes over a member: asks a witness to acknowledge no further heartbeat with this record
+ * revision of the member or an older one. Immutable.
  */
 public record RefusalRequest(MemberId member, Revision recordRevision) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
@@ -45,7 +45,7 @@
      * Grants a range to the backend server and starts serving it. Completes when the range is served; fails if the
      * grant fails, and may then be called again.
      */
-    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited);
+    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords records);
 
     /**
      * Stops admitting requests for a range, which may be part of a served range, waits for the requests in flight,
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
@@ -30,24 +30,24 @@
     /**
      * Loads the settings of a program, or ends the process if they are invalid or only help or version was requested.
      */
-    public static <T extends Settings> T loadOrExit(String program, T bean, String[] arguments) {
-        OptionalInt exitCode = of(program).load(bean, List.of(arguments), System.getenv());
+    public static <T extends Settings> T loadOrExit(String program, T settings, String[] arguments) {
+        OptionalInt exitCode = of(program).load(settings, List.of(arguments), System.getenv());
         if (exitCode.isPresent()) {
             System.exit(exitCode.getAsInt());
         }
-        return bean;
+        return settings;
     }
 
     /**
      * Loads settings. Returns an exit code if the program must not run, because its output is already complete; empty
      * otherwise.
      */
-    public OptionalInt load(Settings bean, List<String> arguments, Map<String, String> environment) {
+    public OptionalInt load(Settings settings, List<String> arguments, Map<String, String> environment) {
         if (arguments.contains(HELP)) {
             out.println("usage: " + program + " " + synopsis);
             out.println("Each flag may also be given as an environment variable, such as "
-                    + SettingsLoader.variableName(SettingsLoader.flags(bean).get(0)) + ".");
-            out.println(SettingsLoader.usage(bean));
+                    + SettingsLoader.variableName(SettingsLoader.flags(settings).get(0)) + ".");
+            out.println(SettingsLoader.usage(settings));
             return OptionalInt.of(0);
         }
         if (arguments.contains(VERSION)) {
@@ -55,7 +55,7 @@
             return OptionalInt.of(0);
         }
         try {
-            SettingsLoader.load(bean, arguments, environment);
+            SettingsLoader.load(settings, arguments, environment);
             return OptionalInt.empty();
         } catch (CrankException e) {
             err.println(e.code() + " (" + e.code().number() + "):\n" + e.getMessage());
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/SettingsLoader.java
@@ -24,26 +24,26 @@
     /**
      * Fills and validates settings.
      *
-     * @param bean receives the values; a field without flag and variable keeps its default
+     * @param settings receives the values; a field without flag and variable keeps its default
      * @param arguments flags as {@code --name value} or {@code --name=value}
      * @throws CrankException with {@link ResultCode#SETTING_INVALID} and one line for each error
      */
-    public static <T extends Settings> T load(T bean, List<String> arguments, Map<String, String> environment) {
+    public static <T extends Settings> T load(T settings, List<String> arguments, Map<String, String> environment) {
         ValidationErrors errors = new ValidationErrors();
-        CmdLineParser parser = new CmdLineParser(bean);
+        CmdLineParser parser = new CmdLineParser(settings);
         for (OptionHandler<?> handler : parser.getOptions()) {
             String flag = ((NamedOptionDef) handler.option).name();
             String value = environment.get(variableName(flag));
             if (value != null) {
-                parseValue(bean, flag, value, variableName(flag), errors);
+                parseValue(settings, flag, value, variableName(flag), errors);
             }
         }
-        parseArguments(bean, arguments, errors);
-        bean.validate(errors);
+        parseArguments(settings, arguments, errors);
+        settings.validate(errors);
         if (!errors.isEmpty()) {
             throw new CrankException(ResultCode.SETTING_INVALID, String.join("\n", errors.messages()));
         }
-        return bean;
+        return settings;
     }
 
     /** Name of the environment variable that corresponds to a flag. */
@@ -52,8 +52,8 @@
     }
 
     /** Names of the flags, sorted. */
-    static List<String> flags(Settings bean) {
-        return new CmdLineParser(bean)
+    static List<String> flags(Settings settings) {
+        return new CmdLineParser(settings)
                 .getOptions().stream()
                         .map(handler -> ((NamedOptionDef) handler.option).name())
                         .sorted()
@@ -61,14 +61,14 @@
     }
 
     /** Usage text of the flags. */
-    public static String usage(Settings bean) {
+    public static String usage(Settings settings) {
         StringWriter out = new StringWriter();
-        new CmdLineParser(bean).printUsage(out, null);
+        new CmdLineParser(settings).printUsage(out, null);
         return out.toString();
     }
 
-    private static void parseArguments(Settings bean, List<String> arguments, ValidationErrors errors) {
-        List<String> flags = flags(bean);
+    private static void parseArguments(Settings settings, List<String> arguments, ValidationErrors errors) {
+        List<String> flags = flags(settings);
         List<String> remaining = new ArrayList<>(arguments);
         while (!remaining.isEmpty()) {
             String flag = remaining.remove(0);
@@ -80,11 +80,11 @@
                     skipValue(remaining);
                 }
             } else if (equalsSign >= 0) {
-                parseValue(bean, name, flag.substring(equalsSign + 1), name, errors);
+                parseValue(settings, name, flag.substring(equalsSign + 1), name, errors);
             } else if (remaining.isEmpty()) {
                 errors.add(flag, "needs a value");
             } else {
-                parseValue(bean, flag, remaining.remove(0), flag, errors);
+                parseValue(settings, flag, remaining.remove(0), flag, errors);
             }
         }
     }
@@ -102,9 +102,10 @@
         }
     }
 
-    private static void parseValue(Settings bean, String flag, String value, String source, ValidationErrors errors) {
+    private static void parseValue(
+            Settings settings, String flag, String value, String source, ValidationErrors errors) {
         try {
-            new CmdLineParser(bean).parseArgument(flag, value);
+            new CmdLineParser(settings).parseArgument(flag, value);
         } catch (CmdLineException e) {
             errors.add(source, e.getMessage());
         }
