--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
@@ -1,11 +1,11 @@
 package org.coriandercrank.control;
 
 import io.micrometer.core.instrument.MeterRegistry;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
-import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.Executor;
 import org.coriandercrank.control.internal.ControlContext;
 import org.coriandercrank.control.internal.ControlLoop;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.RoutingView;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.table.BackendInfo;
 
 /**
@@ -44,7 +44,8 @@
      * A control plane on a duty of its own that joins only after {@link #rejoin(JoinParameters)}. Until then it keeps its
      * view of the other members up to date.
      */
-    public static ControlPlane createWithDeferredJoin(ControlOptions options, HostIdentity identity, ControlDependencies services) {
+    public static ControlPlane createWithDeferredJoin(
+            ControlOptions options, HostIdentity identity, ControlDependencies services) {
         return create(options, identity, services, false);
     }
 
@@ -63,7 +64,11 @@
      * @param random source of member ids and jitter
      */
     public static ControlPlane create(
-            ControlOptions options, HostIdentity identity, ControlDependencies services, Executor executor, Random random) {
+            ControlOptions options,
+            HostIdentity identity,
+            ControlDependencies services,
+            Executor executor,
+            Random random) {
         ControlContext context = new ControlContext(options, identity, services, executor, random);
         return new ControlPlane(context, true, () -> {});
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlDependencies;
+import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -20,7 +20,11 @@
  * @param executor runs tasks one at a time; its thread is the control thread
  */
 public record ControlContext(
-        ControlOptions options, HostIdentity identity, ControlDependencies dependencies, Executor executor, Random random) {
+        ControlOptions options,
+        HostIdentity identity,
+        ControlDependencies dependencies,
+        Executor executor,
+        Random random) {
     private static final long REJECTED_RETRY_MS = 5;
     private static final double JITTER = 0.5;
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.control.ControlStatus;
-import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.control.IncarnationListener;
+import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
@@ -159,7 +159,8 @@
     }
 
     private void registerHandlers(PeerHandlers handlers) {
-        handlers.register(Heartbeat.class, (sender, heartbeat) -> context.submit(() -> handleHeartbeat(sender, heartbeat)));
+        handlers.register(
+                Heartbeat.class, (sender, heartbeat) -> context.submit(() -> handleHeartbeat(sender, heartbeat)));
         handlers.register(
                 RefusalRequest.class,
                 (sender, request) ->
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.control.IncarnationListener;
+import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.message.Heartbeat;
 import org.coriandercrank.kernel.message.HeartbeatAck;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.LeaseView;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
@@ -220,7 +220,8 @@
         desired = desired.withWitnesses(chooseWitnesses(false));
         holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), desired, nowNanos, mayResume));
         updateSelectionTimes(nowNanos);
-        context.log(() -> "event=join member=" + id + " state=" + desired.state() + " witnesses=" + desired.witnesses());
+        context.log(
+                () -> "event=join member=" + id + " state=" + desired.state() + " witnesses=" + desired.witnesses());
         perform(holder.get().tick(nowNanos));
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/RendezvousHash.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/RendezvousHash.java
@@ -18,8 +18,7 @@
 
     /** Order of members for the place; ties are broken by id. */
     public static Comparator<MemberId> comparator(String key) {
-        return Comparator.<MemberId>comparingLong(member -> hash(key, member))
-                .thenComparing(Comparator.naturalOrder());
+        return Comparator.<MemberId>comparingLong(member -> hash(key, member)).thenComparing(Comparator.naturalOrder());
     }
 
     static long hash(String key, MemberId member) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
@@ -47,7 +47,8 @@
 
     /** Answers a taker; a refused member is told, so that it can rewrite its record if it is alive. */
     public RefusalAnswer refuse(MemberId self, MemberId taker, RefusalRequest request) {
-        Witness.RefusalDecision decision = witness.requestRefusal(request.member(), request.recordRevision(), context.nowNanos());
+        Witness.RefusalDecision decision =
+                witness.requestRefusal(request.member(), request.recordRevision(), context.nowNanos());
         if (decision.granted()) {
             metrics.refusalGranted();
             context.log(() -> "event=refusal member=" + request.member() + " revision=" + request.recordRevision()
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/WitnessTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/WitnessTest.java
@@ -21,8 +21,10 @@
     void forgottenAcknowledgementStillDelaysRefusal() {
         witness.acceptHeartbeat(FIRST, new Revision(5), 0);
         witness.acceptHeartbeat(SECOND, new Revision(6), MS);
-        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_000 * MS).granted()).isFalse();
-        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_102 * MS).granted()).isTrue();
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_000 * MS).granted())
+                .isFalse();
+        assertThat(witness.requestRefusal(FIRST, new Revision(5), 2_102 * MS).granted())
+                .isTrue();
     }
 
     @Test
@@ -46,6 +48,7 @@
     @Test
     void takerWithOutdatedRevisionGetsNoRefusal() {
         witness.acceptHeartbeat(FIRST, new Revision(5), 0);
-        assertThat(witness.requestRefusal(FIRST, new Revision(4), 9_000 * MS).granted()).isFalse();
+        assertThat(witness.requestRefusal(FIRST, new Revision(4), 9_000 * MS).granted())
+                .isFalse();
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -13,23 +13,30 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * The lease of one incarnation as its holder sees it.
+ * State machine of the member that holds the lease of one incarnation.
  *
- * <p>Invariants: every write that may still take effect is conditional on the revision of the confirmed record, so at
- * most one of them takes effect; the lease needs a majority in the confirmed witness set and in the set of each such
- * write; at most one store operation is in flight. Each event returns the actions to carry out; the driver publishes
+ * <p>Each event method returns the actions that the driver must carry out. The driver publishes
  * {@link #validUntilNanos()} before it carries them out.
  *
- * <p>A holder may resume an incarnation of which a former process of the same host left a record. The lease of a resumed
- * incarnation holds only from its first own write on: that write proves that none of the former process can take effect.
+ * <p>Invariants:
  *
- * <p>Not thread safe. All times are of one monotonic clock, in nanoseconds.
+ * <ul>
+ *   <li>Every pending write is conditional on the revision of the confirmed record, so at most one of them takes effect.
+ *   <li>The lease needs a majority of votes in the confirmed witness set and in the witness set of each pending write.
+ *   <li>At most one store operation is in flight.
+ * </ul>
+ *
+ * <p>A holder may resume an incarnation whose record was written by an earlier process of the same host. The lease of a
+ * resumed incarnation is not valid before the first successful write of this process, because that write guarantees that
+ * no write of the earlier process can still take effect.
+ *
+ * <p>Not thread safe. All times are in nanoseconds of the same monotonic clock.
  */
 public final class LeaseHolder {
-    /** Limit of memory while the store answers reads but no writes. */
+    /** Bounds the memory used while the store answers reads but not writes. */
     private static final int MAX_PENDING_WRITES = 8;
 
-    /** A write that may have taken effect or may do so later. */
+    /** A write whose outcome is not known: it may have taken effect or may still do so. */
     private record PendingWrite(Member record, long sentAtNanos) {}
 
     private final LeaseTiming timing;
@@ -41,7 +48,7 @@
     private final boolean mayResume;
     private Optional<VersionedMember> confirmed = Optional.empty();
 
-    /** Revision of the record that a former process left. */
+    /** Revision of the record that an earlier process wrote; {@link Revision#NONE} if none was found. */
     private Revision inheritedRevision = Revision.NONE;
 
     private Member desired;
@@ -52,7 +59,7 @@
     private OptionalLong lastWriteNanos = OptionalLong.empty();
     private boolean ended;
 
-    /** Starts an incarnation; the first {@link #tick} writes the record. */
+    /** Starts a new incarnation; the first {@link #tick} writes its record. */
     public LeaseHolder(LeaseTiming timing, Member initial, long nowNanos) {
         this(timing, initial, nowNanos, false);
     }
@@ -60,8 +67,8 @@
     /**
      * Starts or resumes an incarnation.
      *
-     * @param mayResume whether a record of the same id was left by a former process of this host, which has certainly
-     *     ended
+     * @param mayResume whether the store may hold a record with the same id from an earlier process of this host; that
+     *     process must have ended
      */
     public LeaseHolder(LeaseTiming timing, Member initial, long nowNanos, boolean mayResume) {
         this.timing = timing;
@@ -72,7 +79,7 @@
         this.backoff = new StoreBackoff(timing, nowNanos, initial.id().hashCode());
     }
 
-    /** Time until which the lease holds; in the past if it does not. */
+    /** Returns the time until which the lease is valid; it lies in the past if the lease is not valid. */
     public long validUntilNanos() {
         if (ended || confirmed.isEmpty() || desired.state() == MemberState.SEALED) {
             return startNanos;
@@ -84,12 +91,12 @@
         return until;
     }
 
-    /** The record that the store is known to have had last. */
+    /** Returns the latest record that the store is known to have held; empty before the first confirmed write. */
     public Optional<VersionedMember> confirmed() {
         return confirmed;
     }
 
-    /** The content that the record is to have. */
+    /** Returns the record content that this holder tries to write. */
     public Member desired() {
         return desired;
     }
@@ -98,23 +105,27 @@
         return ended;
     }
 
-    /** When the heartbeat of the latest vote of a witness was sent. */
+    /** Returns when the heartbeat was sent that the witness acknowledged last. */
     public OptionalLong lastVoteNanos(MemberId witness) {
         return votes.lastVoteNanos(witness);
     }
 
     /**
-     * Sets the wanted content of the record. A new witness set is written once it has voted, so that the change does
-     * not interrupt the lease. {@link MemberState#SEALED} makes the lease invalid at once.
+     * Sets the desired content of the record.
+     *
+     * <p>A new witness set is written only after its members have voted, so that the change does not interrupt the lease.
+     * {@link MemberState#SEALED} invalidates the lease immediately.
+     *
+     * @throws IllegalArgumentException if the record belongs to another member
      */
     public void setDesired(Member newDesired) {
         if (!newDesired.id().equals(desired.id())) {
-            throw new IllegalArgumentException("record of another member: " + newDesired.id());
+            throw new IllegalArgumentException("the record belongs to another member: " + newDesired.id());
         }
         desired = newDesired;
     }
 
-    /** Sends due heartbeats and starts a due store operation. */
+    /** Sends heartbeats and starts a store operation if they are due. */
     public List<HolderAction> tick(long nowNanos) {
         List<HolderAction> actions = new ArrayList<>();
         if (ended) {
@@ -127,7 +138,7 @@
         return actions;
     }
 
-    /** Sends heartbeats at once, for example because they carry news. */
+    /** Sends heartbeats before they are due, for example to announce an update to the witnesses. */
     public List<HolderAction> heartbeatNow(long nowNanos) {
         List<HolderAction> actions = new ArrayList<>();
         if (!ended && confirmed.isPresent()) {
@@ -136,7 +147,7 @@
         return actions;
     }
 
-    /** Answer of a witness; unknown or old sequences have no effect. */
+    /** Handles the answer of a witness to a heartbeat; an answer to an unknown or old sequence number has no effect. */
     public List<HolderAction> heartbeatAnswered(MemberId witness, long sequence, boolean granted, long nowNanos) {
         if (granted) {
             votes.recordVote(witness, sequence);
@@ -145,7 +156,7 @@
         return refusalReceived(votes.revisionOf(sequence), nowNanos);
     }
 
-    /** A witness refused the member at a record revision. */
+    /** Handles the notice that a witness refuses this member at a record revision; the record is then rewritten. */
     public List<HolderAction> refusalReceived(Revision recordRevision, long nowNanos) {
         if (recordRevision.isNewerThan(refusedUpTo)) {
             refusedUpTo = recordRevision;
@@ -153,7 +164,7 @@
         return tick(nowNanos);
     }
 
-    /** The write took effect and got a revision. */
+    /** Handles a write that took effect and got a revision. */
     public List<HolderAction> writeSucceeded(long answeredOperation, Revision revision, long nowNanos) {
         if (!completeOperation(answeredOperation)) {
             return List.of();
@@ -162,7 +173,7 @@
         return confirm(new VersionedMember(write.record(), revision), write.sentAtNanos(), nowNanos);
     }
 
-    /** The write certainly had no effect. */
+    /** Handles a write that had no effect and will have none. */
     public void writeFailed(long answeredOperation, long nowNanos) {
         if (completeOperation(answeredOperation)) {
             pendingWrites.remove(pendingWrites.size() - 1);
@@ -170,20 +181,26 @@
         }
     }
 
-    /** The write may have taken effect or may do so later. */
+    /** Handles a write without an answer: it may have taken effect or may still do so. */
     public List<HolderAction> writeUnanswered(long answeredOperation, long nowNanos) {
         return scheduleReadBack(answeredOperation, nowNanos);
     }
 
     /**
-     * The record had another revision than expected. The write stays pending until the record is read, because a
-     * conflict can also be the answer to a second copy of a write that took effect.
+     * Handles a write that was rejected because the record had another revision than expected.
+     *
+     * <p>The write stays pending until the record has been read, because a write that took effect may have been delivered
+     * twice, and the answer to the second copy is a conflict.
      */
     public List<HolderAction> writeConflicted(long answeredOperation, long nowNanos) {
         return scheduleReadBack(answeredOperation, nowNanos);
     }
 
-    /** Result of reading the own record; empty if it does not exist. */
+    /**
+     * Handles the result of reading the own record.
+     *
+     * @param read empty if the record does not exist
+     */
     public List<HolderAction> readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
         if (!completeOperation(answeredOperation)) {
             return List.of();
@@ -211,12 +228,18 @@
         return confirm(read.get(), sentAtNanos.getAsLong(), nowNanos);
     }
 
+    /** Handles a failed read of the own record; the read is repeated later. */
     public void readFailed(long answeredOperation, long nowNanos) {
         if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
+    /**
+     * Continues with a record that was found before this process had a confirmed one. The record is confirmed if it holds
+     * a pending write of this process on top of the inherited revision. Otherwise it is the record of the earlier process,
+     * which the next write replaces.
+     */
     private List<HolderAction> resume(VersionedMember inherited, long nowNanos) {
         if (inherited.member().state() == MemberState.SEALED) {
             return end("sealed");
@@ -232,7 +255,7 @@
         return tick(nowNanos);
     }
 
-    /** The own record was seen as sealed. */
+    /** Handles the observation that the own record is sealed; ends the incarnation. */
     public List<HolderAction> recordSealed() {
         return ended ? List.of() : end("sealed");
     }
@@ -245,6 +268,7 @@
         return tick(nowNanos);
     }
 
+    /** Marks the store operation in flight as completed; returns false if the answer is not for that operation. */
     private boolean completeOperation(long answeredOperation) {
         if (ended || !operationInFlight || answeredOperation != lastOperation) {
             return false;
@@ -315,7 +339,7 @@
         }
     }
 
-    /** Adds a write as the latest; of unanswered writes of the same content only the earliest and latest are kept. */
+    /** Appends a pending write. Of pending writes with the same content, only the earliest and the latest are kept. */
     private void addPending(PendingWrite write) {
         List<PendingWrite> same = pendingWrites.stream()
                 .filter(pending -> pending.record().equals(write.record()))
@@ -324,6 +348,7 @@
         pendingWrites.add(write);
     }
 
+    /** Returns the record to write now; empty if no write is due. */
     private Optional<Member> recordToWrite(long nowNanos) {
         Member current = confirmed.orElseThrow().member();
         if (pendingWrites.size() >= MAX_PENDING_WRITES) {
@@ -339,19 +364,25 @@
             return Optional.of(desired);
         }
         boolean contentChange = !sameWitnesses.equals(current);
-        if (refusedRevision || contentChange || !pendingWrites.isEmpty() || isRenewalDue(current, witnessChange, nowNanos)) {
+        if (refusedRevision
+                || contentChange
+                || !pendingWrites.isEmpty()
+                || isRenewalDue(current, witnessChange, nowNanos)) {
             return Optional.of(sameWitnesses);
         }
         return Optional.empty();
     }
 
-    /** Whether the new witnesses have voted, or there is no lease that a change could interrupt. */
+    /** Whether the new witnesses have voted, or there is no valid lease that the change could interrupt. */
     private boolean canChangeWitnesses(long nowNanos) {
         return validUntilNanos() - nowNanos <= 0
                 || votes.validUntilNanos(desired.witnesses()) - nowNanos > timing.ttlNanos() / 2;
     }
 
-    /** A change to a set that lacks votes is preceded by a renewal, because the vote of the store may complete it. */
+    /**
+     * Whether the record must be rewritten to renew the vote of the store. A change to witnesses that lack votes is
+     * preceded by a renewal, because the vote of the store may complete their majority.
+     */
     private boolean isRenewalDue(Member current, boolean witnessChange, long nowNanos) {
         if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.renewalNanos()) {
             return false;
@@ -360,6 +391,7 @@
                 || (witnessChange && isWitnessMajorityExpiring(desired.witnesses(), nowNanos));
     }
 
+    /** Whether the witnesses alone guarantee a majority for less than half the TTL. */
     private boolean isWitnessMajorityExpiring(List<MemberId> witnesses, long nowNanos) {
         return votes.witnessMajorityUntilNanos(witnesses) - nowNanos < timing.ttlNanos() / 2;
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseTiming.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseTiming.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times of the lease rules. Immutable.
+ * Durations of the lease protocol. Immutable.
  *
- * @param ttlNanos how long a vote counts, on the clock of the holder
+ * @param ttlNanos how long a vote is valid, measured on the clock of the holder
  * @param heartbeatNanos interval between heartbeats to a witness
  * @param expiryNanos time after which witnesses and takers treat a vote as expired; longer than {@code ttlNanos} by
  *     the margin that covers clock drift
@@ -16,21 +16,25 @@
 
     public LeaseTiming {
         if (heartbeatNanos <= 0 || heartbeatNanos >= ttlNanos) {
-            throw new IllegalArgumentException("heartbeat interval must be positive and below the TTL");
+            throw new IllegalArgumentException("the heartbeat interval must be positive and shorter than the TTL");
         }
         if (expiryNanos <= ttlNanos) {
-            throw new IllegalArgumentException("expiry must exceed the TTL");
+            throw new IllegalArgumentException("the expiry time must exceed the TTL");
         }
     }
 
-    /** Times from settings; the expiry is {@code ttlMs * marginPercent / 100}. */
+    /**
+     * Creates the durations from settings.
+     *
+     * @param marginPercent expiry time in percent of the TTL
+     */
     public static LeaseTiming ofMs(long ttlMs, long heartbeatMs, int marginPercent) {
         long ttlNanos = TimeUnit.MILLISECONDS.toNanos(ttlMs);
         return new LeaseTiming(
                 ttlNanos, TimeUnit.MILLISECONDS.toNanos(heartbeatMs), ttlNanos * marginPercent / PERCENT);
     }
 
-    /** Interval between renewals through the store. */
+    /** Minimum interval between renewals of the store's vote. */
     public long renewalNanos() {
         return ttlNanos / RENEWALS_PER_TTL;
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Nanos.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Nanos.java
@@ -1,6 +1,6 @@
 package org.coriandercrank.lease;
 
-/** Comparison of monotonic times by difference, which stays correct when the clock value overflows. Stateless. */
+/** Compares monotonic times by their difference, which is correct even if the clock value overflows. Stateless. */
 final class Nanos {
     private Nanos() {}
 
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
@@ -1,18 +1,20 @@
 package org.coriandercrank.lease;
 
 /**
- * Sizes of quorums of n witnesses and the store, n + 1 votes. A lease needs a majority; a taker needs the store and so
- * many refusals that no majority is left. Stateless.
+ * Quorum sizes for n witnesses and the store, which have n + 1 votes in total.
+ *
+ * <p>A lease needs a majority of the votes. A taker needs its write to the store and so many refusals that the remaining
+ * votes are no majority. Stateless.
  */
 public final class Quorum {
     private Quorum() {}
 
-    /** Fresh votes that a lease needs. */
+    /** Number of valid votes that a lease needs. */
     public static int majority(int witnesses) {
         return (witnesses + 1) / 2 + 1;
     }
 
-    /** Refusals that a taker needs beside its write to the store; n/2 for an even n. */
+    /** Number of refusals that a taker needs in addition to its write to the store; n/2 for an even n. */
     public static int requiredRefusals(int witnesses) {
         return witnesses + 1 - majority(witnesses);
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/StoreBackoff.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/StoreBackoff.java
@@ -3,12 +3,16 @@
 import java.util.Random;
 
 /**
- * Earliest time of the next store operation of a holder or taker. The wait doubles with each failure up to the TTL and
- * varies by half, so that daemons do not retry together; a seed keeps the state machines deterministic. Not thread safe.
+ * Exponential backoff for the store operations of a holder or taker.
+ *
+ * <p>The delay doubles with each failure up to the TTL. Up to half of it is taken off at random, so that daemons do not
+ * retry at the same time; the seed keeps the state machines deterministic. Not thread safe.
  */
 final class StoreBackoff {
+    /** The initial delay is the TTL divided by this number. */
     private static final int INITIAL_DELAYS_PER_TTL = 16;
 
+    /** Largest fraction that is taken off a delay. */
     private static final double JITTER = 0.5;
 
     private final LeaseTiming timing;
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -13,15 +13,17 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Takeover of one suspected member.
+ * State machine of a daemon that takes over one suspected member.
  *
- * <p>Invariants: a seal is conditional on a record revision v that this taker has known for longer than the expiry time,
- * and is sent only with the refusals at v that {@link Quorum#requiredRefusals} asks for. A newer record starts everything again.
+ * <p>Invariants: the seal is conditional on a record revision v that this daemon has known for longer than the expiry
+ * time, and it is sent only after {@link Quorum#requiredRefusals} witnesses granted a refusal at v. A newer record
+ * restarts the takeover.
  *
- * <p>Not thread safe. Times are monotonic, in nanoseconds.
+ * <p>Each event method that returns actions expects its driver to carry them out. Not thread safe. Times are monotonic,
+ * in nanoseconds.
  */
 public final class Takeover {
-    /** Result of a takeover. */
+    /** Progress of a takeover. */
     public enum State {
         RUNNING,
         /** The record is sealed, by this taker or another. */
@@ -45,7 +47,7 @@
     /**
      * Starts a takeover.
      *
-     * @param knownSinceNanos when this daemon learned of this revision of the record
+     * @param knownSinceNanos when this daemon first saw this revision of the record
      * @param startAtNanos earliest time of the first action
      */
     public Takeover(LeaseTiming timing, VersionedMember target, long knownSinceNanos, long startAtNanos) {
@@ -68,14 +70,15 @@
         return refusals.size();
     }
 
-    /** Asks witnesses, seals or reads the record, as due. */
+    /** Requests refusals and starts a seal or a read of the record, each if it is due. */
     public List<TakeoverAction> tick(long nowNanos) {
         List<TakeoverAction> actions = new ArrayList<>();
         if (state != State.RUNNING || nowNanos - startAtNanos < 0) {
             return actions;
         }
-        int requiredRefusals = Quorum.requiredRefusals(target.member().witnesses().size());
-        if (refusals.size() < requiredRefusals) {
+        int requiredCount =
+                Quorum.requiredRefusals(target.member().witnesses().size());
+        if (refusals.size() < requiredCount) {
             requestRefusals(nowNanos, actions);
         }
         if (operationInFlight || !backoff.isDue(nowNanos)) {
@@ -85,7 +88,7 @@
             lastOperation++;
             operationInFlight = true;
             actions.add(new TakeoverAction.ReadRecord(lastOperation));
-        } else if (refusals.size() >= requiredRefusals && nowNanos - knownSinceNanos > timing.expiryNanos()) {
+        } else if (refusals.size() >= requiredCount && nowNanos - knownSinceNanos > timing.expiryNanos()) {
             lastOperation++;
             operationInFlight = true;
             actions.add(new TakeoverAction.Seal(
@@ -94,7 +97,7 @@
         return actions;
     }
 
-    /** Answer of a witness; ignored if it is for another revision than the current one. */
+    /** Handles the answer of a witness; an answer for another revision than that of the target has no effect. */
     public List<TakeoverAction> refusalAnswered(
             MemberId witness, Revision recordRevision, boolean granted, long retryAfterNanos, long nowNanos) {
         if (!recordRevision.equals(target.revision())) {
@@ -108,7 +111,7 @@
         return tick(nowNanos);
     }
 
-    /** A record of the member was learned by other means; older ones are ignored. */
+    /** Restarts the takeover with a newer record of the member; an older record has no effect. */
     public void recordUpdated(VersionedMember record, long nowNanos) {
         if (!record.revision().isNewerThan(target.revision())) {
             return;
@@ -123,14 +126,17 @@
         }
     }
 
-    /** The seal took effect. */
+    /** Handles a seal that took effect and got a revision. */
     public void sealSucceeded(long answeredOperation, Revision revision, long nowNanos) {
         if (completeOperation(answeredOperation)) {
             recordUpdated(new VersionedMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
         }
     }
 
-    /** The record has another revision, or it is unknown whether the seal took effect; the record is read. */
+    /**
+     * Handles a seal that was rejected because the record has another revision, or whose outcome is unknown. The record is
+     * read before anything else is written.
+     */
     public List<TakeoverAction> sealNotConfirmed(long answeredOperation, long nowNanos) {
         if (!completeOperation(answeredOperation)) {
             return List.of();
@@ -139,13 +145,18 @@
         return tick(nowNanos);
     }
 
-    /** The seal or the read certainly had no effect. */
+    /** Handles a failed read, or a seal that had no effect and will have none. */
     public void storeFailed(long answeredOperation, long nowNanos) {
         if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
+    /**
+     * Handles the result of reading the record.
+     *
+     * @param read empty if the record does not exist
+     */
     public void readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
         if (!completeOperation(answeredOperation)) {
             return;
@@ -160,6 +171,7 @@
         }
     }
 
+    /** Marks the store operation in flight as completed; returns false if the answer is not for that operation. */
     private boolean completeOperation(long answeredOperation) {
         if (!operationInFlight || answeredOperation != lastOperation) {
             return false;
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
@@ -4,14 +4,14 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.table.Member;
 
-/** What the driver of a {@link Takeover} has to do. Immutable. */
+/** Action that the driver of a {@link Takeover} must carry out. Immutable. */
 public sealed interface TakeoverAction {
-    /** Ask a witness to refuse the member and report its answer with the revision. */
+    /** Ask a witness to refuse the member at a record revision, and report the answer with that revision. */
     record RequestRefusal(MemberId witness, Revision recordRevision) implements TakeoverAction {}
 
-    /** Write the sealed record on condition of a revision and report the result. */
+    /** Write the sealed record if it still has the expected revision, and report the result with the operation number. */
     record Seal(long operation, Member sealed, Revision expected) implements TakeoverAction {}
 
-    /** Read the record of the member and report the result. */
+    /** Read the record of the member and report the result with the operation number. */
     record ReadRecord(long operation) implements TakeoverAction {}
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
@@ -10,10 +10,13 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Votes of witnesses and the store for one holder. A vote counts from the instant the heartbeat or write was sent, never
- * from the arrival of its answer. Not thread safe.
+ * Votes that one holder received from its witnesses and the store.
+ *
+ * <p>A vote is valid for the TTL from the time at which the heartbeat or write was sent, not from the arrival of the
+ * answer. Not thread safe. Times are monotonic, in nanoseconds.
  */
 final class VoteTable {
+    /** Number of heartbeat rounds, the latest ones, whose answers are still accepted. */
     private static final int MAX_SENT_HEARTBEATS = 64;
 
     private record SentHeartbeat(Revision recordRevision, long sentAtNanos) {}
@@ -36,7 +39,7 @@
         return lastHeartbeatNanos.isEmpty() || nowNanos - lastHeartbeatNanos.getAsLong() >= timing.heartbeatNanos();
     }
 
-    /** Notes a round of heartbeats and returns its sequence number. */
+    /** Records that a round of heartbeats is sent and returns its sequence number. */
     long heartbeatSent(Revision recordRevision, long nowNanos) {
         sequence++;
         sentHeartbeats.put(sequence, new SentHeartbeat(recordRevision, nowNanos));
@@ -45,6 +48,7 @@
         return sequence;
     }
 
+    /** Records the vote of a witness for a round of heartbeats; an unknown sequence number has no effect. */
     void recordVote(MemberId witness, long answeredSequence) {
         SentHeartbeat heartbeat = sentHeartbeats.get(answeredSequence);
         if (heartbeat != null) {
@@ -52,56 +56,59 @@
         }
     }
 
-    /** Record revision that a heartbeat carried; {@link Revision#NONE} if it is no longer known. */
+    /** Returns the record revision that a heartbeat carried; {@link Revision#NONE} if the heartbeat is no longer known. */
     Revision revisionOf(long answeredSequence) {
         SentHeartbeat heartbeat = sentHeartbeats.get(answeredSequence);
         return heartbeat == null ? Revision.NONE : heartbeat.recordRevision();
     }
 
+    /** Records the vote of the store that comes with a successful write. */
     void recordStoreVote(long sentAtNanos) {
         storeVoteUntilNanos = Nanos.later(storeVoteUntilNanos, sentAtNanos + timing.ttlNanos());
     }
 
+    /** Returns when the heartbeat was sent that the witness acknowledged last. */
     OptionalLong lastVoteNanos(MemberId witness) {
         Long voted = voteSentNanos.get(witness);
         return voted == null ? OptionalLong.empty() : OptionalLong.of(voted);
     }
 
-    /** Forgets votes of all others. */
+    /** Discards the votes of all members that are not in the set. */
     void retainVotes(Set<MemberId> witnesses) {
         voteSentNanos.keySet().retainAll(witnesses);
     }
 
-    /** Time until which a majority of the witnesses and the store is fresh. */
+    /** Returns the time until which a majority of the votes of the witnesses and the store is valid. */
     long validUntilNanos(List<MemberId> witnesses) {
         return majorityUntilNanos(witnesses, storeVoteUntilNanos);
     }
 
-    /** Time until which the witnesses alone are a majority of all votes. */
+    /** Returns the time until which the votes of the witnesses suffice for the majority without the store. */
     long witnessMajorityUntilNanos(List<MemberId> witnesses) {
         return majorityUntilNanos(witnesses, startNanos);
     }
 
     private long majorityUntilNanos(List<MemberId> witnesses, long storeUntilNanos) {
-        long[] until = new long[witnesses.size() + 1];
-        until[0] = storeUntilNanos;
+        long[] untilNanos = new long[witnesses.size() + 1];
+        untilNanos[0] = storeUntilNanos;
         for (int i = 0; i < witnesses.size(); i++) {
             Long voted = voteSentNanos.get(witnesses.get(i));
-            until[i + 1] = voted == null ? startNanos : voted + timing.ttlNanos();
+            untilNanos[i + 1] = voted == null ? startNanos : voted + timing.ttlNanos();
         }
-        return kthLargest(until, Quorum.majority(witnesses.size()));
+        return kthLatest(untilNanos, Quorum.majority(witnesses.size()));
     }
 
-    private static long kthLargest(long[] values, int k) {
+    /** Returns the k-th latest time. Times are compared by difference, so sorting them by value would be wrong. */
+    private static long kthLatest(long[] values, int k) {
         for (long candidate : values) {
-            int atLeast = 0;
-            int larger = 0;
+            int atLeastCount = 0;
+            int laterCount = 0;
             for (long value : values) {
                 int order = Nanos.compare(value, candidate);
-                atLeast += order >= 0 ? 1 : 0;
-                larger += order > 0 ? 1 : 0;
+                atLeastCount += order >= 0 ? 1 : 0;
+                laterCount += order > 0 ? 1 : 0;
             }
-            if (larger < k && atLeast >= k) {
+            if (laterCount < k && atLeastCount >= k) {
                 return candidate;
             }
         }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -8,19 +8,22 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Votes of one daemon on the leases of others.
+ * State machine of a daemon that votes on the leases of other members.
  *
- * <p>Invariants: a refusal is given only if the last acknowledgement to the member is older than the expiry time; after a
- * refusal at revision v no heartbeat at v or older is acknowledged. Memory is bounded: the member that was idle longest is
- * forgotten, and limits that hold for every unknown member stand in for it.
+ * <p>Invariants: a refusal is granted only if the last acknowledgement to the member is older than the expiry time; after
+ * a refusal at revision v, no heartbeat at v or an older revision is acknowledged.
+ *
+ * <p>Memory is bounded: the least recently used member is evicted. Its acknowledgement and refusal are merged into limits
+ * that apply to every member without an entry, so both invariants also hold for evicted members.
  *
  * <p>Not thread safe. Times are monotonic, in nanoseconds.
  */
 public final class Witness {
     /**
-     * Answer to a taker. Immutable.
+     * Answer to a taker's request for a refusal. Immutable.
      *
-     * @param retryAfterNanos time after which a refusal may be possible; 0 if granted
+     * @param granted whether the witness refuses the member from now on
+     * @param retryAfterNanos delay before the taker should ask again; 0 if granted
      */
     public record RefusalDecision(boolean granted, long retryAfterNanos) {}
 
@@ -36,6 +39,11 @@
     private OptionalLong evictedAckNanos = OptionalLong.empty();
     private Revision evictedRefusal = Revision.NONE;
 
+    /**
+     * Creates a witness.
+     *
+     * @param maxMembers maximum number of members whose votes are remembered individually
+     */
     public Witness(LeaseTiming timing, int maxMembers) {
         if (maxMembers < 1) {
             throw new IllegalArgumentException("maxMembers must be at least 1");
@@ -44,7 +52,10 @@
         this.maxMembers = maxMembers;
     }
 
-    /** Whether a heartbeat is acknowledged. The caller sends the acknowledgement after this call. */
+    /**
+     * Returns whether the heartbeat is acknowledged, and records the acknowledgement. The caller must send the
+     * acknowledgement only after this call.
+     */
     public boolean acceptHeartbeat(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (!recordRevision.isNewerThan(entry.refusedUpTo)) {
@@ -57,7 +68,7 @@
         return true;
     }
 
-    /** Whether the member is refused at a record revision; a taker with an outdated revision gets no refusal. */
+    /** Decides whether to refuse the member at a record revision; a taker with an outdated revision gets no refusal. */
     public RefusalDecision requestRefusal(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (entry.highestSeen.isNewerThan(recordRevision)) {
@@ -75,7 +86,7 @@
         return new RefusalDecision(true, 0);
     }
 
-    /** When this witness last acknowledged a heartbeat of a member; empty if it has not or no longer knows. */
+    /** Returns when this witness last acknowledged a heartbeat of a member; empty if it never did or was evicted. */
     public OptionalLong lastAckNanos(MemberId member) {
         Entry entry = entries.get(member);
         return entry == null ? OptionalLong.empty() : entry.lastAckNanos;
@@ -102,8 +113,8 @@
         oldest.remove();
         if (entry.lastAckNanos.isPresent()) {
             long ack = entry.lastAckNanos.getAsLong();
-            evictedAckNanos = OptionalLong.of(
-                    evictedAckNanos.isPresent() ? Nanos.later(ack, evictedAckNanos.getAsLong()) : ack);
+            evictedAckNanos =
+                    OptionalLong.of(evictedAckNanos.isPresent() ? Nanos.later(ack, evictedAckNanos.getAsLong()) : ack);
         }
         if (entry.refusedUpTo.isNewerThan(evictedRefusal)) {
             evictedRefusal = entry.refusedUpTo;
