--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -31,14 +31,14 @@
                 HostIdentity.ofAddress(ADDRESS, ADDRESS, ADDRESS, new Region("r"), new FailureDomain("d"));
         try (SystemTimerService timers = new SystemTimerService()) {
             DecisionLog log = new DecisionLog(0, MonotonicClock.SYSTEM);
-            ControlDependencies services = new ControlDependencies(
+            ControlDependencies dependencies = new ControlDependencies(
                     synchronizedStore(store), null, new PeerHandlers(), timers, log, new SimpleMeterRegistry());
             timers.every(1, Runnable::run, () -> {
                 synchronized (store) {
                     storeTime.runFor(1);
                 }
             });
-            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, services)) {
+            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, dependencies)) {
                 control.start();
                 control.backendAnnounced(FakeCluster.backend(1));
                 control.routing()
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -69,8 +69,8 @@
                 new FailureDomain(place.replace('/', '-')));
         TimerService timers = time.timers();
         DecisionLog log = new DecisionLog(LOG_LINES_PER_SECOND, timers.clock());
-        ControlDependencies services = new ControlDependencies(store, this, handlers, timers, log, metrics);
-        control = ControlPlane.create(options, identity, services, this::execute, new Random(seed));
+        ControlDependencies dependencies = new ControlDependencies(store, this, handlers, timers, log, metrics);
+        control = ControlPlane.create(options, identity, dependencies, this::execute, new Random(seed));
         control.addIncarnationListener((member, reason) -> sealedIncarnations.add(member));
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
@@ -11,11 +11,11 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * What the control plane uses of its daemon; owned and closed by the daemon. Immutable.
+ * Collaborators of the control plane, which the daemon provides, owns and closes. Immutable.
  *
- * @param leaseClock clock of the own lease; it should count the time in which the host was suspended, because the votes
- *     of witnesses lapse in that time
- * @param executors makes the duty that the control plane runs on
+ * @param leaseClock clock that measures the own lease; it should include the time during which the host is suspended,
+ *     because the votes of the witnesses expire during that time
+ * @param executorFactory creates the executor that the control plane runs on
  */
 public record ControlDependencies(
         ObjectStore store,
@@ -25,8 +25,8 @@
         DecisionLog log,
         MeterRegistry metrics,
         MonotonicClock leaseClock,
-        SerialExecutor.Factory executors) {
-    /** Services whose own lease is measured by the clock of the timers. */
+        SerialExecutor.Factory executorFactory) {
+    /** Creates dependencies with the clock of the timers as lease clock and a thread for each executor. */
     public ControlDependencies(
             ObjectStore store,
             PeerClient peers,
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
@@ -3,25 +3,26 @@
 import org.coriandercrank.lease.LeaseTiming;
 
 /**
- * Times and limits of the control plane. Immutable.
+ * Durations and limits of the control plane. Immutable.
  *
- * @param ttlMs how long a vote on a lease counts
+ * @param ttlMs how long a vote on a lease is valid
  * @param heartbeatMs interval between heartbeats to a witness
- * @param marginPercent time after which others treat a vote as expired, in percent of the TTL; covers clock drift
- * @param tickMs interval between checks of all timed rules
- * @param takeoverRankDelayMs delay of a takeover for each rank of the taker
+ * @param marginPercent time after which witnesses and takers treat a vote as expired, in percent of the TTL; the excess
+ *     over 100 covers clock drift
+ * @param tickMs interval between runs of the periodic work
+ * @param takeoverRankDelayMs delay before a takeover starts, for each rank of the taker
  * @param witnessTimeoutMs time without a vote after which a witness is replaced
- * @param witnessRetryDelayMs time for which a lost witness is not chosen again
- * @param rebalanceIntervalMs mean time between checks whether the witnesses are still spread evenly
- * @param storeTimeoutMs limit of a read or write of the store
- * @param listTimeoutMs limit of a listing of the store
- * @param watchWaitMs how long a watch waits for a change
- * @param configurationWatchWaitMs how long a daemon that is no relay waits for a change of the configuration at the store
- *     itself; 0 if it learns of changes from peers only
- * @param startupWatchMs time after its start in which a daemon that is no relay watches the store itself; the members it
- *     knows from its first listing may have ended with it, the relay and its witnesses among them
- * @param minPushIntervalMs least time between a heartbeat and an early one that carries news
- * @param maxWitnessedMembers members whose votes are remembered by this daemon as witness
+ * @param witnessRetryDelayMs time during which a witness that timed out is not selected again
+ * @param rebalanceIntervalMs mean interval between checks whether the witnesses are evenly loaded
+ * @param storeTimeoutMs timeout of a read or write of the store
+ * @param listTimeoutMs timeout of a listing of the store
+ * @param watchWaitMs how long a watch of the store waits for a change
+ * @param configurationWatchWaitMs how long a watch of the configuration waits on a daemon that is not a relay; 0 if such
+ *     a daemon receives configuration changes from peers only
+ * @param startupWatchMs time after its start during which a daemon that is not a relay watches the store as well; after a
+ *     failure of all hosts, the members in its first listing may have failed too, including the relay and its witnesses
+ * @param minPushIntervalMs minimum interval between a heartbeat and an early one that announces an update to peers
+ * @param maxWitnessedMembers maximum number of members whose votes this daemon remembers individually as a witness
  */
 public record ControlOptions(
         long ttlMs,
@@ -59,7 +60,7 @@
         LeaseTiming.ofMs(ttlMs, heartbeatMs, marginPercent);
     }
 
-    /** These options with other times of the lease. */
+    /** Returns a copy with other lease durations; the tick interval is reduced if it exceeds the heartbeat interval. */
     public ControlOptions withLeaseTiming(long newTtlMs, long newHeartbeatMs, int newMarginPercent) {
         return new ControlOptions(
                 newTtlMs,
@@ -79,7 +80,7 @@
                 maxWitnessedMembers);
     }
 
-    /** These options with other waits of watches. */
+    /** Returns a copy with other wait times for watches of the store. */
     public ControlOptions withWatchWaits(long newWatchWaitMs, long newConfigurationWaitMs, long newSettleWatchMs) {
         return new ControlOptions(
                 ttlMs,
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -14,131 +14,145 @@
 import org.coriandercrank.kernel.table.BackendInfo;
 
 /**
- * Membership, lease, takeover and dissemination of a daemon.
+ * Control plane of a daemon: membership, lease, takeover of failed members and dissemination of control objects.
  *
- * <p>Thread safe. {@link #start} lists the store and then joins; both go on through an outage of the store until they
- * succeed. A daemon whose incarnation was sealed by others hears of it through {@link #addIncarnationListener} and joins again with
- * {@link #rejoin}.
+ * <p>{@link #start} lists the store and then joins; both are retried during an outage of the store until they succeed. A
+ * daemon whose incarnation was ended by others is notified through {@link #addIncarnationListener} and must call
+ * {@link #rejoin()}. Thread safe.
  */
 public final class ControlPlane implements AutoCloseable {
-    private static final int RING_CAPACITY = 16_384;
+    private static final int TASK_QUEUE_CAPACITY = 16_384;
 
     private final ControlContext context;
     private final ControlLoop loop;
-    private final Runnable closeThread;
+    private final Runnable closeExecutor;
 
-    private ControlPlane(ControlContext context, boolean joins, Runnable closeThread) {
+    private ControlPlane(ControlContext context, boolean joinOnStart, Runnable closeExecutor) {
         this.context = context;
-        Optional<JoinParameters> initial =
-                joins ? Optional.of(new JoinParameters(ControlLoop.newMemberId(context), false)) : Optional.empty();
+        Optional<JoinParameters> initial = joinOnStart
+                ? Optional.of(new JoinParameters(ControlLoop.newMemberId(context), false))
+                : Optional.empty();
         this.loop = new ControlLoop(context, initial);
-        this.closeThread = closeThread;
+        this.closeExecutor = closeExecutor;
     }
 
-    /** A control plane on a duty of its own, with handlers registered but not started. */
-    public static ControlPlane create(ControlOptions options, HostIdentity identity, ControlDependencies services) {
-        return create(options, identity, services, true);
+    /** Creates a control plane on an executor of its own. Its message handlers are registered, but it is not started. */
+    public static ControlPlane create(ControlOptions options, HostIdentity identity, ControlDependencies dependencies) {
+        return create(options, identity, dependencies, true);
     }
 
     /**
-     * A control plane on a duty of its own that joins only after {@link #rejoin(JoinParameters)}. Until then it keeps its
-     * view of the other members up to date.
+     * Creates a control plane on an executor of its own that joins only after {@link #rejoin(JoinParameters)}. Until then
+     * it keeps its view of the other members up to date.
      */
     public static ControlPlane createWithDeferredJoin(
-            ControlOptions options, HostIdentity identity, ControlDependencies services) {
-        return create(options, identity, services, false);
+            ControlOptions options, HostIdentity identity, ControlDependencies dependencies) {
+        return create(options, identity, dependencies, false);
     }
 
     private static ControlPlane create(
-            ControlOptions options, HostIdentity identity, ControlDependencies services, boolean joins) {
-        SerialExecutor duty = services.executors().create("control", RING_CAPACITY);
+            ControlOptions options, HostIdentity identity, ControlDependencies dependencies, boolean joinOnStart) {
+        SerialExecutor executor = dependencies.executorFactory().create("control", TASK_QUEUE_CAPACITY);
         Random random = new Random(new SecureRandom().nextLong());
-        ControlContext context = new ControlContext(options, identity, services, duty, random);
-        return new ControlPlane(context, joins, duty::close);
+        ControlContext context = new ControlContext(options, identity, dependencies, executor, random);
+        return new ControlPlane(context, joinOnStart, executor::close);
     }
 
     /**
-     * A control plane on a given executor.
+     * Creates a control plane on a given executor, which the caller closes.
      *
-     * @param executor runs tasks one at a time in order
+     * @param executor runs tasks one at a time, in the order of their submission
      * @param random source of member ids and jitter
      */
     public static ControlPlane create(
             ControlOptions options,
             HostIdentity identity,
-            ControlDependencies services,
+            ControlDependencies dependencies,
             Executor executor,
             Random random) {
-        ControlContext context = new ControlContext(options, identity, services, executor, random);
+        ControlContext context = new ControlContext(options, identity, dependencies, executor, random);
         return new ControlPlane(context, true, () -> {});
     }
 
-    /** Starts listing, joining and all periodic work. */
+    /** Starts to list the store, to join and to run the periodic work. */
     public void start() {
         loop.start();
     }
 
-    /** Member id of the present incarnation; known before the start, and changed by {@link #rejoin}. */
+    /** Returns the member id of the current incarnation, which exists before the start and changes with a rejoin. */
     public MemberId self() {
         return loop.self();
     }
 
+    /** Returns the view on configuration, members and assignment tables. */
     public RoutingView routing() {
         return loop.routing();
     }
 
-    /** The lease of the present incarnation. */
+    /** Returns the lease of the current incarnation, on the clock of the timers. */
     public LeaseView lease() {
         return loop.lease();
     }
 
-    /** Adds a listener for seals of this daemon by others. */
+    /** Adds a listener that is notified when others end an incarnation of this daemon. */
     public void addIncarnationListener(IncarnationListener listener) {
         loop.addIncarnationListener(listener);
     }
 
     /**
-     * A backend server announced itself; makes the member active. An unchanged announcement writes nothing. Announcements
-     * are forgotten by {@link #rejoin}.
+     * Handles the announcement of a backend server: writes it to the record and makes the member active. An unchanged
+     * announcement writes nothing. A rejoin discards the announcement.
      */
     public void backendAnnounced(BackendInfo backend) {
         loop.backendAnnounced(backend);
     }
 
-    /** Sets the state to leaving, so that the planner moves all ranges; done when the record says so. */
+    /**
+     * Sets the member state to leaving, so that the planner moves all its ranges to other members. The future completes
+     * when the record has that state.
+     */
     public CompletableFuture<Void> leave() {
         return loop.leave();
     }
 
-    /** Invalidates the lease at once and seals the own record; done when it is sealed. The end of a planned stop. */
+    /**
+     * Invalidates the lease immediately and seals the own record, as the last step of a planned stop. The future completes
+     * when the record is sealed.
+     */
     public CompletableFuture<Void> sealSelf() {
         return loop.sealSelf();
     }
 
-    /** Ends the incarnation at once and leaves its record, for the next incarnation of this host to seal. */
+    /** Ends the incarnation immediately without sealing its record; the next incarnation of this host seals it. */
     public CompletableFuture<Void> abandon() {
         return loop.abandon();
     }
 
-    /** Joins under a new id after the former incarnation ended; fails with {@code INTERNAL} if it has not. */
+    /** Joins under a new id; the future fails with {@code INTERNAL} if the previous incarnation has not ended. */
     public CompletableFuture<MemberId> rejoin() {
         return rejoin(new JoinParameters(ControlLoop.newMemberId(context), false));
     }
 
-    /** Joins under a chosen id; the former incarnation must have ended, or never have started. */
+    /**
+     * Joins under a given id. The previous incarnation must have ended or never have started; otherwise the future fails
+     * with {@code INTERNAL}.
+     */
     public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
         return loop.rejoin(parameters);
     }
 
-    /** State for operators, at most one tick old. */
+    /** Returns the status for operators, which is at most one tick old. */
     public ControlStatus status() {
         return loop.status();
     }
 
-    /** Stops periodic work and the thread. Does not leave; see {@link #leave} and {@link #sealSelf}. */
+    /**
+     * Stops the periodic work and the executor that this control plane created. Does not leave the cluster; see
+     * {@link #leave} and {@link #sealSelf}.
+     */
     @Override
     public void close() {
         loop.close();
-        closeThread.run();
+        closeExecutor.run();
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlStatus.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlStatus.java
@@ -8,15 +8,15 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * State of the control plane for operators. Immutable.
+ * Status of the control plane, as shown to operators. Immutable.
  *
  * @param joined whether the record of this incarnation is known to be in the store
- * @param leaseRemainingMs 0 if the lease does not hold
- * @param relay whether this daemon is the relay of its region as far as it knows
+ * @param leaseRemainingMs 0 if the lease is not valid
+ * @param relay whether this daemon considers itself the relay of its region
  * @param watching whether this daemon watches the store, as relay or as fallback
- * @param configurationRevision revision of the configuration in force here
- * @param knownUpTo revisions up to which every change is known
- * @param takeovers members that this daemon is trying to seal
+ * @param configurationRevision revision of the configuration in force on this daemon
+ * @param knownUpTo revisions up to which this daemon has every change
+ * @param takeovers members that this daemon is taking over
  */
 public record ControlStatus(
         MemberId memberId,
@@ -30,9 +30,9 @@
         Digest knownUpTo,
         List<MemberId> takeovers) {
     /**
-     * A witness of this daemon. Immutable.
+     * Status of a witness of this daemon. Immutable.
      *
-     * @param voteAgeMs time since the heartbeat of its latest vote was sent
+     * @param voteAgeMs time since the heartbeat was sent that the witness acknowledged last; empty if there is none
      */
     public record WitnessStatus(MemberId witness, OptionalLong voteAgeMs) {}
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/HostIdentity.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/HostIdentity.java
@@ -5,9 +5,12 @@
 import org.coriandercrank.kernel.id.Region;
 
 /**
- * Addresses and place of a daemon, from its settings. Immutable.
+ * Addresses and location of a daemon, from its settings. Immutable.
  *
- * @param name first part of the member ids of this host; characters {@code [A-Za-z0-9._-]}, at most 64
+ * @param name prefix of the member ids of this host; 1 to 64 characters of {@code [A-Za-z0-9._-]}
+ * @param peerAddress address for connections from other daemons
+ * @param callerAddress address for requests of callers
+ * @param adminAddress address for operators and metrics
  */
 public record HostIdentity(
         String name,
@@ -24,7 +27,7 @@
         }
     }
 
-    /** An identity named after its peer address, for hosts without a host name setting. */
+    /** Creates an identity that is named after the peer address, for hosts without a host name setting. */
     public static HostIdentity ofAddress(
             HostAddress peer, HostAddress caller, HostAddress admin, Region region, FailureDomain failureDomain) {
         String name = peer.toString().replace(':', '-');
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/IncarnationListener.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/IncarnationListener.java
@@ -2,12 +2,14 @@
 
 import org.coriandercrank.kernel.id.MemberId;
 
-/** Learns that the incarnation of this daemon was sealed or replaced by others. */
+/** Receives a notification when the incarnation of this daemon was ended by others. */
 @FunctionalInterface
 public interface IncarnationListener {
     /**
-     * Called once for an incarnation, on the control thread; must not block. The lease is already invalid. The daemon
-     * drops all its ranges and then calls {@link ControlPlane#rejoin()}.
+     * Called once per incarnation after its record was sealed, deleted or replaced by others.
+     *
+     * <p>The lease is already invalid. The daemon must release all its ranges and then call
+     * {@link ControlPlane#rejoin()}. Runs on the control thread and must not block.
      */
     void incarnationEnded(MemberId member, String reason);
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/JoinParameters.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/JoinParameters.java
@@ -3,9 +3,11 @@
 import org.coriandercrank.kernel.id.MemberId;
 
 /**
- * The member id that a daemon joins under. Immutable.
+ * Parameters with which a daemon joins the cluster. Immutable.
  *
- * @param mayResume whether the record that a former process of this host left under the id is taken over; only for ids
- *     that no process of another host uses, on a host whose peer address has one process at a time
+ * @param id member id of the new incarnation
+ * @param mayResume whether the daemon may resume the record that an earlier process of this host wrote under the same id;
+ *     allowed only if no process of another host uses the id and at most one process at a time uses the peer address of
+ *     this host
  */
 public record JoinParameters(MemberId id, boolean mayResume) {}
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
@@ -33,10 +33,11 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * The control objects that this daemon knows, raw for other daemons and decoded as snapshots.
+ * View of this daemon on the control objects: in stored form for other daemons, and decoded as snapshots.
  *
- * <p>Invariant: no object goes back to an older revision. {@link #current}, {@link #subscribe} and {@link #await} are
- * thread safe; all else runs on the control thread. An object that cannot be decoded leaves the last readable one in force.
+ * <p>Invariant: no object reverts to an older revision. If an object cannot be decoded, its last decodable revision stays
+ * in force. {@link #current}, {@link #subscribe} and {@link #await} are thread safe; all other methods must be called on
+ * the control thread.
  */
 public final class ClusterView implements RoutingView {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -47,7 +48,7 @@
     private final Map<FetchObject.Kind, ObjectCache> caches = new EnumMap<>(FetchObject.Kind.class);
     private final Map<ServiceName, AssignmentTable> tables = new HashMap<>();
     private final Map<MemberId, VersionedMember> members = new HashMap<>();
-    private final Map<MemberId, Long> revisionLearnedNanos = new HashMap<>();
+    private final Map<MemberId, Long> revisionSeenNanos = new HashMap<>();
     private final List<Consumer<RoutingSnapshot>> listeners = new CopyOnWriteArrayList<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private Configuration configuration = Configuration.EMPTY;
@@ -63,7 +64,7 @@
         }
     }
 
-    /** The prefix of the names of a kind. */
+    /** Returns the prefix of the object names of a kind. */
     public static String prefix(FetchObject.Kind kind) {
         return switch (kind) {
             case CONFIGURATION -> ObjectNames.CONFIGURATION_PREFIX;
@@ -97,21 +98,22 @@
         return result;
     }
 
-    /** Starts to show this daemon under another member id. */
+    /** Publishes a snapshot in which this daemon has another member id. */
     public void setSelf(MemberId self) {
         publish(self);
     }
 
-    /** Number of snapshots published so far. */
+    /** Returns the number of snapshots published so far, which identifies the current snapshot. */
     public long snapshotVersion() {
         return snapshotVersion;
     }
 
-    /** Every change of a kind up to this revision is known. */
+    /** Returns the revision up to which every change of a kind is known. */
     public Revision completeUpTo(FetchObject.Kind kind) {
         return caches.get(kind).completeUpTo();
     }
 
+    /** Returns the revisions up to which this daemon knows every change of each kind. */
     public Digest digest() {
         return new Digest(
                 completeUpTo(FetchObject.Kind.CONFIGURATION),
@@ -119,11 +121,12 @@
                 completeUpTo(FetchObject.Kind.ASSIGNMENTS));
     }
 
+    /** Returns the changes of a kind after a revision. See {@link ObjectCache#changesSince}. */
     public ObjectData changesSince(FetchObject.Kind kind, Revision newerThan) {
         return caches.get(kind).changesSince(newerThan);
     }
 
-    /** Takes over changes; whether any was news. See {@link ObjectCache#apply}. */
+    /** Applies changes and returns whether any was newer than the known state. See {@link ObjectCache#apply}. */
     public boolean apply(FetchObject.Kind kind, List<StoredObject> changes, Revision upTo, boolean reset) {
         List<StoredObject> applied = caches.get(kind).apply(changes, upTo, reset);
         applied.forEach(change -> decode(kind, change));
@@ -133,7 +136,7 @@
         return !applied.isEmpty();
     }
 
-    /** Takes over a member record that was just written or read. */
+    /** Applies a member record that this daemon has just written or read. */
     public void applyMember(VersionedMember known) {
         Member member = known.member();
         StoredObject object =
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Takes over a single object that a peer sent unasked; nothing else up to its revision becomes known. */
+    /** Applies a single object that a peer pushed; does not change {@link #completeUpTo}. */
     public void applyPushed(FetchObject.Kind kind, StoredObject object) {
         if (object.name().startsWith(prefix(kind)) && caches.get(kind).applySingle(object)) {
             decode(kind, object);
@@ -152,10 +155,10 @@
         }
     }
 
-    /** When this daemon learned of the current revision of a member's record. */
-    public OptionalLong revisionLearnedNanos(MemberId member) {
-        Long learned = revisionLearnedNanos.get(member);
-        return learned == null ? OptionalLong.empty() : OptionalLong.of(learned);
+    /** Returns when this daemon first saw the current revision of a member's record; empty if the member is unknown. */
+    public OptionalLong revisionSeenNanos(MemberId member) {
+        Long seenNanos = revisionSeenNanos.get(member);
+        return seenNanos == null ? OptionalLong.empty() : OptionalLong.of(seenNanos);
     }
 
     private void decode(FetchObject.Kind kind, StoredObject change) {
@@ -189,15 +192,16 @@
         MemberId id = new MemberId(change.name().substring(ObjectNames.MEMBERS_PREFIX.length()));
         if (change.deleted()) {
             members.remove(id);
-            revisionLearnedNanos.remove(id);
+            revisionSeenNanos.remove(id);
             return;
         }
         Member member = JsonCodec.decode(change.value(), Member.class);
         if (!member.id().equals(id)) {
-            throw new IllegalArgumentException("record of " + member.id() + " under the name " + change.name());
+            throw new IllegalArgumentException(
+                    "the record of " + member.id() + " is stored under the name " + change.name());
         }
         members.put(id, new VersionedMember(member, change.revision()));
-        revisionLearnedNanos.put(id, context.nowNanos());
+        revisionSeenNanos.put(id, context.nowNanos());
     }
 
     private void decodeTable(StoredObject change) {
@@ -232,12 +236,12 @@
     private void expire(Waiter waiter) {
         if (waiters.remove(waiter)) {
             waiter.result()
-                    .completeExceptionally(
-                            new CrankException(ResultCode.CALL_TIMEOUT, "no such snapshot in the time given"));
+                    .completeExceptionally(new CrankException(
+                            ResultCode.CALL_TIMEOUT, "no snapshot met the condition before the timeout"));
         }
     }
 
-    /** The record of a member, if known. */
+    /** Returns the record of a member; empty if unknown. */
     public Optional<VersionedMember> member(MemberId id) {
         return Optional.ofNullable(members.get(id));
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -14,8 +14,8 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * What the parts of the control plane share. Thread safe, except for the random numbers, which only the control thread
- * draws.
+ * Shared context of the components of the control plane. Thread safe, except for {@link #random}, which only the control
+ * thread uses.
  *
  * @param executor runs tasks one at a time; its thread is the control thread
  */
@@ -26,18 +26,24 @@
         Executor executor,
         Random random) {
     private static final long REJECTED_RETRY_MS = 5;
+
+    /** Largest deviation from a mean delay, as a fraction of it. */
     private static final double JITTER = 0.5;
 
+    /** Returns the time of the clock of the timers. */
     public long nowNanos() {
         return dependencies.timers().clock().nowNanos();
     }
 
-    /** Time on the clock of the own lease. */
+    /** Returns the time of the clock that measures the own lease. */
     public long leaseNowNanos() {
         return dependencies.leaseClock().nowNanos();
     }
 
-    /** Runs a task on the control thread; one that finds the ring full is retried, because its result is awaited. */
+    /**
+     * Runs a task on the control thread. A task that is rejected because the task queue is full is retried after a delay,
+     * because other components wait for its effect.
+     */
     public void execute(Runnable task) {
         try {
             executor.execute(task);
@@ -46,7 +52,9 @@
         }
     }
 
-    /** Computes an answer on the control thread; fails with {@code OVERLOADED} if the ring is full. */
+    /**
+     * Computes a result on the control thread. The future fails with {@code OVERLOADED} if the task queue is full.
+     */
     public <T> CompletableFuture<T> submit(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         try {
@@ -58,14 +66,15 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            result.completeExceptionally(new CrankException(ResultCode.OVERLOADED, "control thread takes no task", e));
+            result.completeExceptionally(
+                    new CrankException(ResultCode.OVERLOADED, "the control thread rejected the task", e));
         }
         return result;
     }
 
     /**
-     * Makes a call from the control thread and reports its result there, once: either the value or a failure, which is
-     * {@code CALL_TIMEOUT} after the time-out.
+     * Makes a call from the control thread and passes its result to the callback on the same thread, exactly once: either
+     * the value or a failure. The failure is {@code CALL_TIMEOUT} if there is no result before the timeout.
      */
     public <T> void callWithTimeout(
             Supplier<CompletableFuture<T>> call, long timeoutMs, BiConsumer<T, CrankException> callback) {
@@ -83,7 +92,7 @@
         });
     }
 
-    /** A delay between half and one and a half times the mean. */
+    /** Returns a random delay between half and one and a half times the mean. */
     public long jitteredMs(long meanMs) {
         return (long) (meanMs * (1 - JITTER + 2 * JITTER * random.nextDouble()));
     }
@@ -92,7 +101,7 @@
         dependencies.log().log(line);
     }
 
-    /** Reports the first of result and time-out. Control thread only. */
+    /** Passes the result or the timeout, whichever comes first, to the callback. Control thread only. */
     private static final class PendingCall<T> {
         private final BiConsumer<T, CrankException> callback;
         private boolean completed;
@@ -102,7 +111,7 @@
         }
 
         void timeOut() {
-            complete(null, new CrankException(ResultCode.CALL_TIMEOUT, "no answer in time"));
+            complete(null, new CrankException(ResultCode.CALL_TIMEOUT, "the call timed out"));
         }
 
         void complete(T value, Throwable failure) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -27,19 +27,19 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Wires the parts of the control plane to messages and the timer.
+ * Connects the components of the control plane with each other, with peer messages and with the timer.
  *
- * <p>Thread safe: public methods hand their work to the control thread. Each tick evaluates the lease before anything
- * else, so that after a pause of the process nothing acts on a lease that lapsed meanwhile.
+ * <p>Each tick evaluates the lease first, so that after a pause of the process nothing relies on a lease that expired
+ * during the pause. Thread safe: public methods pass their work to the control thread.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** About 51 bits, ten characters; the id is part of each heartbeat. */
+    /** 36 to the power of 10: ten characters with about 51 random bits, kept short because each heartbeat has the id. */
     private static final long MEMBER_ID_RANDOM_BOUND = 3_656_158_440_062_976L;
 
-    /** A longer gap between ticks counts as a pause of the process. */
-    private static final long PAUSE_NANOS = 500 * NANOS_PER_MS;
+    /** A longer gap between ticks is treated as a pause of the process. */
+    private static final long MIN_PAUSE_NANOS = 500 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
@@ -55,9 +55,9 @@
     private boolean joinRequested;
 
     /**
-     * A loop.
+     * Creates the loop and registers its message handlers.
      *
-     * @param initial the id to join under; if empty, the daemon joins only after {@link #rejoin}
+     * @param initial parameters of the join at the start; if empty, the daemon joins only after {@link #rejoin}
      */
     public ControlLoop(ControlContext context, Optional<JoinParameters> initial) {
         this.context = context;
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Ends the membership of this process at once and leaves its record; the next incarnation seals it after it has
-     * joined. Only for an incarnation that may be resumed, which nobody else does.
+     * Ends the membership of this process immediately without sealing its record; the next incarnation seals it after it
+     * has joined. Must be used only if the incarnation may be resumed and no other process resumes it.
      */
     public CompletableFuture<Void> abandon() {
         return context.submit(() -> {
@@ -123,7 +123,7 @@
         });
     }
 
-    /** Replaces a membership that has ended or was never started by one under another id. */
+    /** Replaces a membership that has ended or was never started by one with another id. */
     public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
         return context.submit(() -> {
             if (membership.isStarted() && !membership.isEnded()) {
@@ -148,7 +148,7 @@
         timer.cancel();
     }
 
-    /** A member id that no other incarnation has. */
+    /** Creates a member id with a random part that distinguishes it from those of other incarnations. */
     public static MemberId newMemberId(ControlContext context) {
         return new MemberId(context.identity().name() + "-"
                 + Long.toString(context.random().nextLong(MEMBER_ID_RANDOM_BOUND), Character.MAX_RADIX));
@@ -163,8 +163,8 @@
                 Heartbeat.class, (sender, heartbeat) -> context.submit(() -> handleHeartbeat(sender, heartbeat)));
         handlers.register(
                 RefusalRequest.class,
-                (sender, request) ->
-                        context.submit(() -> takeovers.witnessService().refuse(membership.id(), sender, request)));
+                (sender, request) -> context.submit(
+                        () -> takeovers.witnessService().handleRefusalRequest(membership.id(), sender, request)));
         handlers.register(RefusalNotice.class, (sender, notice) -> {
             context.execute(() -> handleRefusalNotice(notice));
             return null;
@@ -194,7 +194,7 @@
         long now = context.nowNanos();
         long gapNanos = now - lastTickNanos;
         lastTickNanos = now;
-        if (gapNanos > PAUSE_NANOS) {
+        if (gapNanos > MIN_PAUSE_NANOS) {
             context.log(() ->
                     "event=control-pause gapMs=" + gapNanos / NANOS_PER_MS + " leaseRemainingMs=" + leaseRemainingMs());
             membership.processResumed(context.leaseNowNanos());
@@ -223,19 +223,19 @@
     }
 
     private long leaseRemainingMs() {
-        long remaining = membership.validUntilNanos() - context.leaseNowNanos();
-        return Math.max(0, remaining / NANOS_PER_MS);
+        long remainingNanos = membership.validUntilNanos() - context.leaseNowNanos();
+        return Math.max(0, remainingNanos / NANOS_PER_MS);
     }
 
     private ControlStatus buildStatus() {
         long nowNanos = context.leaseNowNanos();
-        Member wanted = membership.desired();
-        List<ControlStatus.WitnessStatus> witnesses = wanted.witnesses().stream()
+        Member desired = membership.desired();
+        List<ControlStatus.WitnessStatus> witnesses = desired.witnesses().stream()
                 .map(witness -> new ControlStatus.WitnessStatus(witness, voteAgeMs(witness, nowNanos)))
                 .toList();
         return new ControlStatus(
                 membership.id(),
-                wanted.state(),
+                desired.state(),
                 membership.isJoined(),
                 leaseRemainingMs(),
                 witnesses,
@@ -247,7 +247,9 @@
     }
 
     private OptionalLong voteAgeMs(MemberId witness, long nowNanos) {
-        OptionalLong voted = membership.lastVoteNanos(witness);
-        return voted.isEmpty() ? voted : OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(nowNanos - voted.getAsLong()));
+        OptionalLong votedNanos = membership.lastVoteNanos(witness);
+        return votedNanos.isEmpty()
+                ? votedNanos
+                : OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(nowNanos - votedNanos.getAsLong()));
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlMetrics.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlMetrics.java
@@ -5,7 +5,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.function.Supplier;
 
-/** Meters of the control plane. Thread safe. */
+/** Metrics of the control plane. Thread safe. */
 public final class ControlMetrics {
     private final Counter heartbeats;
     private final Counter refusals;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -18,20 +18,27 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Keeps the {@link ClusterView} up to date: lists the store at start, then watches it as relay of the region or as
- * fallback, and else fetches from peers whose digest is ahead. Where the options say so, each daemon watches the
- * configuration itself, so that a change is in force without waiting for a relay.
+ * Keeps the {@link ClusterView} up to date.
  *
- * <p>A digest names the revisions up to which a daemon knows every change. Watches that end without a change advance it
- * too, so a daemon that is connected to a working relay sees it advance about once per {@code watchWaitMs}, and a digest
- * that stands still is a sign that no relay works. Control thread only.
+ * <p>Each daemon lists the store at its start. After that, the relay of each region watches the store, and the other
+ * daemons fetch changes from peers whose digest is ahead of their own. A daemon that no longer receives changes watches
+ * the store as a fallback. If the options say so, each daemon also watches the configuration itself, so that a change
+ * comes into force without waiting for a relay.
+ *
+ * <p>A digest has the revisions up to which a daemon knows every change. Watches that end without a change advance it too,
+ * so a daemon that receives the digests of a working relay advances its own about once per {@code watchWaitMs}. A digest
+ * that does not advance indicates that no relay works. Control thread only.
  */
 public final class Dissemination {
-    /** Standing still for this many watch waits makes the next in rank watch the store. */
+    /** Watch waits without an advance of the digest after which the daemon next in rank watches the store. */
     private static final double FALLBACK_AFTER_WAITS = 2.5;
 
+    /** Additional watch waits for each further rank. */
     private static final double EXTRA_WAITS_PER_RANK = 1;
+
+    /** Largest rank with a wait of its own; daemons of a higher rank wait for a random number of further watch waits. */
     private static final int MAX_FALLBACK_RANK = 8;
+
     private static final long FETCH_TIMEOUT_MS = 1_000;
     private static final long INITIAL_RETRY_MS = 200;
     private static final long MAX_RETRY_MS = 1_000;
@@ -41,7 +48,7 @@
 
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** State of the transfers of one kind. */
+    /** Synchronization state of the control objects of one kind. */
     private static final class SyncState {
         private final FetchObject.Kind kind;
         private boolean listed;
@@ -64,7 +71,7 @@
     private final long startedNanos;
     private long lastAdvanceNanos;
     private long lastPeerAdvanceNanos;
-    private long rankedVersion = -1;
+    private long rankedSnapshotVersion = -1;
     private Set<MemberId> rankedSuspects = Set.of();
     private int rank;
     private boolean relay;
@@ -85,7 +92,7 @@
         }
     }
 
-    /** Whether the store has been listed once, so that the view is usable. */
+    /** Whether the store has been listed, so that the view is usable. */
     public boolean isListed() {
         return syncStates.values().stream().allMatch(sync -> sync.listed);
     }
@@ -98,7 +105,7 @@
         return relay || fallback;
     }
 
-    /** Whether something was learned that peers may not know; the answer resets it. */
+    /** Returns whether there are updates that peers may not have, and resets the flag. */
     public boolean consumePushPending() {
         boolean pending = pushPending;
         pushPending = false;
@@ -106,7 +113,7 @@
     }
 
     /**
-     * Lists or watches the store, as due.
+     * Starts listings and watches of the store that are due.
      *
      * @param self the member of this daemon, which may not have a record yet
      * @param suspects members that do not answer this daemon
@@ -128,12 +135,12 @@
         }
     }
 
-    /** Whether the daemon started so recently that it may know only members that ended with it. */
+    /** Whether the daemon started so recently that it may know only members that failed before its start. */
     private boolean isStartupWatchActive(long nowNanos) {
         return nowNanos - startedNanos < context.options().startupWatchMs() * NANOS_PER_MS;
     }
 
-    /** Digest of a peer; fetches what it knows beyond this daemon. */
+    /** Handles the digest of a peer: fetches the changes that the peer knows and this daemon does not. */
     public void digestReceived(MemberId peer, Digest digest) {
         fetchIfAhead(peer, FetchObject.Kind.CONFIGURATION, digest.configuration());
         fetchIfAhead(peer, FetchObject.Kind.MEMBERS, digest.members());
@@ -142,8 +149,8 @@
 
     private void updateRoles(Member self, Set<MemberId> suspects, long nowNanos) {
         long version = view.snapshotVersion();
-        if (version != rankedVersion || !suspects.equals(rankedSuspects)) {
-            rankedVersion = version;
+        if (version != rankedSnapshotVersion || !suspects.equals(rankedSuspects)) {
+            rankedSnapshotVersion = version;
             rankedSuspects = Set.copyOf(suspects);
             rank = rank(self, suspects);
         }
@@ -160,32 +167,39 @@
         }
     }
 
-    /** Rank for the duty of relay in the region; that of a stranger is beyond all. */
+    /**
+     * Returns the rank of this daemon as relay of its region; 0 is the relay. A daemon without a usable record ranks after
+     * all members.
+     */
     private int rank(Member self, Set<MemberId> suspects) {
         Collection<VersionedMember> known = view.current().members().values();
-        List<MemberId> alive = known.stream()
+        List<MemberId> candidates = known.stream()
                 .map(VersionedMember::member)
                 .filter(member -> member.region().equals(self.region()))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .map(Member::id)
                 .filter(member -> !suspects.contains(member))
                 .toList();
-        if (!alive.contains(self.id())) {
-            return alive.size();
+        if (!candidates.contains(self.id())) {
+            return candidates.size();
         }
         long hash = RendezvousHash.hash(self.region().value(), self.id());
-        return (int) alive.stream()
+        return (int) candidates.stream()
                 .filter(member -> RendezvousHash.hash(self.region().value(), member) < hash)
                 .count();
     }
 
-    /** The wait grows with the rank up to a limit, beyond which a random part keeps a fleet from watching at once. */
+    /**
+     * Whether the digest has not advanced for so long that this daemon must watch the store. The wait grows with the rank.
+     * Beyond the largest rank it has a random part, so that not all daemons of a large cluster start to watch together.
+     */
     private boolean isFallbackDue(int rank, long nowNanos) {
-        int step = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackRankOffset;
-        double waits = FALLBACK_AFTER_WAITS + EXTRA_WAITS_PER_RANK * Math.max(0, step);
+        int rankSteps = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackRankOffset;
+        double waits = FALLBACK_AFTER_WAITS + EXTRA_WAITS_PER_RANK * Math.max(0, rankSteps);
         return nowNanos - lastAdvanceNanos > waits * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
+    /** Whether no peer has provided an advance of the digest for two watch waits. */
     private boolean isFallbackStillNeeded(long nowNanos) {
         return nowNanos - lastPeerAdvanceNanos > 2 * context.options().watchWaitMs() * NANOS_PER_MS;
     }
@@ -232,7 +246,7 @@
         }
     }
 
-    /** The store itself has nothing newer, so standing still is no sign of a lost relay. */
+    /** Ends the fallback: the store has no newer changes, so the digest did not stop because of a failed relay. */
     private void storeUnchanged(long nowNanos) {
         lastAdvanceNanos = nowNanos;
         fallback = false;
@@ -270,7 +284,7 @@
         });
     }
 
-    /** Whether the digest advanced. */
+    /** Applies objects to the view and returns whether the digest advanced. */
     private boolean apply(FetchObject.Kind kind, ObjectData data, long nowNanos) {
         Revision before = view.completeUpTo(kind);
         pushPending |= view.apply(kind, data.objects(), data.upTo(), data.reset());
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -31,16 +31,18 @@
 import org.coriandercrank.lease.LeaseHolder;
 
 /**
- * The membership and lease of one incarnation of this daemon: drives a {@link LeaseHolder} and chooses its witnesses.
+ * Membership and lease of one incarnation of this daemon: drives a {@link LeaseHolder} and selects its witnesses.
  *
- * <p>Invariant: the published lease end is that of the holder after its latest event, and is published before the actions
- * of the event are carried out. Times are those of the holder clock. {@link #validUntilNanos} is thread safe; all else runs on the control thread. A member
- * that was sealed stays so; the daemon joins again with a new instance.
+ * <p>A sealed incarnation stays sealed; the daemon rejoins with a new instance of this class.
+ *
+ * <p>Invariant: the published expiry of the lease is that of the holder after its latest event, and it is published before
+ * the actions of the event are carried out. {@link #validUntilNanos} is thread safe; all other methods must be called on
+ * the control thread. Times are those of the lease clock.
  */
 public final class Membership implements LeaseView {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MS = 1_000_000;
-    private static final long WITNESS_REVIEW_NANOS = 200 * NANOS_PER_MS;
+    private static final long WITNESS_REVIEW_INTERVAL_NANOS = 200 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
@@ -49,7 +51,9 @@
     private final IncarnationListener incarnationListener;
     private final MemberId id;
     private final boolean mayResume;
-    private final Map<MemberId, Long> selectedNanos = new HashMap<>();
+    /** When each current witness was selected. */
+    private final Map<MemberId, Long> selectedAtNanos = new HashMap<>();
+
     private final Map<MemberId, Long> suspectUntilNanos = new HashMap<>();
     private final long startedNanos;
     private final CompletableFuture<Void> leaveFuture = new CompletableFuture<>();
@@ -57,7 +61,7 @@
     private Optional<LeaseHolder> holder = Optional.empty();
     private Member desired;
     private long lastReviewNanos;
-    private long lastReviewVersion;
+    private long lastReviewSnapshotVersion;
     private Set<MemberId> lastReviewSuspects = Set.of();
     private long nextRebalanceNanos;
     private long lastHeartbeatNanos;
@@ -110,7 +114,7 @@
         return id;
     }
 
-    /** The record as this daemon wants it; its witnesses may not be in force yet. */
+    /** Returns the record that this daemon tries to write; its witnesses may not be in force yet. */
     public Member desired() {
         return desired;
     }
@@ -124,6 +128,7 @@
         return holder.isPresent();
     }
 
+    /** Whether the record is known to be in the store. */
     public boolean isJoined() {
         return holder.flatMap(LeaseHolder::confirmed).isPresent();
     }
@@ -136,17 +141,20 @@
         return holder.map(h -> h.lastVoteNanos(witness)).orElse(OptionalLong.empty());
     }
 
-    /** Members that do not answer this daemon. */
+    /** Returns the members that do not answer this daemon. */
     public Set<MemberId> suspects() {
         return new HashSet<>(suspectUntilNanos.keySet());
     }
 
-    /** The process did not run for a while, so the silence of others until now means nothing. */
+    /**
+     * Handles the end of a pause of this process. Witnesses may have answered during the pause, so their silence is
+     * measured from now on.
+     */
     public void processResumed(long nowNanos) {
         observedSinceNanos = nowNanos;
     }
 
-    /** Evaluates the lease, then does what is due. Joins once the store has been listed. */
+    /** Joins once the store has been listed; after that, evaluates the lease and then runs the work that is due. */
     public void tick(long nowNanos) {
         if (holder.isEmpty()) {
             boolean stopped = leaveFuture.isDone() || sealFuture.isDone();
@@ -157,24 +165,27 @@
         }
         LeaseHolder lease = holder.get();
         perform(lease.tick(nowNanos));
-        if (nowNanos - lastReviewNanos >= WITNESS_REVIEW_NANOS && !lease.isEnded()) {
+        if (nowNanos - lastReviewNanos >= WITNESS_REVIEW_INTERVAL_NANOS && !lease.isEnded()) {
             lastReviewNanos = nowNanos;
             reviewWitnesses(nowNanos);
         }
-        long spacingNanos = TimeUnit.MILLISECONDS.toNanos(context.options().minPushIntervalMs());
-        if (nowNanos - lastHeartbeatNanos >= spacingNanos && dissemination.consumePushPending()) {
+        long minIntervalNanos = TimeUnit.MILLISECONDS.toNanos(context.options().minPushIntervalMs());
+        if (nowNanos - lastHeartbeatNanos >= minIntervalNanos && dissemination.consumePushPending()) {
             perform(lease.heartbeatNow(nowNanos));
         }
     }
 
-    /** A backend server announced itself; an unchanged announcement has no effect. */
+    /** Handles the announcement of a backend server; an unchanged announcement has no effect. */
     public void backendAnnounced(BackendInfo backend) {
         if (desired.state() == MemberState.JOINING || desired.state() == MemberState.ACTIVE) {
             updateDesired(desired.withBackend(backend).withState(MemberState.ACTIVE));
         }
     }
 
-    /** Asks for no new ranges; done when the record says so. Before the join it prevents the join. */
+    /**
+     * Sets the state to leaving; the future completes when the record has that state. Before the join, it prevents the
+     * join.
+     */
     public CompletableFuture<Void> leave() {
         if (holder.isEmpty()) {
             leaveFuture.complete(null);
@@ -185,7 +196,7 @@
         return leaveFuture;
     }
 
-    /** Ends the lease at once and seals the own record; done when it is sealed. */
+    /** Invalidates the lease immediately and seals the own record; the future completes when the record is sealed. */
     public CompletableFuture<Void> sealSelf() {
         if (holder.isEmpty()) {
             sealFuture.complete(null);
@@ -194,7 +205,7 @@
         return sealFuture;
     }
 
-    /** Gives up the lease without writing; results of calls that are still on their way change nothing. */
+    /** Gives up the lease without a write to the store; results of calls in flight then have no effect. */
     public void abandon() {
         abandoned = true;
         validUntilNanos = startedNanos;
@@ -202,13 +213,13 @@
         sealFuture.complete(null);
     }
 
-    /** A witness refused this member. */
+    /** Handles the notice that a witness refuses this member at a record revision. */
     public void refusalReceived(Revision recordRevision, long nowNanos) {
         context.log(() -> "event=refusal-received member=" + id + " revision=" + recordRevision);
         holder.ifPresent(lease -> perform(lease.refusalReceived(recordRevision, nowNanos)));
     }
 
-    /** Looks for a seal of the own record in the view. */
+    /** Ends the incarnation if its record is sealed in the view. */
     public void viewChanged() {
         Optional<VersionedMember> own = view.member(id);
         if (own.isPresent() && own.get().member().state() == MemberState.SEALED) {
@@ -217,7 +228,7 @@
     }
 
     private void join(long nowNanos) {
-        desired = desired.withWitnesses(chooseWitnesses(false));
+        desired = desired.withWitnesses(selectWitnesses(false));
         holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), desired, nowNanos, mayResume));
         updateSelectionTimes(nowNanos);
         context.log(
@@ -236,13 +247,17 @@
         });
     }
 
+    /**
+     * Marks witnesses that timed out as suspects. Selects the witnesses anew if the members or the suspects changed or a
+     * rebalance is due.
+     */
     private void reviewWitnesses(long nowNanos) {
         suspectUntilNanos.values().removeIf(until -> nowNanos - until >= 0);
-        long lostNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessTimeoutMs());
-        long retryNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryDelayMs());
+        long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessTimeoutMs());
+        long retryDelayNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryDelayMs());
         for (MemberId witness : desired.witnesses()) {
-            if (nowNanos - lastContactNanos(witness) > lostNanos) {
-                suspectUntilNanos.put(witness, nowNanos + retryNanos);
+            if (nowNanos - lastContactNanos(witness) > timeoutNanos) {
+                suspectUntilNanos.put(witness, nowNanos + retryDelayNanos);
             } else {
                 suspectUntilNanos.remove(witness);
             }
@@ -253,12 +268,12 @@
         }
         long version = view.snapshotVersion();
         Set<MemberId> suspects = suspects();
-        if (!rebalance && version == lastReviewVersion && suspects.equals(lastReviewSuspects)) {
+        if (!rebalance && version == lastReviewSnapshotVersion && suspects.equals(lastReviewSuspects)) {
             return;
         }
-        lastReviewVersion = version;
+        lastReviewSnapshotVersion = version;
         lastReviewSuspects = suspects;
-        List<MemberId> witnesses = chooseWitnesses(rebalance);
+        List<MemberId> witnesses = selectWitnesses(rebalance);
         if (!witnesses.equals(desired.witnesses())) {
             context.log(() -> "event=witness-change member=" + id + " from=" + desired.witnesses() + " to=" + witnesses
                     + " suspects=" + suspectUntilNanos.keySet());
@@ -267,26 +282,29 @@
         }
     }
 
-    /** Latest of the vote of a witness, its choice, and the time from which its silence counts. */
+    /**
+     * Returns the time from which the silence of a witness is measured: the latest of its last vote, its selection and the
+     * start of the observation.
+     */
     private long lastContactNanos(MemberId witness) {
-        long contact = observedSinceNanos;
-        Long selected = selectedNanos.get(witness);
-        if (selected != null && selected - contact > 0) {
-            contact = selected;
+        long latest = observedSinceNanos;
+        Long selected = selectedAtNanos.get(witness);
+        if (selected != null && selected - latest > 0) {
+            latest = selected;
         }
         OptionalLong voted = lastVoteNanos(witness);
-        if (voted.isPresent() && voted.getAsLong() - contact > 0) {
-            contact = voted.getAsLong();
+        if (voted.isPresent() && voted.getAsLong() - latest > 0) {
+            latest = voted.getAsLong();
         }
-        return contact;
+        return latest;
     }
 
     private void updateSelectionTimes(long nowNanos) {
-        selectedNanos.keySet().retainAll(desired.witnesses());
-        desired.witnesses().forEach(witness -> selectedNanos.putIfAbsent(witness, nowNanos));
+        selectedAtNanos.keySet().retainAll(desired.witnesses());
+        desired.witnesses().forEach(witness -> selectedAtNanos.putIfAbsent(witness, nowNanos));
     }
 
-    private List<MemberId> chooseWitnesses(boolean rebalance) {
+    private List<MemberId> selectWitnesses(boolean rebalance) {
         List<Member> others = view.current().members().values().stream()
                 .map(VersionedMember::member)
                 .filter(member -> !member.id().equals(id))
@@ -396,6 +414,7 @@
                 });
     }
 
+    /** Decodes a member record from its stored form. */
     static VersionedMember decode(StoredObject object) {
         return new VersionedMember(JsonCodec.decode(object.value(), Member.class), object.revision());
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
@@ -15,26 +15,30 @@
 import org.coriandercrank.kernel.store.StoredObject;
 
 /**
- * Control objects of one kind.
+ * Cache of the control objects of one kind.
  *
- * <p>Invariants: every change up to {@link #completeUpTo()} is known; an object never goes back to an older revision and
- * a deleted one does not come back, because a change at or below that revision is already contained. Not thread safe.
+ * <p>Invariants: the cache contains every change up to {@link #completeUpTo()}; an object never reverts to an older
+ * revision; a deleted object does not reappear, because changes at or below {@link #completeUpTo()} are ignored. Not
+ * thread safe.
  */
 public final class ObjectCache {
     private static final int MAX_TOMBSTONES = 1_024;
 
     private final FetchObject.Kind kind;
     private final Map<String, StoredObject> objects = new HashMap<>();
+    /** Latest deletions, so that peers can be sent changes instead of a whole listing. */
     private final LinkedHashMap<String, StoredObject> tombstones = new LinkedHashMap<>();
+
     private Revision completeUpTo = Revision.NONE;
 
-    /** Every deletion after this revision is in {@link #tombstones}. */
+    /** The tombstones contain every deletion after this revision. */
     private Revision tombstonesCompleteSince = Revision.NONE;
 
     public ObjectCache(FetchObject.Kind kind) {
         this.kind = kind;
     }
 
+    /** Returns the revision up to which the cache contains every change. */
     public Revision completeUpTo() {
         return completeUpTo;
     }
@@ -44,11 +48,11 @@
     }
 
     /**
-     * Takes over changes and returns those that were news; deletions found by a reset are included with the revision of
-     * the listing.
+     * Applies changes and returns those that were newer than the cached state. Objects that a complete listing shows as
+     * deleted are returned as deletions at the revision of the listing.
      *
-     * @param upTo the changes contain everything after the revision that was asked for and up to this one
-     * @param reset whether the changes are a whole listing
+     * @param upTo the changes contain everything after the requested revision and up to this one
+     * @param reset whether the changes are a complete listing
      */
     public List<StoredObject> apply(List<StoredObject> changes, Revision upTo, boolean reset) {
         List<StoredObject> applied = new ArrayList<>();
@@ -69,12 +73,12 @@
         return applied;
     }
 
-    /** Takes over a single object, for example one written by this daemon; whether it was news. */
+    /** Applies a single object, for example one written by this daemon; returns whether it was newer than the cached one. */
     public boolean applySingle(StoredObject change) {
         return change.revision().isNewerThan(completeUpTo) && put(change);
     }
 
-    /** All changes after a revision, or the whole listing if the deletions since then are no longer known. */
+    /** Returns all changes after a revision, or a complete listing if some deletions after it have been evicted. */
     public ObjectData changesSince(Revision newerThan) {
         if (!completeUpTo.isNewerThan(newerThan)) {
             return new ObjectData(kind, completeUpTo, false, List.of());
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorSealer.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/PredecessorSealer.java
@@ -10,16 +10,19 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Seals the records that former processes left at the peer address of this daemon, once the daemon has joined itself.
+ * Seals the member records of earlier processes with the peer address of this daemon, after this daemon has joined.
  *
- * <p>The address has one process at a time, so the former ones have ended, and so have the grants of a backend server
- * that was replaced. Without this their ranges would wait until witnesses find the members silent. Control thread only.
+ * <p>The address is used by one process at a time, so the earlier processes have ended, and so have the grants of a
+ * backend server that was replaced. Without the seals, their ranges would stay unavailable until witnesses detect the
+ * missing heartbeats. Control thread only.
  */
 final class PredecessorSealer {
     private final ControlContext context;
     private final ClusterView view;
+    /** Members whose seal is in flight, succeeded or waits for a retry. */
     private final Set<MemberId> sealRequested = new HashSet<>();
-    private long checkedVersion = -1;
+
+    private long checkedSnapshotVersion = -1;
     private List<VersionedMember> predecessors = List.of();
 
     PredecessorSealer(ControlContext context, ClusterView view) {
@@ -27,34 +30,37 @@
         this.view = view;
     }
 
+    /** Starts the seals that are due. Only a new snapshot changes the set of predecessors. */
     void tick(MemberId self) {
-        if (view.snapshotVersion() != checkedVersion) {
-            checkedVersion = view.snapshotVersion();
+        if (view.snapshotVersion() != checkedSnapshotVersion) {
+            checkedSnapshotVersion = view.snapshotVersion();
             predecessors = view.current().members().values().stream()
-                    .filter(known -> !known.member().id().equals(self))
-                    .filter(known -> known.member().state() != MemberState.SEALED)
-                    .filter(known -> known.member()
+                    .filter(predecessor -> !predecessor.member().id().equals(self))
+                    .filter(predecessor -> predecessor.member().state() != MemberState.SEALED)
+                    .filter(predecessor -> predecessor
+                            .member()
                             .peerAddress()
                             .equals(context.identity().peerAddress()))
                     .toList();
         }
-        for (VersionedMember known : predecessors) {
-            if (sealRequested.add(known.member().id())) {
-                seal(known);
+        for (VersionedMember predecessor : predecessors) {
+            if (sealRequested.add(predecessor.member().id())) {
+                seal(predecessor);
             }
         }
     }
 
-    private void seal(VersionedMember known) {
-        MemberId member = known.member().id();
-        VersionedMember sealed = new VersionedMember(known.member().withState(MemberState.SEALED), known.revision());
+    private void seal(VersionedMember predecessor) {
+        MemberId member = predecessor.member().id();
+        VersionedMember sealed =
+                new VersionedMember(predecessor.member().withState(MemberState.SEALED), predecessor.revision());
         context.callWithTimeout(
                 () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(member), JsonCodec.encode(sealed.member()), sealed.revision()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
-                    context.log(() -> "event=predecessor-seal member=" + member + " revision=" + known.revision()
+                    context.log(() -> "event=predecessor-seal member=" + member + " revision=" + predecessor.revision()
                             + " result=" + (failure == null ? "sealed" : failure.code()));
                     if (failure == null) {
                         view.applyMember(new VersionedMember(sealed.member(), revision));
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/RendezvousHash.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/RendezvousHash.java
@@ -7,16 +7,19 @@
 import java.util.List;
 import org.coriandercrank.kernel.id.MemberId;
 
-/** Rendezvous hashing: each place orders members on its own, and a member that joins or leaves moves no other. Stateless. */
+/**
+ * Rendezvous hashing of members: each key gives the members an order of its own, and a member that joins or leaves does
+ * not change the relative order of the others. Stateless.
+ */
 public final class RendezvousHash {
     private RendezvousHash() {}
 
-    /** Members in the order of the place. */
+    /** Returns the members in the order for the key. */
     public static List<MemberId> order(String key, Collection<MemberId> members) {
         return members.stream().sorted(comparator(key)).toList();
     }
 
-    /** Order of members for the place; ties are broken by id. */
+    /** Returns a comparator with the order for the key; ties are broken by member id. */
     public static Comparator<MemberId> comparator(String key) {
         return Comparator.<MemberId>comparingLong(member -> hash(key, member)).thenComparing(Comparator.naturalOrder());
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -22,23 +22,28 @@
 import org.coriandercrank.lease.Takeover;
 import org.coriandercrank.lease.TakeoverAction;
 
-/** Finds members that are no longer heard of and drives a {@link Takeover} for each. Control thread only. */
+/** Detects members without recent contact and drives a {@link Takeover} for each of them. Control thread only. */
 public final class TakeoverCoordinator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MS = 1_000_000;
+
+    /** Limits the delay of takeovers in a large cluster. */
     private static final int MAX_RANK = 10;
 
-    /** A longer takeover probably lacks witnesses that can refuse, and its member's keys wait for an operator. */
-    private static final long STUCK_NANOS = 10_000 * NANOS_PER_MS;
+    /**
+     * A longer takeover is reported: it probably lacks witnesses that can refuse, and the keys of its member stay
+     * unavailable until an operator intervenes.
+     */
+    private static final long STUCK_AFTER_NANOS = 10_000 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
     private final Map<MemberId, Takeover> running = new HashMap<>();
-    private final Map<MemberId, Long> stuckAtNanos = new HashMap<>();
+    private final Map<MemberId, Long> nextStuckReportNanos = new HashMap<>();
     private final WitnessService witnessService;
     private List<VersionedMember> eligibleMembers = List.of();
-    private long eligibleVersion = -1;
+    private long eligibleSnapshotVersion = -1;
     private MemberId self;
     private long observedSinceNanos;
 
@@ -51,51 +56,54 @@
         this.witnessService = new WitnessService(context, view, metrics, this::heartbeatAcknowledged);
     }
 
-    /** The votes of this daemon, which tell who is alive. */
+    /** Returns the witness of this daemon, whose acknowledgements show which members are alive. */
     public WitnessService witnessService() {
         return witnessService;
     }
 
-    /** This daemon has a new member id; takeovers of the former incarnation are dropped. */
+    /** Sets a new member id of this daemon and drops the takeovers of its previous incarnation. */
     public void selfChanged(MemberId newSelf) {
         self = newSelf;
         running.clear();
     }
 
-    /** The process did not run for a while, so the silence of others until now means nothing. */
+    /**
+     * Handles the end of a pause of this process. Members may have sent heartbeats during the pause, so their silence is
+     * measured from now on.
+     */
     public void processResumed(long nowNanos) {
         observedSinceNanos = nowNanos;
         running.clear();
     }
 
-    /** Starts takeovers of members not heard of and advances the running ones. */
+    /** Starts takeovers of members without recent contact and advances the running ones. */
     public void tick(long nowNanos) {
         refreshEligibleMembers();
-        for (VersionedMember known : eligibleMembers) {
-            if (isSuspect(known, nowNanos)
-                    && !running.containsKey(known.member().id())) {
-                start(known, nowNanos);
+        for (VersionedMember record : eligibleMembers) {
+            if (isSuspect(record, nowNanos)
+                    && !running.containsKey(record.member().id())) {
+                start(record, nowNanos);
             }
         }
         for (Takeover takeover : List.copyOf(running.values())) {
             perform(takeover, takeover.tick(nowNanos));
-            finishIfDone(takeover);
+            removeIfDone(takeover);
         }
         reportStuck(nowNanos);
     }
 
-    /** Members whose takeover is going on. */
+    /** Returns the members whose takeover is running. */
     public List<MemberId> runningTakeovers() {
         return running.keySet().stream().sorted().toList();
     }
 
     private void reportStuck(long nowNanos) {
-        stuckAtNanos.keySet().retainAll(running.keySet());
+        nextStuckReportNanos.keySet().retainAll(running.keySet());
         for (Takeover takeover : running.values()) {
             Member member = takeover.target().member();
-            Long stuckAt = stuckAtNanos.putIfAbsent(member.id(), nowNanos + STUCK_NANOS);
-            if (stuckAt != null && nowNanos - stuckAt >= 0) {
-                stuckAtNanos.put(member.id(), nowNanos + STUCK_NANOS);
+            Long reportAtNanos = nextStuckReportNanos.putIfAbsent(member.id(), nowNanos + STUCK_AFTER_NANOS);
+            if (reportAtNanos != null && nowNanos - reportAtNanos >= 0) {
+                nextStuckReportNanos.put(member.id(), nowNanos + STUCK_AFTER_NANOS);
                 logger.atWarning().log(
                         "event=takeover-stuck member=%s revision=%s refusals=%d witnesses=%s",
                         member.id(), takeover.target().revision(), takeover.refusalCount(), member.witnesses());
@@ -103,7 +111,7 @@
         }
     }
 
-    /** Tells running takeovers of newer records. */
+    /** Passes newer records to the running takeovers and drops those that this daemon may no longer carry out. */
     public void viewChanged(RoutingSnapshot snapshot) {
         long now = context.nowNanos();
         for (Takeover takeover : List.copyOf(running.values())) {
@@ -113,7 +121,7 @@
                 running.remove(member);
             } else {
                 takeover.recordUpdated(record, now);
-                finishIfDone(takeover);
+                removeIfDone(takeover);
             }
         }
     }
@@ -124,50 +132,55 @@
         }
     }
 
-    /** Finds the members that this daemon may take over; only a new snapshot changes them. */
+    /** Determines the members that this daemon may take over; only a new snapshot changes them. */
     private void refreshEligibleMembers() {
-        if (view.snapshotVersion() != eligibleVersion) {
-            eligibleVersion = view.snapshotVersion();
+        if (view.snapshotVersion() != eligibleSnapshotVersion) {
+            eligibleSnapshotVersion = view.snapshotVersion();
             eligibleMembers = view.current().members().values().stream()
-                    .filter(known -> !known.member().id().equals(self))
-                    .filter(known -> known.member().state() != MemberState.SEALED)
-                    .filter(known -> mayTakeOver(known.member()))
+                    .filter(record -> !record.member().id().equals(self))
+                    .filter(record -> record.member().state() != MemberState.SEALED)
+                    .filter(record -> mayTakeOver(record.member()))
                     .toList();
         }
     }
 
-    private boolean isSuspect(VersionedMember known, long nowNanos) {
-        return nowNanos - lastContactNanos(known.member().id())
+    private boolean isSuspect(VersionedMember record, long nowNanos) {
+        return nowNanos - lastContactNanos(record.member().id())
                 > context.options().leaseTiming().expiryNanos();
     }
 
+    /** Whether this daemon is a witness of the member. Any daemon may take over a member without witnesses. */
     private boolean mayTakeOver(Member member) {
         return member.witnesses().isEmpty() || member.witnesses().contains(self);
     }
 
-    /** A new revision of the record is a sign of life too; a member without witnesses gives no other. */
+    /**
+     * Returns the time of the last contact with a member. A new revision of its record counts as a contact too; it is the
+     * only one for a member without witnesses.
+     */
     private long lastContactNanos(MemberId member) {
-        long contact = observedSinceNanos;
-        for (OptionalLong sign : List.of(view.revisionLearnedNanos(member), witnessService.lastAckNanos(member))) {
-            if (sign.isPresent() && sign.getAsLong() - contact > 0) {
-                contact = sign.getAsLong();
+        long latest = observedSinceNanos;
+        for (OptionalLong candidate : List.of(view.revisionSeenNanos(member), witnessService.lastAckNanos(member))) {
+            if (candidate.isPresent() && candidate.getAsLong() - latest > 0) {
+                latest = candidate.getAsLong();
             }
         }
-        return contact;
+        return latest;
     }
 
-    private void start(VersionedMember known, long nowNanos) {
-        Member member = known.member();
+    private void start(VersionedMember record, long nowNanos) {
+        Member member = record.member();
         int rank = rank(member);
         long delayNanos = TimeUnit.MILLISECONDS.toNanos(rank * context.options().takeoverRankDelayMs());
-        long knownSinceNanos = view.revisionLearnedNanos(member.id()).orElse(nowNanos);
+        long knownSinceNanos = view.revisionSeenNanos(member.id()).orElse(nowNanos);
         running.put(
                 member.id(),
-                new Takeover(context.options().leaseTiming(), known, knownSinceNanos, nowNanos + delayNanos));
-        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + known.revision() + " rank="
+                new Takeover(context.options().leaseTiming(), record, knownSinceNanos, nowNanos + delayNanos));
+        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + record.revision() + " rank="
                 + rank + " witnesses=" + member.witnesses());
     }
 
+    /** Returns the position of this daemon among the members that may take over the member. */
     private int rank(Member member) {
         int index = member.witnesses().indexOf(self);
         if (index < 0) {
@@ -180,8 +193,8 @@
 
     private void perform(Takeover takeover, List<TakeoverAction> actions) {
         for (TakeoverAction action : actions) {
-            if (action instanceof TakeoverAction.RequestRefusal ask) {
-                askRefusal(takeover, ask);
+            if (action instanceof TakeoverAction.RequestRefusal request) {
+                sendRefusalRequest(takeover, request);
             } else if (action instanceof TakeoverAction.Seal seal) {
                 seal(takeover, seal);
             } else if (action instanceof TakeoverAction.ReadRecord read) {
@@ -190,34 +203,34 @@
         }
     }
 
-    private void askRefusal(Takeover takeover, TakeoverAction.RequestRefusal ask) {
-        RefusalRequest request = new RefusalRequest(takeover.target().member().id(), ask.recordRevision());
-        if (ask.witness().equals(self)) {
-            refusalAnswered(takeover, ask, witnessService.refuse(self, self, request));
+    private void sendRefusalRequest(Takeover takeover, TakeoverAction.RequestRefusal action) {
+        RefusalRequest request = new RefusalRequest(takeover.target().member().id(), action.recordRevision());
+        if (action.witness().equals(self)) {
+            refusalAnswered(takeover, action, witnessService.handleRefusalRequest(self, self, request));
             return;
         }
-        view.member(ask.witness()).ifPresent(witness -> {
+        view.member(action.witness()).ifPresent(witness -> {
             long timeoutMs = context.options().heartbeatMs();
             PeerTarget target = PeerTarget.of(witness.member());
             context.callWithTimeout(
                     () -> context.dependencies().peers().call(target, request, RefusalAnswer.class, timeoutMs),
                     timeoutMs,
                     (answer, failure) -> {
-                        if (failure == null && answer.witness().equals(ask.witness())) {
-                            refusalAnswered(takeover, ask, answer);
+                        if (failure == null && answer.witness().equals(action.witness())) {
+                            refusalAnswered(takeover, action, answer);
                         }
                     });
         });
     }
 
-    private void refusalAnswered(Takeover takeover, TakeoverAction.RequestRefusal ask, RefusalAnswer answer) {
+    private void refusalAnswered(Takeover takeover, TakeoverAction.RequestRefusal action, RefusalAnswer answer) {
         if (isRunning(takeover)) {
-            Revision revision = ask.recordRevision();
+            Revision revision = action.recordRevision();
             long retryAfterNanos = answer.retryAfterMs() * NANOS_PER_MS;
             perform(
                     takeover,
                     takeover.refusalAnswered(
-                            ask.witness(), revision, answer.granted(), retryAfterNanos, context.nowNanos()));
+                            action.witness(), revision, answer.granted(), retryAfterNanos, context.nowNanos()));
         }
     }
 
@@ -239,7 +252,7 @@
                     } else {
                         sealFailed(takeover, seal, failure);
                     }
-                    finishIfDone(takeover);
+                    removeIfDone(takeover);
                 });
     }
 
@@ -269,7 +282,7 @@
                         takeover.readSucceeded(read.operation(), found, now);
                         found.ifPresent(view::applyMember);
                     }
-                    finishIfDone(takeover);
+                    removeIfDone(takeover);
                 });
     }
 
@@ -277,7 +290,7 @@
         return running.get(takeover.target().member().id()) == takeover;
     }
 
-    private void finishIfDone(Takeover takeover) {
+    private void removeIfDone(Takeover takeover) {
         if (takeover.state() != Takeover.State.RUNNING && isRunning(takeover)) {
             MemberId member = takeover.target().member().id();
             running.remove(member);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
@@ -15,19 +15,24 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * Choice of the witnesses of a member: half in its own failure domain and half in others, of its region.
+ * Selects the witnesses of a member from its region: half in its own failure domain and half in others.
  *
- * <p>Usable witnesses are kept. A new one is the member with the fewest duties as witness, by the records known here;
- * ties are broken by rendezvous hashing for the choosing member, so that members that choose at the same time spread.
- * Not thread safe; made for one choice.
+ * <p>Current witnesses that are usable are kept. A new witness is the candidate with the lowest load, which is the number
+ * of known member records that name it as a witness. Ties are broken by rendezvous hashing with the id of the selecting
+ * member, so that members that select at the same time prefer different candidates. Not thread safe; used for a single
+ * selection.
  */
 public final class WitnessSelector {
+    /** A smaller cluster has no witnesses; its members renew their leases through the store alone. */
     private static final int MIN_CLUSTER_SIZE = 3;
+
+    /** Smallest number of members, including this one, of a large region. */
     private static final int LARGE_REGION_SIZE = 5;
+
     private static final int SMALL_REGION_WITNESSES = 2;
     private static final int LARGE_REGION_WITNESSES = 4;
 
-    /** A smaller difference of duties is not worth a write. */
+    /** A witness is replaced only for a candidate whose load is lower by at least this; less does not justify a write. */
     private static final int MIN_LOAD_DIFFERENCE = 2;
 
     private final Member self;
@@ -46,12 +51,12 @@
     }
 
     /**
-     * Witnesses of a member.
+     * Selects the witnesses of a member.
      *
      * @param others members that may be witnesses, without the member itself
-     * @param suspects members that do not answer; chosen only where there are too few others
-     * @param current present witnesses
-     * @param rebalance whether to replace one witness that has clearly more duties than another candidate
+     * @param suspects members that do not answer; selected only if there are too few others
+     * @param current current witnesses
+     * @param rebalance whether to replace one witness whose load is clearly higher than that of another candidate
      */
     public static List<MemberId> select(
             Member self, Collection<Member> others, Set<MemberId> suspects, List<MemberId> current, boolean rebalance) {
@@ -90,7 +95,7 @@
         return witnessLoad.getOrDefault(member, 0);
     }
 
-    /** The current witness with the most duties for which its group has a member with clearly fewer. */
+    /** Returns the current witness with the highest load whose group has a candidate with a clearly lower load. */
     @SafeVarargs
     private Optional<MemberId> mostLoadedReplaceable(Predicate<Member>... groups) {
         Optional<MemberId> result = Optional.empty();
@@ -112,6 +117,7 @@
         return result;
     }
 
+    /** Adds members of the group, first those to keep, until there are {@code limit} witnesses. */
     private void addFromGroup(Predicate<Member> group, int limit, Set<MemberId> kept) {
         Comparator<MemberId> byLoad = Comparator.comparing(this::witnessLoad);
         addInOrder(group.and(member -> kept.contains(member.id())), limit, byLoad);
@@ -133,7 +139,7 @@
         }
     }
 
-    /** Keeps the order of witnesses that stay, because an unchanged list needs no write. */
+    /** Returns the selection with kept witnesses in their current order, because an unchanged list needs no write. */
     private List<MemberId> inCurrentOrder() {
         List<MemberId> result = new ArrayList<>(current);
         result.retainAll(chosen);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
@@ -11,7 +11,9 @@
 import org.coriandercrank.lease.Witness;
 
 /**
- * This daemon as witness of others. The votes outlive an incarnation, because refusals given by the process stay true.
+ * Answers heartbeats and refusal requests of other members as their witness.
+ *
+ * <p>The votes are kept across incarnations of this daemon, because refusals that the process granted stay binding.
  * Control thread only.
  */
 public final class WitnessService {
@@ -23,7 +25,11 @@
     private final Witness witness;
     private final Consumer<MemberId> heartbeatListener;
 
-    /** Makes a witness that tells the listener of each member whose heartbeat it acknowledges. */
+    /**
+     * Creates a witness.
+     *
+     * @param heartbeatListener notified of each member whose heartbeat is acknowledged
+     */
     public WitnessService(
             ControlContext context, ClusterView view, ControlMetrics metrics, Consumer<MemberId> heartbeatListener) {
         this.context = context;
@@ -34,7 +40,7 @@
                 new Witness(context.options().leaseTiming(), context.options().maxWitnessedMembers());
     }
 
-    /** Whether a heartbeat is acknowledged. */
+    /** Records a heartbeat and returns whether it is acknowledged. */
     public boolean acceptHeartbeat(MemberId member, Revision recordRevision) {
         boolean granted = witness.acceptHeartbeat(member, recordRevision, context.nowNanos());
         if (granted) {
@@ -45,8 +51,11 @@
         return granted;
     }
 
-    /** Answers a taker; a refused member is told, so that it can rewrite its record if it is alive. */
-    public RefusalAnswer refuse(MemberId self, MemberId taker, RefusalRequest request) {
+    /**
+     * Answers the refusal request of a taker. If the refusal is granted, the refused member is notified, so that it can
+     * rewrite its record if it is alive.
+     */
+    public RefusalAnswer handleRefusalRequest(MemberId self, MemberId taker, RefusalRequest request) {
         Witness.RefusalDecision decision =
                 witness.requestRefusal(request.member(), request.recordRevision(), context.nowNanos());
         if (decision.granted()) {
@@ -64,7 +73,7 @@
         return new RefusalAnswer(self, decision.granted(), retryAfterMs);
     }
 
-    /** When the latest heartbeat of a member was acknowledged. */
+    /** Returns when the latest heartbeat of a member was acknowledged; empty if unknown. */
     public OptionalLong lastAckNanos(MemberId member) {
         return witness.lastAckNanos(member);
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/package-info.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Implementation of the control plane; everything runs on the control thread unless stated. */
+/** Implementation of the control plane; code runs on the control thread unless a class states otherwise. */
 package org.coriandercrank.control.internal;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/package-info.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/package-info.java
@@ -1,2 +1,5 @@
-/** Membership, lease, takeover and dissemination of control objects of one daemon. */
+/**
+ * Control plane of a daemon: its membership and lease, the takeover of failed members, and the dissemination of control
+ * objects (configuration, member records and assignment tables).
+ */
 package org.coriandercrank.control;
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -205,12 +205,12 @@
         if (!completeOperation(answeredOperation)) {
             return List.of();
         }
-        Revision known = confirmed.map(VersionedMember::revision).orElse(Revision.NONE);
-        Revision found = read.map(VersionedMember::revision).orElse(Revision.NONE);
+        Revision knownRevision = confirmed.map(VersionedMember::revision).orElse(Revision.NONE);
+        Revision foundRevision = read.map(VersionedMember::revision).orElse(Revision.NONE);
         if (confirmed.isEmpty() && mayResume && read.isPresent()) {
             return resume(read.get(), nowNanos);
         }
-        if (found.equals(known)) {
+        if (foundRevision.equals(knownRevision)) {
             writeOutcomeUnknown = false;
             backoff.failed(nowNanos);
             return List.of();
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -76,8 +76,7 @@
         if (state != State.RUNNING || nowNanos - startAtNanos < 0) {
             return actions;
         }
-        int requiredCount =
-                Quorum.requiredRefusals(target.member().witnesses().size());
+        int requiredCount = Quorum.requiredRefusals(target.member().witnesses().size());
         if (refusals.size() < requiredCount) {
             requestRefusals(nowNanos, actions);
         }
