--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -5,9 +5,9 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.TimeUnit;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -31,14 +31,14 @@
                 HostIdentity.ofAddress(ADDRESS, ADDRESS, ADDRESS, new Region("r"), new FailureDomain("d"));
         try (SystemTimerService timers = new SystemTimerService()) {
             DecisionLog log = new DecisionLog(0, MonotonicClock.SYSTEM);
-            ControlDependencies services = new ControlDependencies(
+            ControlDependencies dependencies = new ControlDependencies(
                     synchronizedStore(store), null, new PeerHandlers(), timers, log, new SimpleMeterRegistry());
             timers.every(1, Runnable::run, () -> {
                 synchronized (store) {
                     storeTime.runFor(1);
                 }
             });
-            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, services)) {
+            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, dependencies)) {
                 control.start();
                 control.backendAnnounced(FakeCluster.backend(1));
                 control.routing()
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -69,8 +69,8 @@
                 new FailureDomain(place.replace('/', '-')));
         TimerService timers = time.timers();
         DecisionLog log = new DecisionLog(LOG_LINES_PER_SECOND, timers.clock());
-        ControlDependencies services = new ControlDependencies(store, this, handlers, timers, log, metrics);
-        control = ControlPlane.create(options, identity, services, this::execute, new Random(seed));
+        ControlDependencies dependencies = new ControlDependencies(store, this, handlers, timers, log, metrics);
+        control = ControlPlane.create(options, identity, dependencies, this::execute, new Random(seed));
         control.addIncarnationListener((member, reason) -> sealedIncarnations.add(member));
     }
 
