--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
@@ -57,7 +57,7 @@
 
     SETTING_INVALID(500, 400, Outcome.NOT_RUN, "a setting is missing, malformed or out of range"),
 
-    STORE_UNAVAILABLE(600, 503, Outcome.NOT_RUN, "the object store cannot be reached or rejected the call"),
+    STORE_UNAVAILABLE(600, 503, Outcome.NOT_RUN, "the object store is unavailable; the call had no effect"),
     REVISION_CONFLICT(601, 409, Outcome.NOT_RUN, "the object has another revision than expected"),
     WRITE_UNANSWERED(602, 504, Outcome.UNKNOWN, "a write was sent to the object store and its answer was lost"),
     STORE_MALFORMED(603, 500, Outcome.NOT_RUN, "an object or answer of the store cannot be read"),
