--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.coriandercrank.gate.internal.Admission;
-import org.coriandercrank.gate.internal.Admission.RangeStatus;
 import org.coriandercrank.gate.internal.Admission.AdmissionContext;
+import org.coriandercrank.gate.internal.Admission.RangeStatus;
 import org.coriandercrank.gate.internal.ConcurrencyLimit;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.request.CallerAnswer;
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
@@ -14,9 +14,9 @@
 import java.util.function.Predicate;
 import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.gate.GateOptions;
+import org.coriandercrank.gate.internal.GateContext;
 import org.coriandercrank.gate.internal.GateCore;
 import org.coriandercrank.gate.internal.GateMetrics;
-import org.coriandercrank.gate.internal.GateContext;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.BackendRule;
 import org.coriandercrank.kernel.config.Configuration;
@@ -33,9 +33,9 @@
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.message.OutcomeAnswer;
 import org.coriandercrank.kernel.message.OutcomeQuery;
-import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
 import org.coriandercrank.kernel.table.AssignmentTable;
@@ -67,8 +67,8 @@
     }
 
     GateFixture(GateOptions options) {
-        GateDependencies inputs =
-                new GateDependencies(SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
+        GateDependencies inputs = new GateDependencies(
+                SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
         core = new GateCore(new GateContext(inputs, options, timers, new GateMetrics(meters), () -> false));
         timers.every(options.busyTickMs(), timers, core::tick);
     }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -43,7 +43,8 @@
     })
     void releaseWhenTheRevokeIsAnsweredOrNot(
             boolean answered, String capabilities, boolean withoutProof, boolean completes) {
-        GateFixture other = new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withUnconfirmedRelease(withoutProof));
+        GateFixture other =
+                new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withUnconfirmedRelease(withoutProof));
         other.attach(2, parse(capabilities));
         other.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         other.backend.answersGrants = answered;
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
@@ -105,8 +105,9 @@
     /** Guards against a key that may run again because its record was evicted before the retention. */
     @Test
     void evictionMovesTheHorizon() {
-        GateFixture small =
-                new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withRecordLimits(600_000, 2, 1_000_000)).serving(2);
+        GateFixture small = new GateFixture(
+                        GateOptions.DEFAULTS.withSlowStartMs(0).withRecordLimits(600_000, 2, 1_000_000))
+                .serving(2);
         small.backend.onCall = Call::succeed;
         small.submit(request("a", "k", "POST", 1_000, "key", FIRST));
         small.timers.advanceMs(1_000);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
@@ -2,20 +2,21 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.Objects;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.RoutingView;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
-import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * The parts that a gate uses. Immutable.
+ * The components that a gate uses. Immutable.
  *
  * @param service the only service whose requests the gate admits
- * @param lease in the time of the clock of {@code timers}
- * @param duties makes the duty that the gate runs on
+ * @param lease lease of this daemon; its times are read from the clock of {@code timers}
+ * @param decisions log of the decisions of the gate
+ * @param executorFactory creates the executor that runs all tasks of the gate
  */
 public record GateDependencies(
         ServiceName service,
@@ -24,7 +25,7 @@
         TimerService timers,
         DecisionLog decisions,
         MeterRegistry meters,
-        SerialExecutor.Factory duties) {
+        SerialExecutor.Factory executorFactory) {
     public GateDependencies {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(routing, "routing");
@@ -32,10 +33,10 @@
         Objects.requireNonNull(timers, "timers");
         Objects.requireNonNull(decisions, "decisions");
         Objects.requireNonNull(meters, "meters");
-        Objects.requireNonNull(duties, "duties");
+        Objects.requireNonNull(executorFactory, "executorFactory");
     }
 
-    /** Inputs of a gate with a thread of its own. */
+    /** Creates the dependencies of a gate that runs on its own thread. */
     public GateDependencies(
             ServiceName service,
             RoutingView routing,
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
@@ -3,32 +3,38 @@
 import java.util.function.Consumer;
 
 /**
- * Settings of a gate. Immutable; limits are checked on construction.
+ * Settings of a gate. Immutable; the constructor checks that each value is in its valid range.
  *
- * @param taskQueueCapacity tasks that may wait for the thread of the gate
- * @param busyTickMs period in which deadlines, grants and releases are examined while anything waits for them
- * @param idleTickMs the same period while nothing waits
- * @param grantValidityMs longest validity of a grant; what is left of the lease is a further bound
- * @param grantTimeoutMs time after which an unanswered grant counts as failed
- * @param grantRetryMs pause after a failed grant
- * @param grantDelayMs time for which changes of the granted ranges are collected before a grant is sent
- * @param slowStartMs time in which the concurrency grows from a quarter of the slots to all of them after an attach
- * @param overloadRecoveryMs time in which the concurrency returns to all slots after the server reported overload
- * @param recordRetentionMs time for which outcome records are kept
- * @param maxRecords most outcome records kept
- * @param maxRecordBytes most bytes of outcome records kept
- * @param maxTransferBytes most bytes of outcome records handed over with a released range
- * @param barredIdRetentionMs time for which a barred request id is refused, beyond the longest deadline of the service
- * @param maxBarredIds most barred ids; when reached, an outcome query gets UNKNOWN in place of BARRED
- * @param keyAgeMarginMs bound on the time a request travels from the caller to the gate, added to the stated age of its
- *     idempotency key
- * @param deadlineGraceMs time after its deadline at which a call has ended on a server that honours deadlines
- * @param lostCallLifetimeMs time after its deadline at which a call with a lost answer is taken as ended on a server
- *     that does not honour deadlines
- * @param maxParkedRequests most requests that wait for a range that is assigned to this gate and not served yet; 0 refuses them
- * @param parkTimeoutMs longest time that such a request waits
- * @param allowUnconfirmedRelease whether a release may complete although the server neither answered the revoke nor
- *     honours validity
+ * @param taskQueueCapacity number of tasks that can wait for the thread of the gate
+ * @param busyTickMs interval between checks of deadlines, grants and releases while any of them is pending
+ * @param idleTickMs interval between these checks while none is pending
+ * @param grantValidityMs maximum validity of a grant; a grant is also never valid for longer than the rest of the lease
+ * @param grantTimeoutMs time after which a grant without an answer counts as failed
+ * @param grantRetryMs time between a failed grant and the next attempt
+ * @param grantDelayMs time for which changes of the granted ranges are collected before the gate sends a grant
+ * @param slowStartMs time in which the concurrency limit grows from a quarter of the slots to all of them after a
+ *     backend server was attached
+ * @param overloadRecoveryMs time in which the concurrency limit returns to all slots after the backend server reported
+ *     overload
+ * @param recordRetentionMs time for which the gate keeps an outcome record
+ * @param maxRecords maximum number of outcome records
+ * @param maxRecordBytes maximum total size of the outcome records in bytes
+ * @param maxTransferBytes maximum total size in bytes of the outcome records that are passed on with a released range
+ * @param barredIdRetentionMs time for which a barred request id is refused, added to the maximum deadline of the
+ *     service
+ * @param maxBarredIds maximum number of barred request ids; at the maximum, an outcome query returns UNKNOWN instead of
+ *     BARRED
+ * @param keyAgeMarginMs upper bound for the time that a request travels from the caller to the gate; it is added to the
+ *     age of the idempotency key that the caller states
+ * @param deadlineGraceMs time after the deadline of a call at which a backend server that honours deadlines has
+ *     certainly ended the call
+ * @param lostCallLifetimeMs time after the deadline of a call without an answer at which the gate assumes that a
+ *     backend server that does not honour deadlines has ended the call
+ * @param maxParkedRequests maximum number of requests that wait for a range that is assigned to this gate but not yet
+ *     served; with 0 such requests are refused
+ * @param parkTimeoutMs maximum time that such a request waits
+ * @param allowUnconfirmedRelease whether a release may complete although the backend server neither acknowledged the
+ *     revocation nor honours the validity of grants
  */
 public record GateOptions(
         int taskQueueCapacity,
@@ -52,96 +58,100 @@
         int maxParkedRequests,
         int parkTimeoutMs,
         boolean allowUnconfirmedRelease) {
+    /** Default options, with parking of requests disabled. */
     public static final GateOptions DEFAULTS = new GateOptions(
-            8_192,
-            5,
-            25,
-            1_000,
-            300,
-            50,
-            0,
-            5_000,
-            1_000,
-            600_000,
-            50_000,
-            16_777_216,
-            4_194_304,
-            60_000,
-            50_000,
-            250,
-            250,
-            60_000,
-            0,
-            0,
-            false);
+            /* taskQueueCapacity */ 8_192,
+            /* busyTickMs */ 5,
+            /* idleTickMs */ 25,
+            /* grantValidityMs */ 1_000,
+            /* grantTimeoutMs */ 300,
+            /* grantRetryMs */ 50,
+            /* grantDelayMs */ 0,
+            /* slowStartMs */ 5_000,
+            /* overloadRecoveryMs */ 1_000,
+            /* recordRetentionMs */ 600_000,
+            /* maxRecords */ 50_000,
+            /* maxRecordBytes */ 16_777_216,
+            /* maxTransferBytes */ 4_194_304,
+            /* barredIdRetentionMs */ 60_000,
+            /* maxBarredIds */ 50_000,
+            /* keyAgeMarginMs */ 250,
+            /* deadlineGraceMs */ 250,
+            /* lostCallLifetimeMs */ 60_000,
+            /* maxParkedRequests */ 0,
+            /* parkTimeoutMs */ 0,
+            /* allowUnconfirmedRelease */ false);
 
     public GateOptions {
-        checkPositive("ringCapacity", taskQueueCapacity);
-        checkPositive("tickMs", busyTickMs);
+        checkPositive("taskQueueCapacity", taskQueueCapacity);
+        checkPositive("busyTickMs", busyTickMs);
         checkPositive("idleTickMs", idleTickMs);
         checkPositive("grantValidityMs", grantValidityMs);
         checkPositive("grantTimeoutMs", grantTimeoutMs);
         checkPositive("grantRetryMs", grantRetryMs);
         checkNotNegative("grantDelayMs", grantDelayMs);
-        checkNotNegative("rampMs", slowStartMs);
+        checkNotNegative("slowStartMs", slowStartMs);
         checkPositive("overloadRecoveryMs", overloadRecoveryMs);
         checkPositive("recordRetentionMs", recordRetentionMs);
         checkPositive("maxRecords", maxRecords);
         checkPositive("maxRecordBytes", maxRecordBytes);
         checkNotNegative("maxTransferBytes", maxTransferBytes);
-        checkPositive("barRetentionMs", barredIdRetentionMs);
-        checkPositive("maxBars", maxBarredIds);
-        checkNotNegative("ageMarginMs", keyAgeMarginMs);
-        checkNotNegative("lostCallGraceMs", deadlineGraceMs);
+        checkPositive("barredIdRetentionMs", barredIdRetentionMs);
+        checkPositive("maxBarredIds", maxBarredIds);
+        checkNotNegative("keyAgeMarginMs", keyAgeMarginMs);
+        checkNotNegative("deadlineGraceMs", deadlineGraceMs);
         checkNotNegative("lostCallLifetimeMs", lostCallLifetimeMs);
-        checkNotNegative("maxParked", maxParkedRequests);
-        checkNotNegative("parkMs", parkTimeoutMs);
+        checkNotNegative("maxParkedRequests", maxParkedRequests);
+        checkNotNegative("parkTimeoutMs", parkTimeoutMs);
     }
 
-    /** These options with other periods of ticks. */
+    /** Returns these options with other intervals between the periodic checks. */
     public GateOptions withTickIntervals(int newBusyTickMs, int newIdleTickMs) {
-        return with(draft -> {
-            draft.busyTickMs = newBusyTickMs;
-            draft.idleTickMs = newIdleTickMs;
+        return with(builder -> {
+            builder.busyTickMs = newBusyTickMs;
+            builder.idleTickMs = newIdleTickMs;
         });
     }
 
-    /** These options with other times of grants. */
+    /** Returns these options with other times for the grants to the backend server. */
     public GateOptions withGrantTimings(int newValidityMs, int newTimeoutMs, int newRetryMs, int newDelayMs) {
-        return with(draft -> {
-            draft.grantValidityMs = newValidityMs;
-            draft.grantTimeoutMs = newTimeoutMs;
-            draft.grantRetryMs = newRetryMs;
-            draft.grantDelayMs = newDelayMs;
+        return with(builder -> {
+            builder.grantValidityMs = newValidityMs;
+            builder.grantTimeoutMs = newTimeoutMs;
+            builder.grantRetryMs = newRetryMs;
+            builder.grantDelayMs = newDelayMs;
         });
     }
 
-    /** These options with other bounds of parked requests. */
+    /** Returns these options with other limits for parked requests. */
     public GateOptions withParkingLimits(int newMaxParkedRequests, int newParkTimeoutMs) {
-        return with(draft -> {
-            draft.maxParkedRequests = newMaxParkedRequests;
-            draft.parkTimeoutMs = newParkTimeoutMs;
+        return with(builder -> {
+            builder.maxParkedRequests = newMaxParkedRequests;
+            builder.parkTimeoutMs = newParkTimeoutMs;
         });
     }
 
+    /** Returns these options with another slow start time; 0 allows all slots at once. */
     public GateOptions withSlowStartMs(int newSlowStartMs) {
-        return with(draft -> draft.slowStartMs = newSlowStartMs);
+        return with(builder -> builder.slowStartMs = newSlowStartMs);
     }
 
+    /** Returns these options with other limits for the outcome records. */
     public GateOptions withRecordLimits(int newRetentionMs, int newMaxRecords, long newMaxRecordBytes) {
-        return with(draft -> {
-            draft.recordRetentionMs = newRetentionMs;
-            draft.maxRecords = newMaxRecords;
-            draft.maxRecordBytes = newMaxRecordBytes;
+        return with(builder -> {
+            builder.recordRetentionMs = newRetentionMs;
+            builder.maxRecords = newMaxRecords;
+            builder.maxRecordBytes = newMaxRecordBytes;
         });
     }
 
+    /** Returns these options with releases without confirmation by the backend server allowed or not. */
     public GateOptions withUnconfirmedRelease(boolean newAllowUnconfirmedRelease) {
-        return with(draft -> draft.allowUnconfirmedRelease = newAllowUnconfirmedRelease);
+        return with(builder -> builder.allowUnconfirmedRelease = newAllowUnconfirmedRelease);
     }
 
-    /** Values of options that are being changed. Not thread safe. */
-    private static final class Draft {
+    /** Mutable copy of the options. Not thread safe. */
+    private static final class Builder {
         private int taskQueueCapacity;
         private int busyTickMs;
         private int idleTickMs;
@@ -164,7 +174,7 @@
         private int parkTimeoutMs;
         private boolean allowUnconfirmedRelease;
 
-        Draft(GateOptions from) {
+        Builder(GateOptions from) {
             taskQueueCapacity = from.taskQueueCapacity;
             busyTickMs = from.busyTickMs;
             idleTickMs = from.idleTickMs;
@@ -214,10 +224,10 @@
         }
     }
 
-    private GateOptions with(Consumer<Draft> change) {
-        Draft draft = new Draft(this);
-        change.accept(draft);
-        return draft.build();
+    private GateOptions with(Consumer<Builder> change) {
+        Builder builder = new Builder(this);
+        change.accept(builder);
+        return builder.build();
     }
 
     private static void checkPositive(String field, long value) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/BarredRequestIds.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/BarredRequestIds.java
@@ -7,10 +7,11 @@
 import org.coriandercrank.kernel.id.RequestId;
 
 /**
- * Request ids that must not run any more. An entry is removed only by age, never to make room. Not thread safe.
+ * Ids of requests that must not be executed any more. An id is removed only by age, never to make room for another.
+ * Not thread safe.
  */
 public final class BarredRequestIds {
-    /** What the first outcome query for an id was told. */
+    /** What the first outcome query for a barred id reported. */
     public enum ReportedOutcome {
         /** The id was certainly not executed before it was barred. */
         NOT_RUN,
@@ -27,7 +28,7 @@
         this.maxBarredIds = maxBarredIds;
     }
 
-    /** Bars an id; false if the list is full. */
+    /** Bars an id unless it is barred already. Returns false if the maximum number of ids is reached. */
     public boolean bar(RequestId id, ReportedOutcome reportedOutcome, long nowNanos) {
         if (barredById.size() >= maxBarredIds) {
             return false;
@@ -36,10 +37,12 @@
         return true;
     }
 
+    /** Returns what was reported for a barred id, or empty if the id is not barred. */
     public Optional<ReportedOutcome> find(RequestId id) {
         return Optional.ofNullable(barredById.get(id)).map(BarredId::reportedOutcome);
     }
 
+    /** Removes the ids that were barred at least a retention time ago. */
     public void expire(long retentionMs, long nowNanos) {
         long retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMs);
         Iterator<BarredId> oldest = barredById.values().iterator();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailureMapper.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailureMapper.java
@@ -4,19 +4,20 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
-/** What callers are told of calls that the backend server did not answer. Stateless. */
+/** Maps failed calls to the backend server to answers for callers. Stateless. */
 final class CallFailureMapper {
     private static final long BACKEND_RETRY_AFTER_MS = 200;
 
     private CallFailureMapper() {}
 
     /**
-     * The answer to a failed call. Only the codes by which a backend server states that it did not execute the call mean
-     * not run.
+     * Returns the caller's answer to a failed call. Only the codes with which a backend server states that it did not
+     * execute the call become answers with outcome NOT_RUN; all others leave the outcome unknown.
      *
-     * @param retryAfterMs time after which an overloaded server has room; asked only if needed
+     * @param cancelled whether the caller asked to cancel the call
+     * @param retryAfterMs supplies the retry-after time; called only if the backend server is overloaded
      */
-    static CallerAnswer toCallerAnswer(ResultCode failure, boolean cancelled, LongSupplier retryAfterMs) {
+    static CallerAnswer map(ResultCode failure, boolean cancelled, LongSupplier retryAfterMs) {
         return switch (failure) {
             case OVERLOADED ->
                 CallerAnswer.retryLater(
@@ -26,13 +27,13 @@
                         ResultCode.FENCE_REJECTED, "the backend server rejected the fence", BACKEND_RETRY_AFTER_MS);
             case BACKEND_UNAVAILABLE ->
                 CallerAnswer.retryLater(
-                        ResultCode.BACKEND_UNAVAILABLE, "the backend server was not reached", BACKEND_RETRY_AFTER_MS);
+                        ResultCode.BACKEND_UNAVAILABLE, "the backend server is unreachable", BACKEND_RETRY_AFTER_MS);
             case DEADLINE_EXPIRED ->
                 CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the backend server stopped the request at its deadline");
             default ->
                 CallerAnswer.of(
                         cancelled ? ResultCode.CANCELLED_RUNNING : ResultCode.OUTCOME_UNKNOWN,
-                        "the answer of the backend server was lost: " + failure);
+                        "no answer from the backend server: " + failure);
         };
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ConcurrencyLimit.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ConcurrencyLimit.java
@@ -3,10 +3,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls that a backend server may have at a time; between 1 and its slots.
+ * Limits the number of concurrent calls to a backend server, between 1 and the number of its slots.
  *
- * <p>After an attach the limit grows from a quarter of the slots to all of them, because a server with cold caches is
- * slower. Each overload answer halves it, at most once per pause, and it returns linearly. Not thread safe.
+ * <p>After the server was attached, the limit grows linearly from a quarter of the slots to all of them (slow start),
+ * because a server with cold caches is slower. Each answer that reports overload halves the limit, at most once per
+ * minimum interval; afterwards the limit recovers linearly. Not thread safe.
  */
 public final class ConcurrencyLimit {
     private static final double INITIAL_SLOT_SHARE = 0.25;
@@ -28,11 +29,13 @@
         reducedAtNanos = nowNanos;
     }
 
+    /** Returns the number of calls that may run at a time. */
     public int limit(long nowNanos) {
         double share = Math.min(slowStartShare(nowNanos), overloadShare(nowNanos));
         return Math.max(1, Math.min(slots, (int) Math.floor(slots * share)));
     }
 
+    /** Reduces the limit after the backend server reported overload. */
     public void onOverload(long nowNanos) {
         if (reducedShare < 1 && nowNanos - reducedAtNanos < TimeUnit.MILLISECONDS.toNanos(MIN_REDUCTION_INTERVAL_MS)) {
             return;
@@ -43,7 +46,9 @@
 
     private double slowStartShare(long nowNanos) {
         long elapsedNanos = nowNanos - attachedAtNanos;
-        return elapsedNanos >= slowStartNanos ? 1 : INITIAL_SLOT_SHARE + (1 - INITIAL_SLOT_SHARE) * elapsedNanos / slowStartNanos;
+        return elapsedNanos >= slowStartNanos
+                ? 1
+                : INITIAL_SLOT_SHARE + (1 - INITIAL_SLOT_SHARE) * elapsedNanos / slowStartNanos;
     }
 
     private double overloadShare(long nowNanos) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
@@ -6,10 +6,12 @@
 import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 
 /**
- * Whether the gate takes new work. A drain by call is final; one by a rule ends with the rule. The backend server is
- * told of a final drain when the queue is empty, because it may refuse what it gets afterwards. It is not told of a
- * rule, because it cannot be told of the end of a drain; the gate, its only source of work, refuses new work. Not
- * thread safe.
+ * Tracks whether the gate is draining, that is, refuses new requests.
+ *
+ * <p>A drain requested by {@link #requestDrain} is permanent; a drain by a rule of the configuration ends when the rule
+ * is withdrawn. The backend server is notified of a permanent drain once the queue is empty, because it may refuse the
+ * requests that it receives afterwards. It is not notified of a drain by rule, because the protocol cannot end a drain;
+ * refusing new requests is enough, since the backend server receives requests only from the gate. Not thread safe.
  */
 final class DrainState {
     private final GateContext context;
@@ -21,6 +23,7 @@
         this.context = context;
     }
 
+    /** Starts a permanent drain. The future completes when nothing is queued or in flight. */
     CompletableFuture<Void> requestDrain() {
         drainRequested = true;
         CompletableFuture<Void> result = new CompletableFuture<>();
@@ -36,6 +39,7 @@
                                 .isDraining(backend.info().name()));
     }
 
+    /** Notifies the backend server and completes the pending drains as soon as this is possible. */
     void update(AttachedBackend backend, int queued, int inFlight) {
         if (queued > 0 || !isDraining(backend)) {
             return;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedIdFilter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedIdFilter.java
@@ -7,10 +7,10 @@
 import org.coriandercrank.kernel.id.RequestId;
 
 /**
- * Remembers in constant memory which ids were executed during at least one window.
+ * Bloom filter of the request ids that were executed recently, in constant memory. An id is kept for at least one window.
  *
- * <p>It may report an id that was not executed, never the other way round. It serves outcome queries about requests
- * for which no record is kept, such as repeatable ones. Not thread safe.
+ * <p>The filter may report an id that was not executed, but it never misses an id that was executed during the window.
+ * It answers outcome queries about requests without an outcome record, such as repeatable requests. Not thread safe.
  */
 public final class ExecutedIdFilter {
     private static final int EXPECTED_IDS = 200_000;
@@ -32,7 +32,7 @@
         return current.mightContain(id.value()) || previous.mightContain(id.value());
     }
 
-    /** Starts a new window when the current one is over. */
+    /** Starts a new window if the current one has ended, and forgets the ids of the window before it. */
     public void rotateIfDue(long windowMs, long nowNanos) {
         if (nowNanos - windowStartNanos >= TimeUnit.MILLISECONDS.toNanos(windowMs)) {
             previous = current;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
@@ -15,30 +15,35 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 
 /**
- * An admitted request and those who wait for its answer.
+ * An admitted request and the submissions that wait for its answer.
  *
- * <p>States follow each other in the order of {@link State}; the call to the backend server is made at most once, on
- * the step to RUNNING. Not thread safe.
+ * <p>The state only moves forward in the order of {@link State}. The call to the backend server is made at most once, on
+ * the transition to RUNNING. Not thread safe.
  */
 public final class Execution {
     /** Progress of an execution. */
     public enum State {
         QUEUED,
         RUNNING,
-        /** The backend server certainly does nothing for the request any more. */
+        /** The request is certainly not being executed any more, or never was. */
         ENDED,
-        /** The call ended without an answer; the server may still be at work. */
+        /** The call ended without an answer; the backend server may still execute the request. */
         LOST
     }
 
-    /** A backend server and what it announced. Immutable. */
+    /** A backend server and the properties that it announced. Immutable. */
     public record AttachedBackend(BackendInfo info, BackendServer server) {
         boolean supports(Capability capability) {
             return info.capabilities().contains(capability);
         }
     }
 
-    /** A submitted request that waits for the answer. Immutable. */
+    /**
+     * A submitted request that waits for the answer of an execution. Immutable.
+     *
+     * @param id id of the submitted request; differs from that of the execution if they share an idempotency key
+     * @param deadlineNanos monotonic time at which the submitter gets an answer in any case
+     */
     public record Waiter(RequestId id, CompletableFuture<CallerAnswer> result, long deadlineNanos) {}
 
     private final CallerRequest request;
@@ -55,7 +60,12 @@
     private boolean cancelRequested;
     private boolean cancelSent;
 
-    /** @param arrivedAtNanos when the request came to the gate */
+    /**
+     * Creates an execution in state QUEUED, without waiters.
+     *
+     * @param repeatable whether the service allows the request to be executed more than once
+     * @param arrivedAtNanos monotonic time at which the gate received the request
+     */
     public Execution(
             CallerRequest request,
             KeyHash hash,
@@ -79,7 +89,7 @@
         return hash;
     }
 
-    /** Whether the answer is kept, so that the request never runs a second time. */
+    /** Whether the request must never run a second time, so that its answer is kept in a record. */
     public boolean isAtMostOnce() {
         return !repeatable || request.idempotencyKey().isPresent();
     }
@@ -88,6 +98,7 @@
         return requestDigest;
     }
 
+    /** Whether a request with this key hash and digest is identical to the executed one. */
     public boolean isSameRequest(KeyHash otherHash, long otherDigest) {
         return requestDigest == otherDigest && hash.equals(otherHash);
     }
@@ -112,7 +123,7 @@
         return startedAtNanos;
     }
 
-    /** All ids that share this execution, the executed one first. */
+    /** Ids of all requests that share this execution; that of the executed request is the first. */
     public List<RequestId> requestIds() {
         return requestIds;
     }
@@ -121,6 +132,7 @@
         return !waiters.isEmpty();
     }
 
+    /** Whether a request with another id waits for the answer. */
     public boolean hasOtherWaiters(RequestId id) {
         return waiters.stream().anyMatch(w -> !w.id().equals(id));
     }
@@ -129,6 +141,7 @@
         return cancelRequested;
     }
 
+    /** Adds a submitted request that gets the answer of this execution. */
     public void addWaiter(Waiter waiter) {
         waiters.add(waiter);
         if (!requestIds.contains(waiter.id())) {
@@ -136,7 +149,7 @@
         }
     }
 
-    /** Removes the waiters that satisfy a condition, for the caller to answer. */
+    /** Removes and returns the waiters that satisfy a condition; the caller must answer them. */
     public List<Waiter> removeWaiters(Predicate<Waiter> condition) {
         List<Waiter> removed = new ArrayList<>();
         Iterator<Waiter> iterator = waiters.iterator();
@@ -150,24 +163,27 @@
         return removed;
     }
 
+    /** Moves to RUNNING; throws {@link IllegalStateException} unless the execution is queued. */
     public void start(AttachedBackend target, long nowNanos) {
         if (state != State.QUEUED) {
-            throw new IllegalStateException("request " + request.id() + " was started before");
+            throw new IllegalStateException("request " + request.id() + " has already been started");
         }
         state = State.RUNNING;
         backend = target;
         startedAtNanos = nowNanos;
     }
 
+    /** Moves to ENDED or LOST. */
     public void end(State endState) {
         state = endState;
     }
 
+    /** Records that the caller asked to cancel the request. */
     public void requestCancel() {
         cancelRequested = true;
     }
 
-    /** Asks the backend server once to stop the call, if it can. */
+    /** Asks the backend server to cancel the running call, at most once and only if it supports cancellation. */
     public void sendCancel() {
         if (state == State.RUNNING && !cancelSent && backend.supports(Capability.CANCEL)) {
             cancelSent = true;
@@ -176,9 +192,10 @@
     }
 
     /**
-     * Whether the backend server certainly does nothing for the request any more.
+     * Whether the call is settled: the backend server certainly does not execute the request any more, or the policy
+     * permits this assumption.
      *
-     * @param grantExpired whether the last validity granted for the key has lapsed at the server
+     * @param grantExpired whether the last grant for the key has expired at the backend server
      */
     public boolean isSettled(ReleasePolicy policy, boolean grantExpired, long nowNanos) {
         if (state == State.ENDED) {
@@ -194,6 +211,12 @@
                 || (state == State.LOST && overdueMs >= policy.lostCallLifetimeMs());
     }
 
-    /** When a release may take a call as ended. Immutable. */
+    /**
+     * Rules for when a release may treat a call without an answer as ended. Immutable.
+     *
+     * @param deadlineGraceMs time after the deadline before which no such call counts as ended
+     * @param lostCallLifetimeMs time after the deadline at which a lost call counts as ended on any backend server
+     * @param allowUnconfirmed whether every call counts as ended after the grace time
+     */
     public record ReleasePolicy(long deadlineGraceMs, long lostCallLifetimeMs, boolean allowUnconfirmed) {}
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
@@ -6,10 +6,11 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The newest fence under which each part of the hash space was acquired, and whether it was released since.
+ * Remembers for each part of the hash space the newest fence under which it was acquired, and whether it was released
+ * since.
  *
- * <p>Guards against an acquire that comes late: a fence is never used again after a newer one or after its release.
- * Not thread safe.
+ * <p>Prevents a delayed acquire from taking effect: a fence is not accepted after a newer fence or after its own release.
+ * The history is bounded; when it is full, the oldest record is discarded. Not thread safe.
  */
 public final class FenceHistory {
     private static final int MAX_RECORDS = 4_096;
@@ -19,7 +20,7 @@
             return released ? other.isNewerThan(fence) : other.compareTo(fence) >= 0;
         }
 
-        boolean isImpliedBy(FenceRecord other) {
+        boolean isSupersededBy(FenceRecord other) {
             return other.range.contains(range)
                     && (other.fence.isNewerThan(fence) || (other.fence.equals(fence) && (other.released || !released)));
         }
@@ -27,15 +28,17 @@
 
     private final List<FenceRecord> records = new ArrayList<>();
 
-    /** Whether a range may be acquired under a fence. */
+    /** Whether a range may be acquired under a fence: no part was acquired under a newer one or released under this one. */
     public boolean allows(KeyRange range, Generation fence) {
         return records.stream().filter(r -> r.range().overlaps(range)).allMatch(r -> r.allows(fence));
     }
 
+    /** Records that a range was acquired under a fence. */
     public void onAcquire(KeyRange range, Generation fence) {
         add(new FenceRecord(range, fence, false));
     }
 
+    /** Records that a range was released under the fence of each of its parts. */
     public void onRelease(KeyRange range) {
         for (FenceRecord record : List.copyOf(records)) {
             if (record.range().overlaps(range)) {
@@ -45,10 +48,10 @@
     }
 
     private void add(FenceRecord record) {
-        if (records.stream().anyMatch(record::isImpliedBy)) {
+        if (records.stream().anyMatch(record::isSupersededBy)) {
             return;
         }
-        records.removeIf(r -> r.isImpliedBy(record));
+        records.removeIf(r -> r.isSupersededBy(record));
         records.add(record);
         if (records.size() > MAX_RECORDS) {
             records.remove(0);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
@@ -13,13 +13,17 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 
 /**
- * What the parts of a gate share. Thread safe.
+ * Dependencies, options and helper functions that the components of a gate share. Thread safe.
  *
  * @param executor runs the tasks of the gate one at a time
- * @param closed whether the gate was closed and results are of no use any more
+ * @param closed whether the gate was closed, so that results of calls can be discarded
  */
 public record GateContext(
-        GateDependencies dependencies, GateOptions options, Executor executor, GateMetrics metrics, BooleanSupplier closed) {
+        GateDependencies dependencies,
+        GateOptions options,
+        Executor executor,
+        GateMetrics metrics,
+        BooleanSupplier closed) {
     private static final long REJECTED_TASK_RETRY_MS = 1;
 
     public long nowNanos() {
@@ -30,6 +34,7 @@
         return dependencies.lease().isValid(nowNanos());
     }
 
+    /** Time until the lease expires in milliseconds; not positive if it has expired. */
     public long leaseRemainingMs() {
         return TimeUnit.NANOSECONDS.toMillis(dependencies.lease().validUntilNanos() - nowNanos());
     }
@@ -38,7 +43,7 @@
         return dependencies.routing().current();
     }
 
-    /** Rules of the service; those by default while the configuration has none. */
+    /** Configuration of the service; the default values while the configuration does not contain the service. */
     public ServiceConfig serviceConfig() {
         return routing()
                 .configuration()
@@ -50,7 +55,10 @@
         dependencies.decisions().log(line);
     }
 
-    /** Starts a call and brings its result onto the thread of the gate; the result is never dropped. */
+    /**
+     * Starts an asynchronous call and handles its result on the thread of the gate. If the task queue of the gate is full,
+     * the result is queued again later: a lost result would occupy a slot for ever.
+     */
     public <T> void call(Supplier<CompletableFuture<T>> call, BiConsumer<T, Throwable> onResult) {
         CompletableFuture<T> result;
         try {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -24,10 +24,10 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * Joins the parts of an owner gate.
+ * Combines the components of an owner gate.
  *
  * <p>All methods run on the thread of the gate, except {@link #status()}, {@link #loads()}, {@link #load()} and
- * {@link #mayHold}, which are thread safe.
+ * {@link #mayHoldEarlierGrant}, which are thread safe.
  */
 public final class GateCore {
     private static final long LOAD_UPDATE_INTERVAL_MS = 500;
@@ -41,7 +41,7 @@
     private final GrantManager grants;
     private final RangeService rangeService;
     private final RequestService requestService;
-    private final DrainState drain;
+    private final DrainState drainState;
     private final List<AttachedBackend> replacedBackends = new ArrayList<>();
     private final long startedAtNanos;
     private AttachedBackend backend;
@@ -61,21 +61,23 @@
         requestTable = new RequestTable(recordTable, barredIds, executedIds);
         grants = new GrantManager(context, rangeTable, this::runPendingWork);
         rangeService = new RangeService(context, rangeTable, recordTable, grants);
-        drain = new DrainState(context);
-        requestService = new RequestService(context, rangeTable, grants, requestTable, drain, this::onCallEnd);
+        drainState = new DrainState(context);
+        requestService = new RequestService(context, rangeTable, grants, requestTable, drainState, this::onCallEnd);
     }
 
-    /** Admits, refuses or answers a request; its deadline counts from the time of arrival. */
+    /** Admits a request, or refuses or answers it immediately; its deadline counts from the time of arrival. */
     public void submit(CallerRequest request, long arrivedAtNanos, CompletableFuture<CallerAnswer> result) {
         requestService.submit(request, arrivedAtNanos, result);
         publishSizes();
     }
 
+    /** Cancels a parked, queued or running request. */
     public void cancel(RequestId id) {
         requestService.cancel(id);
         publishSizes();
     }
 
+    /** Answers an outcome query. */
     public OutcomeAnswer resolve(OutcomeQuery query) {
         if (!query.service().equals(context.dependencies().service())) {
             return OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN);
@@ -90,11 +92,11 @@
     }
 
     /**
-     * Whether each execution that the query can be about is in the memory of this gate.
+     * Whether this gate still knows every execution that a query can refer to.
      *
-     * <p>A query reaches only the member that the request was sent to, and a gate lives no longer than its member. So
-     * only executions whose records left with a released range can be missing, and none of them can matter once the
-     * range has been served again for the longest deadline.
+     * <p>A query reaches only the member that the request was sent to, and a gate does not outlive its member. Therefore
+     * only executions can be missing whose records were passed on with a released range. The query cannot refer to one of
+     * them any more once the range has been served again for the maximum deadline.
      */
     private boolean isHistoryComplete(OutcomeQuery query, long nowNanos) {
         ServiceConfig config = context.serviceConfig();
@@ -107,11 +109,13 @@
         KeyHash hash = query.keyHash().get();
         long windowNanos = TimeUnit.MILLISECONDS.toNanos(config.maxDeadlineMs());
         return !rangeTable.mayHaveReleased(hash)
-                || rangeTable.newest(hash)
+                || rangeTable
+                        .newest(hash)
                         .map(entry -> nowNanos - entry.servingSinceNanos() >= windowNanos)
                         .orElse(false);
     }
 
+    /** Uses a backend server in place of the current one, which is closed when its calls have ended. */
     public void attach(BackendInfo info, BackendServer server) {
         if (backend != null) {
             replacedBackends.add(backend);
@@ -126,13 +130,13 @@
         runPendingWork();
     }
 
-    /** Gives up everything; the backend server can start nothing any more. */
+    /** Revokes all ranges and refuses the queued requests; the backend server cannot start a request any more. */
     public void detach() {
         if (backend == null) {
             return;
         }
         context.logDecision(() -> "event=detach backend=" + backend.info().name());
-        requestService.refuseQueued(ResultCode.BACKEND_UNAVAILABLE, "the backend server is gone");
+        requestService.refuseQueued(ResultCode.BACKEND_UNAVAILABLE, "the backend server was detached");
         replacedBackends.add(backend);
         backend = null;
         publishedBackend = null;
@@ -143,17 +147,20 @@
         runPendingWork();
     }
 
+    /** Sends no more requests to the backend server, which is about to end, and refuses the queued ones. */
     public void stopSending() {
         requestService.stopSending();
         runPendingWork();
     }
 
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
-        CompletableFuture<Void> result = rangeService.acquire(range, fence, inherited);
+    /** Starts to acquire a range; the future completes when the range is served. */
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords transferred) {
+        CompletableFuture<Void> result = rangeService.acquire(range, fence, transferred);
         runPendingWork();
         return result;
     }
 
+    /** Starts to release a range; the future completes when no request of the range can be executed any more. */
     public CompletableFuture<TransferredRecords> release(KeyRange range) {
         CompletableFuture<TransferredRecords> result = rangeService.release(range, requestService.unsettledCalls());
         requestService.refuseUnservedRanges();
@@ -161,13 +168,14 @@
         return result;
     }
 
+    /** Starts a permanent drain; the future completes when nothing is queued or in flight. */
     public CompletableFuture<Void> drain() {
-        CompletableFuture<Void> result = drain.requestDrain();
+        CompletableFuture<Void> result = drainState.requestDrain();
         runPendingWork();
         return result;
     }
 
-    /** Examines deadlines, grants, releases and bounds; called at each tick. */
+    /** Checks deadlines, grants, releases and limits; called periodically. */
     public void tick() {
         long nowNanos = context.nowNanos();
         requestService.expire(rangeService, nowNanos);
@@ -180,12 +188,12 @@
         runPendingWork();
     }
 
-    /** Refuses what waits; the gate is not used afterwards. */
+    /** Refuses the queued requests; the gate must not be used afterwards. */
     public void close() {
         requestService.refuseQueued(ResultCode.DRAINING, "the gate is closed");
     }
 
-    /** Whether requests, grants or releases wait for something, so that ticks must come often. */
+    /** Whether requests, acquires or releases are pending, so that {@link #tick} must be called often. */
     public boolean isBusy() {
         return requestService.queued() > 0
                 || requestService.inFlight() > 0
@@ -203,7 +211,7 @@
                 latest.serving());
     }
 
-    public boolean mayHold(KeyRange range) {
+    public boolean mayHoldEarlierGrant(KeyRange range) {
         AttachedBackend current = publishedBackend;
         return current != null && current.server().mayHoldEarlierGrant(range);
     }
@@ -216,6 +224,7 @@
         return publishedLoads;
     }
 
+    /** Advances acquires, grants, releases, queued requests and drains as far as possible, and publishes the status. */
     private void runPendingWork() {
         long nowNanos = context.nowNanos();
         rangeService.tick(nowNanos);
@@ -224,12 +233,12 @@
         requestService.processParked(nowNanos);
         rangeService.completeReleases(nowNanos);
         requestService.dispatch();
-        drain.update(backend, requestService.queued(), requestService.inFlight());
+        drainState.update(backend, requestService.queued(), requestService.inFlight());
         publish();
     }
 
     private void onCallEnd() {
-        if (rangeService.hasReleases() || drain.isDraining(backend)) {
+        if (rangeService.hasReleases() || drainState.isDraining(backend)) {
             runPendingWork();
         } else {
             requestService.dispatch();
@@ -242,7 +251,7 @@
         requestService.advanceUnkeyedHorizons(createdAtNanos);
     }
 
-    /** Closes the servers that were replaced once their calls have ended. */
+    /** Closes the replaced backend servers whose calls have ended. */
     private void closeReplacedBackends() {
         replacedBackends.removeIf(old -> {
             if (requestService.isInUse(old)) {
@@ -277,7 +286,7 @@
         publishSizes();
         publishedStatus = new GateStatus(
                 backend != null,
-                drain.isDraining(backend),
+                drainState.isDraining(backend),
                 requestService.queued(),
                 requestService.inFlight(),
                 rangeTable.inState(RangeEntry.State.SERVING).stream()
@@ -286,7 +295,7 @@
     }
 
     private void publishSizes() {
-        publishedLoad = requestService.loadEstimator();
+        publishedLoad = requestService.load();
         context.metrics().setSizes(requestService.queued(), requestService.inFlight(), recordTable.size());
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateMetrics.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateMetrics.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.coriandercrank.kernel.code.ResultCode;
 
-/** Meters of a gate. Written on the thread of the gate, read by any thread. */
+/** Metrics of a gate. Updated on the thread of the gate; may be read on any thread. */
 public final class GateMetrics {
     private final MeterRegistry meters;
     private final Map<ResultCode, Counter> answers = new EnumMap<>(ResultCode.class);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
@@ -16,12 +16,15 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Keeps the granted ranges of the backend server in step with the range table.
+ * Sends grants to the backend server so that its granted ranges match the range table, and renews them.
  *
- * <p>Invariants: one grant is outstanding at a time; its validity never exceeds what is left of the lease; without a
- * lease only an empty grant of validity 0 is sent, and only to revoke. Two bounds are kept for the validity at the
- * server: gate and lease rely on the earliest end (counted from the send), releases on the latest (counted from the
- * answer, or from the time-out). Not thread safe.
+ * <p>Invariants: at most one grant is outstanding; the validity of a grant never exceeds the rest of the lease; without
+ * a valid lease only an empty grant with validity 0 is sent, and only to revoke ranges.
+ *
+ * <p>The gate does not know when exactly the validity of a grant starts at the backend server, so it keeps two bounds
+ * for the end of the validity. To send requests it relies on the earliest end, counted from the time of sending the
+ * grant. To complete releases it relies on the latest end, counted from the time of the answer or of the timeout. Not
+ * thread safe.
  */
 final class GrantManager {
     private static final int RENEWALS_PER_VALIDITY_PERIOD = 3;
@@ -38,10 +41,15 @@
     private AttachedBackend backend;
     private SentGrant outstandingGrant;
     private long sequence;
+    /** Whether the ranges to be granted have changed since the last grant was sent, or that grant failed. */
     private boolean grantOutdated;
+
     private boolean lastGrantFailed;
+    /** Whether the attached backend server has acknowledged a grant that was not a pure revocation. */
     private boolean grantAcknowledged;
+    /** Earliest end of the validity of the acknowledged grant at the backend server. */
     private long grantValidUntilNanos;
+
     private long nextSendAtNanos;
 
     GrantManager(GateContext context, RangeTable ranges, Runnable onChange) {
@@ -67,7 +75,7 @@
         grantOutdated = false;
     }
 
-    /** Sends a grant as soon as no other is outstanding. */
+    /** Schedules a grant with the current ranges; it is sent after the grant delay and when no other is outstanding. */
     void requestGrant() {
         if (!lastGrantFailed && !(grantOutdated && outstandingGrant == null)) {
             nextSendAtNanos = context.nowNanos()
@@ -76,7 +84,7 @@
         grantOutdated = true;
     }
 
-    /** Whether the backend server has a grant that it honours. */
+    /** Whether the backend server has acknowledged a grant that is still valid. */
     boolean hasValidGrant(long nowNanos) {
         return grantAcknowledged && (!backend.supports(Capability.VALIDITY) || grantValidUntilNanos - nowNanos > 0);
     }
@@ -86,6 +94,7 @@
         return lastGrantFailed;
     }
 
+    /** Handles a grant that timed out, sends a grant that is due, and revokes ranges whose grant has expired. */
     void tick(long nowNanos) {
         if (outstandingGrant != null
                 && nowNanos - outstandingGrant.sentAtNanos()
@@ -93,7 +102,10 @@
             SentGrant unanswered = outstandingGrant;
             outstandingGrant = null;
             ranges.extendGrantExpiry(unanswered.grant().ranges(), nowNanos + unanswered.validityNanos());
-            onFailure(unanswered, new CrankException(ResultCode.CALL_TIMEOUT, "the grant got no answer"), nowNanos);
+            onFailure(
+                    unanswered,
+                    new CrankException(ResultCode.CALL_TIMEOUT, "the backend server did not answer the grant in time"),
+                    nowNanos);
         }
         if (backend != null && outstandingGrant == null && nowNanos - nextSendAtNanos >= 0) {
             sendIfDue(nowNanos);
@@ -106,6 +118,7 @@
         }
     }
 
+    /** Whether the backend server certainly cannot use a range any more although it has not answered the revocation. */
     private boolean isExpiredWithoutAnswer(RangeEntry entry, long nowNanos) {
         if (outstandingGrant != null
                 && RangeTable.isGrantedBy(entry, outstandingGrant.grant().ranges())) {
@@ -122,16 +135,21 @@
         long leaseMs = context.leaseRemainingMs();
         if (leaseMs >= 1 && (grantOutdated || !granted.isEmpty())) {
             send(granted, Math.min(context.options().grantValidityMs(), leaseMs), nowNanos);
-        } else if (leaseMs < 1 && grantOutdated && !ranges.inState(State.REVOKING).isEmpty()) {
+        } else if (leaseMs < 1
+                && grantOutdated
+                && !ranges.inState(State.REVOKING).isEmpty()) {
             send(List.of(), 0, nowNanos);
         }
     }
 
-    /** An entry that is being acquired is granted in the pieces in which its last server released it. */
+    /**
+     * Adds the ranges that grant an entry. While the entry is being acquired, it is granted in the pieces for which the
+     * previous server provided a handover token, together with these tokens.
+     */
     private static void addGrantedRanges(RangeEntry entry, List<GrantedRange> granted) {
         List<KeyRange> remaining = List.of(entry.range());
         if (entry.state() == State.ACQUIRING) {
-            for (Handover handover : entry.inherited().handovers()) {
+            for (Handover handover : entry.transferred().handovers()) {
                 Optional<KeyRange> piece = KeyRanges.intersect(handover.range(), entry.range());
                 if (piece.isPresent() && remaining.stream().anyMatch(r -> r.contains(piece.get()))) {
                     granted.add(new GrantedRange(piece.get(), entry.fence(), handover.token()));
@@ -201,9 +219,11 @@
                 entry.onGrantAcknowledged(sent.sentAtNanos());
             }
         }
-        nextSendAtNanos = grantOutdated ? nowNanos : sent.sentAtNanos() + sent.validityNanos() / RENEWALS_PER_VALIDITY_PERIOD;
+        nextSendAtNanos =
+                grantOutdated ? nowNanos : sent.sentAtNanos() + sent.validityNanos() / RENEWALS_PER_VALIDITY_PERIOD;
     }
 
+    /** Whether granted ranges with the fence of an entry cover it completely. */
     private static boolean isFullyGranted(RangeEntry entry, List<GrantedRange> granted) {
         List<KeyRange> pieces = granted.stream()
                 .filter(g -> g.fence().equals(entry.fence()) && g.range().overlaps(entry.range()))
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
@@ -8,35 +8,39 @@
 import org.coriandercrank.kernel.config.RequestRules;
 
 /**
- * What is known of the load of a backend server: service times by kind of request, whether more work arrives than it can
- * do, and when refused callers may return. Time is an argument; not thread safe.
+ * Estimates the load of a backend server: the service time per request class, whether requests arrive faster than the
+ * server can execute them, and when refused callers should retry. Requests with the same rules, or without rules, form a
+ * request class. The current time is a parameter of the methods. Not thread safe.
  *
- * <p>Overload is measured by the work that arrives, not by the wait of those that are served: in a queue with ranks some
- * never wait. It is smoothed, so requests of a short burst are served late and not refused.
+ * <p>Overload is detected from the arriving work and not from the queueing time of served requests, because in a priority
+ * queue requests of high priority never wait. The arriving work is smoothed, so that the requests of a short burst are
+ * served late instead of being refused.
  */
 public final class LoadEstimator {
     private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-    /** Weight of the latest interval in the smoothed work. */
+    /** Weight of the latest interval in the smoothed arriving work. */
     private static final double LATEST_INTERVAL_WEIGHT = 0.5;
 
-    /** Share of the server that an overtaken kind is taken to get at least, so that its wait stays finite. */
+    /** Fraction of the slots that every request class is assumed to get, so that its expected wait stays finite. */
     private static final double MIN_CAPACITY_SHARE = 0.02;
 
-    /** Bounds of the time told to refused callers; nobody knows the load of later seconds. */
     private static final long MIN_RETRY_AFTER_MS = 50;
 
+    /** Upper bound of the retry-after time, because the load cannot be predicted for longer. */
     private static final long MAX_RETRY_AFTER_MS = 2_000;
 
     private final ServiceTimeAverage overallServiceTime = new ServiceTimeAverage();
     private final Map<Optional<RequestRules>, ServiceTimeAverage> serviceTimeByClass = new HashMap<>();
-    /** Work that arrived in this interval. */
+
+    /** Service time in milliseconds of the requests that arrived in the current interval, by request class. */
     private final Map<Optional<RequestRules>, Double> arrivedMsByClass = new HashMap<>();
 
-    /** Slots that the arriving work of each kind keeps busy, smoothed. */
+    /** Smoothed number of slots that the arriving requests keep busy, by request class. */
     private final Map<Optional<RequestRules>, Double> busySlotsByClass = new HashMap<>();
 
     private long intervalEndNanos;
+    /** Earliest time at which the next refused caller should retry. */
     private long nextRetryNanos;
 
     public LoadEstimator(long nowNanos) {
@@ -44,35 +48,44 @@
         nextRetryNanos = nowNanos;
     }
 
-    /** A request arrived, whether it is admitted or not. */
+    /** Records the arrival of a request, whether it is admitted or not. */
     public void onArrival(Optional<RequestRules> requestClass, long nowNanos) {
         advanceInterval(nowNanos);
         arrivedMsByClass.merge(requestClass, serviceMs(requestClass), Double::sum);
     }
 
-    /** The server answered a request. */
+    /** Records the execution time of a request that the backend server answered. */
     public void onExecuted(Optional<RequestRules> requestClass, long durationNanos) {
         overallServiceTime.onExecuted(durationNanos);
-        serviceTimeByClass.computeIfAbsent(requestClass, k -> new ServiceTimeAverage()).onExecuted(durationNanos);
+        serviceTimeByClass
+                .computeIfAbsent(requestClass, k -> new ServiceTimeAverage())
+                .onExecuted(durationNanos);
     }
 
-    /** Smoothed time of a request of any kind; 0 until one has been measured. */
+    /** Smoothed execution time over all requests in milliseconds; 0 until the first one was executed. */
     public double meanMs() {
         return overallServiceTime.meanMs();
     }
 
-    /** Smoothed time of a request of a kind; that of all kinds until one of the kind has been measured. */
+    /**
+     * Smoothed execution time of a request class in milliseconds; that over all requests until the first request of the
+     * class was executed.
+     */
     public double serviceMs(Optional<RequestRules> requestClass) {
         ServiceTimeAverage classAverage = serviceTimeByClass.get(requestClass);
         return classAverage == null ? overallServiceTime.meanMs() : classAverage.meanMs();
     }
 
-    /** Whether more work of the rank of a kind and of higher ranks arrives than the server can do. */
-    public boolean isOverloaded(Optional<RequestRules> requestClass, int concurrency, long nowNanos) {
+    /**
+     * Whether requests with the priority of a request class or a higher one arrive faster than the backend server can
+     * execute them.
+     */
+    public boolean isOverloaded(Optional<RequestRules> requestClass, int concurrencyLimit, long nowNanos) {
         advanceInterval(nowNanos);
-        return busySlots(other -> priority(other) <= priority(requestClass)) > concurrency;
+        return busySlots(other -> priority(other) <= priority(requestClass)) > concurrencyLimit;
     }
 
+    /** Number of slots that the arriving requests of some request classes keep busy. */
     private double busySlots(Predicate<Optional<RequestRules>> condition) {
         double slots = 0;
         for (Map.Entry<Optional<RequestRules>, Double> classSlots : busySlotsByClass.entrySet()) {
@@ -81,6 +94,7 @@
         return slots;
     }
 
+    /** Priority of a request class; a smaller number is a higher priority, and no rules mean the highest. */
     private static int priority(Optional<RequestRules> requestClass) {
         return requestClass.map(RequestRules::priority).orElse(0);
     }
@@ -89,49 +103,59 @@
         return requestClass.map(RequestRules::latencyObjectiveMs).orElse(Long.MAX_VALUE);
     }
 
-    /** Whether requests of a kind that arrive later go before a waiting request of another kind. */
+    /** Whether a request of one class is started before a waiting request of another class although it arrives later. */
     private static boolean takesPrecedence(Optional<RequestRules> requestClass, Optional<RequestRules> waitingClass) {
-        return priority(requestClass) < priority(waitingClass) || (priority(requestClass) == priority(waitingClass) && latencyObjectiveMs(requestClass) < latencyObjectiveMs(waitingClass));
+        return priority(requestClass) < priority(waitingClass)
+                || (priority(requestClass) == priority(waitingClass)
+                        && latencyObjectiveMs(requestClass) < latencyObjectiveMs(waitingClass));
     }
 
     /**
-     * Time until a request starts.
+     * Expected time in milliseconds until a request starts.
      *
-     * @param workAheadMs service times of the waiting requests that go before it
-     * @param occupiedSlots slots in use
-     * @param requestClass kind of the request; kinds that overtake it leave it only the rest of the server
+     * @param workAheadMs total service time of the queued requests that are started before it
+     * @param occupiedSlots number of slots in use
+     * @param concurrencyLimit number of calls that may run at a time
+     * @param requestClass class of the request; it gets only the slots that classes with precedence over it leave free
      */
-    public long expectedWaitMs(double workAheadMs, int occupiedSlots, int concurrency, Optional<RequestRules> requestClass) {
-        double backlogMs = workAheadMs + (occupiedSlots + 1 - concurrency) * overallServiceTime.meanMs();
+    public long expectedWaitMs(
+            double workAheadMs, int occupiedSlots, int concurrencyLimit, Optional<RequestRules> requestClass) {
+        double backlogMs = workAheadMs + (occupiedSlots + 1 - concurrencyLimit) * overallServiceTime.meanMs();
         if (backlogMs <= 0) {
             return 0;
         }
-        double availableSlots = concurrency - busySlots(other -> takesPrecedence(other, requestClass));
-        return (long) (backlogMs / Math.max(MIN_CAPACITY_SHARE * concurrency, availableSlots));
+        double availableSlots = concurrencyLimit - busySlots(other -> takesPrecedence(other, requestClass));
+        return (long) (backlogMs / Math.max(MIN_CAPACITY_SHARE * concurrencyLimit, availableSlots));
     }
 
     /**
-     * Time after which a refused caller may return. Callers get times one after the other, as fast as the server can take
-     * them once the work that waits is done, so that they do not return together.
+     * Time in milliseconds after which a refused caller should retry. Each caller gets a later time than the one before;
+     * the times are spaced by the rate at which the backend server can execute requests, so that the callers do not retry
+     * all at once.
+     *
+     * @param queueDrainMs time until the requests that wait now have been started
      */
-    public long retryAfterMs(long queueDrainMs, int concurrency, long nowNanos) {
+    public long retryAfterMs(long queueDrainMs, int concurrencyLimit, long nowNanos) {
         long queueDrainedNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(queueDrainMs);
         long retryNanos = queueDrainedNanos - nextRetryNanos > 0 ? queueDrainedNanos : nextRetryNanos;
         long retryAfterMs = TimeUnit.NANOSECONDS.toMillis(retryNanos - nowNanos);
         if (retryAfterMs >= MAX_RETRY_AFTER_MS) {
             return MAX_RETRY_AFTER_MS;
         }
-        nextRetryNanos = retryNanos + (long) (TimeUnit.MILLISECONDS.toNanos(1) * overallServiceTime.meanMs() / concurrency);
+        nextRetryNanos =
+                retryNanos + (long) (TimeUnit.MILLISECONDS.toNanos(1) * overallServiceTime.meanMs() / concurrencyLimit);
         return Math.max(MIN_RETRY_AFTER_MS, retryAfterMs);
     }
 
+    /** Starts a new interval if the current one has ended, and updates the smoothed values. */
     private void advanceInterval(long nowNanos) {
         if (nowNanos - intervalEndNanos < 0) {
             return;
         }
         double intervalMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - intervalEndNanos + INTERVAL_NANOS);
         busySlotsByClass.replaceAll((requestClass, slots) -> (1 - LATEST_INTERVAL_WEIGHT) * slots);
-        arrivedMsByClass.forEach((requestClass, ms) -> busySlotsByClass.merge(requestClass, LATEST_INTERVAL_WEIGHT * ms / intervalMs, Double::sum));
+        arrivedMsByClass.forEach((requestClass, ms) ->
+                busySlotsByClass.merge(requestClass, LATEST_INTERVAL_WEIGHT * ms / intervalMs, Double::sum));
         arrivedMsByClass.clear();
         intervalEndNanos = nowNanos + INTERVAL_NANOS;
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -15,11 +15,11 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Requests whose range is assigned to this member and not held by the backend server yet. They wait here, so that callers'
- * daemons need not repeat them while a range moves. Bounded by number and time; not thread safe.
+ * Requests whose range is assigned to this member but not yet served by the backend server. They wait here, so that the
+ * daemons of the callers need not retry them while a range moves. Limited in number and waiting time. Not thread safe.
  */
 final class ParkedRequests {
-    /** A request that waits for its range. Immutable. */
+    /** A request that waits until its range is served. Immutable. */
     record ParkedRequest(CallerRequest request, KeyHash hash, Waiter waiter, long expiresAtNanos) {}
 
     private final GateContext context;
@@ -31,7 +31,10 @@
         this.ranges = ranges;
     }
 
-    /** Parks a request if its range is to be served here soon and there is room. */
+    /**
+     * Parks a request if its range is assigned to this member but not yet served, and the limit is not reached. Returns
+     * whether the request was parked.
+     */
     boolean park(CallerRequest request, KeyHash hash, Waiter waiter, long nowNanos) {
         boolean hasCapacity = parkedById.size() < context.options().maxParkedRequests();
         if (!hasCapacity || isServed(hash) || !isAssigned(hash)) {
@@ -66,21 +69,22 @@
 
     /** Removes and returns the requests whose range is served now, in order of arrival. */
     List<ParkedRequest> removeServed() {
-        return remove(p -> isServed(p.hash()));
+        return remove(parked -> isServed(parked.hash()));
     }
 
-    /** Removes and returns the requests that wait no longer. */
+    /** Removes and returns the requests that timed out or whose range will not be served by this member. */
     List<ParkedRequest> removeExpired(long nowNanos, boolean serverAvailable) {
-        return remove(p -> !serverAvailable || nowNanos - p.expiresAtNanos() >= 0 || !isAssigned(p.hash()));
+        return remove(
+                parked -> !serverAvailable || nowNanos - parked.expiresAtNanos() >= 0 || !isAssigned(parked.hash()));
     }
 
     private List<ParkedRequest> remove(Predicate<ParkedRequest> condition) {
         List<ParkedRequest> removed = new ArrayList<>();
         for (Iterator<ParkedRequest> iterator = parkedById.values().iterator(); iterator.hasNext(); ) {
-            ParkedRequest request = iterator.next();
-            if (condition.test(request)) {
+            ParkedRequest parked = iterator.next();
+            if (condition.test(parked)) {
                 iterator.remove();
-                removed.add(request);
+                removed.add(parked);
             }
         }
         return removed;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
@@ -6,24 +6,31 @@
 import org.coriandercrank.kernel.config.RequestRules;
 
 /**
- * Which of two waiting requests goes first. Stateless.
+ * Order in which queued requests are started. Stateless.
  *
- * <p>The higher rank goes first. Within a rank those that can still be answered within their latency objective go before
- * those that cannot, and then the one whose objective ends first; so an overload makes some requests late and not all.
- * Requests without rules keep the order of their arrival.
+ * <p>Requests are ordered by priority. Within a priority, requests that can still be answered within their latency
+ * objective precede those that cannot, and then the request whose objective ends first precedes; so during overload only
+ * some of the requests miss their objective. Requests without rules have the highest priority and keep their order of
+ * arrival.
  */
 public final class QueueOrder {
     private QueueOrder() {}
 
-    /** What decides about the place of a request. Immutable. */
+    /**
+     * Sort key of a queued request. Immutable.
+     *
+     * @param priority priority of the request; a smaller number is a higher priority
+     * @param missesObjective whether the request cannot be answered within its latency objective any more
+     * @param objectiveDeadlineNanos monotonic time at which the latency objective ends
+     */
     public record SortKey(int priority, boolean missesObjective, long objectiveDeadlineNanos) {
-        /** The place of requests without rules. */
+        /** Sort key of requests without rules. */
         static final SortKey DEFAULT = new SortKey(0, false, 0);
 
-        /** Behind all others. */
+        /** Sort key that no other key follows. */
         static final SortKey LAST = new SortKey(Integer.MAX_VALUE, true, 0);
 
-        /** Whether this place is before another one; false for equal ones. */
+        /** Whether a request with this key is started before one with the other key; false for equal keys. */
         public boolean precedes(SortKey other) {
             if (priority != other.priority) {
                 return priority < other.priority;
@@ -36,22 +43,27 @@
     }
 
     /**
-     * The place of a request at a time.
+     * Returns the sort key of a request at a time.
      *
-     * @param serviceMs expected time of the request at the server
+     * @param expectedServiceMs expected execution time of the request at the backend server
      */
-    public static SortKey sortKey(Optional<RequestRules> requestRules, long arrivedAtNanos, double serviceMs, long nowNanos) {
+    public static SortKey sortKey(
+            Optional<RequestRules> requestRules, long arrivedAtNanos, double expectedServiceMs, long nowNanos) {
         if (requestRules.isEmpty()) {
             return SortKey.DEFAULT;
         }
-        long objectiveDeadlineNanos =
-                arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(requestRules.get().latencyObjectiveMs());
-        long expectedEndNanos = nowNanos + (long) (serviceMs * TimeUnit.MILLISECONDS.toNanos(1));
-        return new SortKey(requestRules.get().priority(), expectedEndNanos - objectiveDeadlineNanos > 0, objectiveDeadlineNanos);
+        long objectiveDeadlineNanos = arrivedAtNanos
+                + TimeUnit.MILLISECONDS.toNanos(requestRules.get().latencyObjectiveMs());
+        long expectedEndNanos = nowNanos + (long) (expectedServiceMs * TimeUnit.MILLISECONDS.toNanos(1));
+        return new SortKey(
+                requestRules.get().priority(), expectedEndNanos - objectiveDeadlineNanos > 0, objectiveDeadlineNanos);
     }
 
-    static SortKey sortKey(Execution execution, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
+    static SortKey sortKey(Execution execution, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
         return sortKey(
-                execution.request().rules(), execution.arrivedAtNanos(), serviceMs.applyAsDouble(execution), nowNanos);
+                execution.request().rules(),
+                execution.arrivedAtNanos(),
+                expectedServiceMs.applyAsDouble(execution),
+                nowNanos);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -11,26 +11,27 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A range under one fence at this gate. A range acquired again is another entry, so the two are never confused.
+ * A key range that this gate holds under one fence. Acquiring the range again under a newer fence creates another entry,
+ * so the two are never confused.
  *
- * <p>States follow each other in the order of {@link State}. Not thread safe.
+ * <p>The state only moves forward in the order of {@link State}. Not thread safe.
  */
 public final class RangeEntry {
     /** Progress of a range at this gate. */
     public enum State {
         ACQUIRING,
         SERVING,
-        /** No admission any more; still granted for the requests in flight. */
+        /** New requests are refused, but the range is still granted for the requests in flight. */
         RELEASING,
-        /** Left out of new grants. */
+        /** New grants do not contain the range; the backend server may still hold it. */
         REVOKING,
-        /** The backend server can start nothing for this entry any more. */
+        /** The backend server cannot start a request under the fence of this entry any more. */
         REVOKED
     }
 
     private final KeyRange range;
     private final Generation fence;
-    private final TransferredRecords inherited;
+    private final TransferredRecords transferred;
     private final CompletableFuture<Void> acquired;
     private final RangeLoadMeter loadMeter;
     private final Set<Generation> replacedFences = new HashSet<>();
@@ -46,31 +47,37 @@
     private RangeEntry(
             KeyRange range,
             Generation fence,
-            TransferredRecords inherited,
+            TransferredRecords transferred,
             CompletableFuture<Void> acquired,
-            RangeLoadMeter load,
-            RecordHorizon horizon) {
+            RangeLoadMeter loadMeter,
+            RecordHorizon recordHorizon) {
         this.range = range;
         this.fence = fence;
-        this.inherited = inherited;
+        this.transferred = transferred;
         this.acquired = acquired;
-        this.loadMeter = load;
-        this.recordHorizon = horizon;
+        this.loadMeter = loadMeter;
+        this.recordHorizon = recordHorizon;
         state = State.ACQUIRING;
     }
 
+    /** Creates an entry in state ACQUIRING for a range whose records are complete since a horizon. */
     public static RangeEntry acquiring(
-            KeyRange range, Generation fence, TransferredRecords inherited, RecordHorizon horizon, long nowNanos) {
-        RangeEntry entry =
-                new RangeEntry(range, fence, inherited, new CompletableFuture<>(), new RangeLoadMeter(nowNanos), horizon);
+            KeyRange range,
+            Generation fence,
+            TransferredRecords transferred,
+            RecordHorizon recordHorizon,
+            long nowNanos) {
+        RangeEntry entry = new RangeEntry(
+                range, fence, transferred, new CompletableFuture<>(), new RangeLoadMeter(nowNanos), recordHorizon);
         entry.servingSinceNanos = nowNanos;
         return entry;
     }
 
-    /** A part of this entry with the same fence, state and memory. */
+    /** Creates an entry for a part of this range with the same fence, state and history. */
     RangeEntry subrange(KeyRange newRange) {
         double share = newRange.share() / range.share();
-        RangeEntry result = new RangeEntry(newRange, fence, inherited, acquired, loadMeter.forSubrange(share), recordHorizon);
+        RangeEntry result =
+                new RangeEntry(newRange, fence, transferred, acquired, loadMeter.forSubrange(share), recordHorizon);
         result.state = state;
         result.servingSinceNanos = servingSinceNanos;
         result.acquireFailed = acquireFailed;
@@ -90,11 +97,12 @@
         return fence;
     }
 
-    public TransferredRecords inherited() {
-        return inherited;
+    /** Outcome records and handover tokens that were passed on with the range. */
+    public TransferredRecords transferred() {
+        return transferred;
     }
 
-    /** Completes when the range is served. */
+    /** Completes when the range is served; fails if the acquire fails. */
     public CompletableFuture<Void> acquired() {
         return acquired;
     }
@@ -107,28 +115,32 @@
         return state;
     }
 
+    /** Horizon since which this gate has all outcome records of the range. */
     public RecordHorizon recordHorizon() {
         return recordHorizon;
     }
 
     /**
-     * Time since when no record was dropped by this gate or the owner before it. Unlike {@link #recordHorizon()} it does not
-     * start with a takeover, which happens seconds after the last execution of the lost owner.
+     * Horizon since which neither this gate nor the previous owner has removed an outcome record of the range. Unlike
+     * {@link #recordHorizon()} it is not limited by a takeover, because a takeover happens seconds after the last execution
+     * by the lost owner.
      */
     public RecordHorizon removalHorizon() {
         return removalHorizon;
     }
 
+    /** Advances both horizons after a record that was created at a time has been removed. */
     public void advanceHorizons(long sinceNanos) {
         recordHorizon = recordHorizon.later(RecordHorizon.startingAt(sinceNanos));
         removalHorizon = removalHorizon.later(RecordHorizon.startingAt(sinceNanos));
     }
 
+    /** Advances the removal horizon to a limit if the limit is more recent. */
     public void limitRemovalHorizon(RecordHorizon limit) {
         removalHorizon = removalHorizon.later(limit);
     }
 
-    /** Time since when this gate has seen every request of the range. */
+    /** Monotonic time since which this gate has received every request for the range. */
     public long servingSinceNanos() {
         return servingSinceNanos;
     }
@@ -137,16 +149,17 @@
         servingSinceNanos = sinceNanos;
     }
 
+    /** Moves to a later state; throws {@link IllegalStateException} if the state is not later. */
     public void transitionTo(State newState) {
         if (newState.compareTo(state) <= 0) {
-            throw new IllegalStateException("range " + range + " cannot go from " + state + " to " + newState);
+            throw new IllegalStateException("range " + range + " cannot change from " + state + " to " + newState);
         }
         state = newState;
     }
 
     /**
-     * Ends an acquire that did not succeed; the backend server may have the grant, so it is revoked. The range may be
-     * acquired again under the same fence, unless it is released meanwhile.
+     * Fails an acquire. The backend server may have received the grant, so the range is revoked. It may be acquired again
+     * under the same fence unless it is released before.
      */
     public void failAcquire(CrankException failure) {
         transitionTo(State.REVOKING);
@@ -158,7 +171,7 @@
         return acquireFailed;
     }
 
-    /** Notes that the range is released, so that the fence is used up. */
+    /** Starts the release of the range; afterwards it cannot be acquired again under this fence. */
     public void startRelease() {
         acquireFailed = false;
         if (state.compareTo(State.RELEASING) < 0) {
@@ -166,8 +179,8 @@
         }
     }
 
-    /** Takes over what the backend server may hold of a part of the range that this entry replaces. */
-    void inheritGrant(RangeEntry replaced) {
+    /** Takes over the fences and the grant expiry of an entry that this entry replaces. */
+    void inheritGrantExpiry(RangeEntry replaced) {
         replacedFences.add(replaced.fence);
         replacedFences.addAll(replaced.replacedFences);
         if (replaced.everGranted) {
@@ -175,36 +188,37 @@
         }
     }
 
-    /** Whether a granted range gives rights to part of this entry, under its fence or one that it replaced. */
+    /** Whether a granted range overlaps this entry and has its fence or the fence of an entry that it replaced. */
     public boolean isGrantedBy(GrantedRange granted) {
         return granted.range().overlaps(range)
                 && (granted.fence().equals(fence) || replacedFences.contains(granted.fence()));
     }
 
-    /** Notes that the backend server may believe until a time that it holds the range. */
+    /** Records that a grant of the range may be valid at the backend server until a time; never shortens the period. */
     public void extendGrantExpiry(long expiresAtNanos) {
-        grantExpiresAtNanos = everGranted && grantExpiresAtNanos - expiresAtNanos > 0 ? grantExpiresAtNanos : expiresAtNanos;
+        grantExpiresAtNanos =
+                everGranted && grantExpiresAtNanos - expiresAtNanos > 0 ? grantExpiresAtNanos : expiresAtNanos;
         everGranted = true;
     }
 
-    /** Notes that the backend server does not hold the range although its grant was acknowledged. */
+    /** Records that the backend server rejected the fence of the range although it had acknowledged the grant. */
     public void markRejected(long nowNanos) {
         rejectedAtNanos = OptionalLong.of(nowNanos);
     }
 
-    /** Whether the backend server must be given the range again before it gets further requests of it. */
+    /** Whether the backend server must acknowledge another grant of the range before it gets further requests. */
     public boolean needsRegrant() {
         return rejectedAtNanos.isPresent();
     }
 
-    /** Notes that the backend server acknowledged a grant with the range that was sent at a time. */
+    /** Handles the acknowledgement of a grant of the range that was sent at a time; earlier grants have no effect. */
     public void onGrantAcknowledged(long sentAtNanos) {
         if (rejectedAtNanos.isPresent() && sentAtNanos - rejectedAtNanos.getAsLong() >= 0) {
             rejectedAtNanos = OptionalLong.empty();
         }
     }
 
-    /** Whether the validity given last has lapsed at the backend server. */
+    /** Whether all grants of the range have certainly expired at the backend server. */
     public boolean isGrantExpired(long nowNanos) {
         return !everGranted || nowNanos - grantExpiresAtNanos >= 0;
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeLoadMeter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeLoadMeter.java
@@ -8,14 +8,17 @@
 import org.coriandercrank.kernel.placement.RangeLoad.HotHash;
 
 /**
- * Requested rate of a range and its heavy hitters; counts refused requests too, because they are load to be placed.
+ * Measures the request rate of a range and finds its hot hashes, that is, the key hashes with most requests. Refused
+ * requests count too, because placement must find capacity for them.
  *
- * <p>The rate is smoothed over some seconds. Heavy hitters are those of the last full window. Not thread safe.
+ * <p>The rate is smoothed over several seconds. The hot hashes are those of the last complete window. Not thread safe.
  */
 public final class RangeLoadMeter {
     private static final int SKETCH_CAPACITY = 512;
     private static final int MAX_HOT_HASHES = 8;
+    /** Minimum fraction of the requests of the range for a hot hash. */
     private static final double MIN_HOT_SHARE = 0.01;
+
     private static final double SMOOTHING_TIME_CONSTANT_SECONDS = 3;
     private static final double HOT_HASH_WINDOW_SECONDS = 2;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -32,19 +35,20 @@
         windowStartNanos = nowNanos;
     }
 
-    /** Meter of a part of the range, starting with its share of the rate. */
+    /** Creates the meter for a subrange; it starts with the given fraction of the rate of this range. */
     RangeLoadMeter forSubrange(double rateShare) {
         RangeLoadMeter meter = new RangeLoadMeter(lastUpdateNanos);
         meter.ratePerSecond = ratePerSecond * rateShare;
         return meter;
     }
 
+    /** Counts a request that arrived for a key hash. */
     public void onRequest(KeyHash hash) {
         requestCount++;
         sketch.update(hash.value());
     }
 
-    /** Takes the requests since the last call into the rate. */
+    /** Updates the rate with the requests since the last call, and the hot hashes if the window has ended. */
     public void updateRate(long nowNanos) {
         double elapsedSeconds = (nowNanos - lastUpdateNanos) / NANOS_PER_SECOND;
         if (elapsedSeconds <= 0) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -20,21 +20,21 @@
 /**
  * Acquires and releases ranges.
  *
- * <p>Invariant: a release completes only when each call of its range that was in flight or lost at its start is
- * settled, and each entry that it took out of service is revoked or has lapsed at the backend server. Calls made under
- * a newer fence do not delay it. Not thread safe.
+ * <p>Invariant: a release completes only when every call of its range that was in flight or lost at the start of the
+ * release is settled, and every entry that it took out of service is revoked or has expired at the backend server. Calls
+ * under a newer fence do not delay a release. Not thread safe.
  */
 final class RangeService {
-    /** A release in progress. */
+    /** A release in progress; it waits for the unsettled calls and the entries of its range. */
     private static final class Release {
         private final KeyRange range;
         private final Set<Execution> unsettledCalls;
         private final List<RangeEntry> entries = new ArrayList<>();
         private final CompletableFuture<TransferredRecords> result = new CompletableFuture<>();
 
-        private Release(KeyRange range, Set<Execution> unsettled) {
+        private Release(KeyRange range, Set<Execution> unsettledCalls) {
             this.range = range;
-            this.unsettledCalls = unsettled;
+            this.unsettledCalls = unsettledCalls;
         }
     }
 
@@ -58,11 +58,13 @@
                 context.options().allowUnconfirmedRelease());
     }
 
+    /** Uses another backend server; null if there is none. */
     void attach(AttachedBackend newBackend) {
         backend = Optional.ofNullable(newBackend);
     }
 
-    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
+    /** Starts an acquire. Repeating an acquire returns the future of the first one. */
+    CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords transferred) {
         List<RangeEntry> active = activeOverlapping(range);
         for (RangeEntry entry : active) {
             if (entry.fence().equals(fence) && entry.range().contains(range)) {
@@ -75,7 +77,7 @@
             context.logDecision(() -> logLine("acquire-refused", range, fence) + " code=" + refusal.code());
             return CompletableFuture.failedFuture(refusal);
         }
-        RangeEntry entry = createEntry(range, fence, inherited);
+        RangeEntry entry = createEntry(range, fence, transferred);
         ranges.add(entry);
         fenceHistory.onAcquire(range, fence);
         grants.requestGrant();
@@ -83,9 +85,10 @@
         return entry.acquired();
     }
 
+    /** Returns the reason why a range cannot be acquired, or null if it can. */
     private CrankException refusal(KeyRange range, Generation fence, List<RangeEntry> active) {
         if (!context.serviceConfig().keyed()) {
-            return new CrankException(ResultCode.BAD_REQUEST, "the service is not divided by key");
+            return new CrankException(ResultCode.BAD_REQUEST, "the service has no keys and therefore no ranges");
         }
         if (backend.isEmpty()) {
             return new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server is attached");
@@ -94,46 +97,56 @@
             return new CrankException(ResultCode.LEASE_LAPSED, "the lease is not valid");
         }
         if (!fenceHistory.allows(range, fence)) {
-            return new CrankException(ResultCode.RANGE_MOVING, "the fence is older than one used before");
+            return new CrankException(
+                    ResultCode.RANGE_MOVING, "a newer fence was used for the range, or this fence was released");
         }
         if (active.stream().anyMatch(e -> !fence.isNewerThan(e.fence()))) {
             return new CrankException(
-                    ResultCode.NOT_OWNER, "part of the range is held under this fence or a newer one");
+                    ResultCode.NOT_OWNER, "part of the range is already held under this fence or a newer one");
         }
         return null;
     }
 
-    /** Replaces what is held of a range under older fences; records that the gate has itself stay complete. */
-    private RangeEntry createEntry(KeyRange range, Generation fence, TransferredRecords inherited) {
+    /**
+     * Creates the entry for an acquired range and removes the entries that it replaces. If the replaced entries cover the
+     * whole range, the outcome records of this gate remain complete as far as they were.
+     */
+    private RangeEntry createEntry(KeyRange range, Generation fence, TransferredRecords transferred) {
         long nowNanos = context.nowNanos();
-        RecordHorizon inheritedHorizon = RecordHorizon.completeFor(nowNanos, inherited.completeForMs());
+        RecordHorizon transferredHorizon = RecordHorizon.completeFor(nowNanos, transferred.completeForMs());
         RecordHorizon ownHorizon = RecordHorizon.UNLIMITED;
         List<RangeEntry> replaced = removeReplaced(range, fence);
-        long ownServingSinceNanos = replaced.isEmpty() ? nowNanos : replaced.get(0).servingSinceNanos();
+        long ownServingSinceNanos =
+                replaced.isEmpty() ? nowNanos : replaced.get(0).servingSinceNanos();
         for (RangeEntry old : replaced) {
             ownHorizon = ownHorizon.later(old.recordHorizon());
-            ownServingSinceNanos = old.servingSinceNanos() - ownServingSinceNanos > 0 ? old.servingSinceNanos() : ownServingSinceNanos;
+            ownServingSinceNanos =
+                    old.servingSinceNanos() - ownServingSinceNanos > 0 ? old.servingSinceNanos() : ownServingSinceNanos;
         }
-        boolean covered =
+        boolean fullyCovered =
                 RangeTable.covers(replaced.stream().map(RangeEntry::range).toList(), range);
-        RecordHorizon horizon = covered ? ownHorizon.earlier(inheritedHorizon) : inheritedHorizon;
-        RangeEntry entry = RangeEntry.acquiring(range, fence, inherited, horizon, nowNanos);
-        if (covered) {
+        RecordHorizon horizon = fullyCovered ? ownHorizon.earlier(transferredHorizon) : transferredHorizon;
+        RangeEntry entry = RangeEntry.acquiring(range, fence, transferred, horizon, nowNanos);
+        if (fullyCovered) {
             entry.setServingSince(ownServingSinceNanos);
-        } else if (inherited.completeForMs() > 0) {
-            entry.limitRemovalHorizon(inheritedHorizon);
+        } else if (transferred.completeForMs() > 0) {
+            entry.limitRemovalHorizon(transferredHorizon);
         }
         replaced.forEach(old -> entry.limitRemovalHorizon(old.removalHorizon()));
-        replaced.forEach(entry::inheritGrant);
+        replaced.forEach(entry::inheritGrantExpiry);
         return entry;
     }
 
-    /** Removes the parts of a range that are served under an older fence, or whose acquire failed under this one. */
+    /**
+     * Removes and returns the entries within a range that are served under an older fence, or whose acquire under this fence
+     * failed.
+     */
     private List<RangeEntry> removeReplaced(KeyRange range, Generation fence) {
         List<RangeEntry> removed = new ArrayList<>();
         for (RangeEntry old : ranges.overlapping(range)) {
             if (old.state() == State.ACQUIRING) {
-                old.failAcquire(new CrankException(ResultCode.RANGE_MOVING, "acquired under a newer fence"));
+                old.failAcquire(
+                        new CrankException(ResultCode.RANGE_MOVING, "the range was acquired under a newer fence"));
             } else if (old.state() == State.SERVING
                     || (old.isAcquireFailed() && old.fence().equals(fence))) {
                 RangeEntry part = ranges.splitOff(old, range);
@@ -147,7 +160,7 @@
     /**
      * Starts a release.
      *
-     * @param candidateCalls calls that run or were lost, of any range
+     * @param candidateCalls calls of any range that run or whose answer was lost
      */
     CompletableFuture<TransferredRecords> release(KeyRange range, List<Execution> candidateCalls) {
         Set<Execution> unsettledCalls = new HashSet<>();
@@ -159,8 +172,8 @@
         Release release = new Release(range, unsettledCalls);
         for (RangeEntry overlapping : ranges.overlapping(range)) {
             if (overlapping.state() == State.ACQUIRING) {
-                records.importRecords(overlapping.inherited(), context.nowNanos());
-                overlapping.failAcquire(new CrankException(ResultCode.RANGE_MOVING, "the range is released"));
+                records.importRecords(overlapping.transferred(), context.nowNanos());
+                overlapping.failAcquire(new CrankException(ResultCode.RANGE_MOVING, "the range was released"));
             }
             RangeEntry entry = ranges.splitOff(overlapping, range);
             if (!entry.range().equals(overlapping.range())) {
@@ -177,7 +190,7 @@
         return release.result;
     }
 
-    /** Gives the releases that wait for a split entry its parts. */
+    /** Makes releases that wait for an entry that was split wait for its parts instead. */
     private void replaceSplitEntry(RangeEntry split) {
         for (Release release : releases) {
             if (release.entries.remove(split)) {
@@ -190,11 +203,12 @@
         }
     }
 
-    /** Revokes all entries at once, because the backend server holds nothing any more. */
+    /** Revokes all entries without a grant, because the backend server does not hold any range any more. */
     void revokeAllRanges() {
         for (RangeEntry entry : List.copyOf(ranges.entries())) {
             if (entry.state() == State.ACQUIRING) {
-                entry.failAcquire(new CrankException(ResultCode.BACKEND_UNAVAILABLE, "the backend server is gone"));
+                entry.failAcquire(
+                        new CrankException(ResultCode.BACKEND_UNAVAILABLE, "the backend server was detached"));
             }
             if (entry.state() != State.REVOKED) {
                 ranges.transition(entry, State.REVOKED);
@@ -216,6 +230,7 @@
         return !releases.isEmpty();
     }
 
+    /** Fails acquires without a lease, and revokes released ranges whose calls have ended or exceeded their deadline. */
     void tick(long nowNanos) {
         if (!context.isLeaseValid()) {
             for (RangeEntry entry : ranges.inState(State.ACQUIRING)) {
@@ -224,7 +239,8 @@
             }
         }
         for (Release release : releases) {
-            release.unsettledCalls.removeIf(call -> call.isSettled(releasePolicy, isGrantExpired(call.hash(), nowNanos), nowNanos));
+            release.unsettledCalls.removeIf(
+                    call -> call.isSettled(releasePolicy, isGrantExpired(call.hash(), nowNanos), nowNanos));
         }
         for (RangeEntry entry : ranges.inState(State.RELEASING)) {
             if (!isAwaitingCalls(entry, nowNanos)) {
@@ -234,10 +250,11 @@
         }
     }
 
-    /** Completes the releases that have nothing left to wait for. */
+    /** Completes the releases whose calls are settled and whose entries are revoked. */
     void completeReleases(long nowNanos) {
         for (Release release : List.copyOf(releases)) {
-            if (release.unsettledCalls.isEmpty() && release.entries.stream().allMatch(e -> e.state() == State.REVOKED)) {
+            if (release.unsettledCalls.isEmpty()
+                    && release.entries.stream().allMatch(e -> e.state() == State.REVOKED)) {
                 releases.remove(release);
                 complete(release, nowNanos);
             }
@@ -249,11 +266,11 @@
         }
     }
 
-    /** Inserts the records that came with the ranges that are now served, and tells those who wait for them. */
+    /** Imports the outcome records of the newly served ranges and completes their acquires. */
     void completeAcquires(long nowNanos) {
         for (RangeEntry entry : ranges.inState(State.SERVING)) {
             if (!entry.acquired().isDone()) {
-                records.importRecords(entry.inherited(), nowNanos);
+                records.importRecords(entry.transferred(), nowNanos);
                 context.logDecision(() -> logLine("serving", entry.range(), entry.fence()));
                 entry.acquired().complete(null);
             }
@@ -269,11 +286,11 @@
         for (RangeTable.ReleasedRange released : releasedRanges) {
             horizon = horizon.later(released.horizon());
         }
-        boolean covered =
-                RangeTable.covers(releasedRanges.stream().map(RangeTable.ReleasedRange::range).toList(), release.range);
+        boolean fullyCovered = RangeTable.covers(
+                releasedRanges.stream().map(RangeTable.ReleasedRange::range).toList(), release.range);
         TransferredRecords exported = records.exportRecords(
                         release.range,
-                        covered ? horizon : RecordHorizon.startingAt(nowNanos),
+                        fullyCovered ? horizon : RecordHorizon.startingAt(nowNanos),
                         context.options().maxTransferBytes(),
                         nowNanos)
                 .withHandovers(backend.map(b -> b.server().takeHandovers(release.range))
@@ -283,12 +300,13 @@
         release.result.complete(exported);
     }
 
-    /** Whether calls of an entry may still end before their deadline and its grace. */
+    /** Whether a release waits for a call of an entry whose deadline and grace time have not passed. */
     private boolean isAwaitingCalls(RangeEntry entry, long nowNanos) {
         for (Release release : releases) {
             for (Execution call : release.unsettledCalls) {
                 if (entry.range().contains(call.hash())
-                        && TimeUnit.NANOSECONDS.toMillis(nowNanos - call.deadlineNanos()) < releasePolicy.deadlineGraceMs()) {
+                        && TimeUnit.NANOSECONDS.toMillis(nowNanos - call.deadlineNanos())
+                                < releasePolicy.deadlineGraceMs()) {
                     return true;
                 }
             }
@@ -296,6 +314,7 @@
         return false;
     }
 
+    /** Whether all grants of the released entries that contain a hash have expired at the backend server. */
     private boolean isGrantExpired(KeyHash hash, long nowNanos) {
         return ranges.entries().stream()
                 .filter(e -> e.state().compareTo(State.RELEASING) >= 0)
@@ -303,6 +322,7 @@
                 .allMatch(e -> e.isGrantExpired(nowNanos));
     }
 
+    /** Returns the entries in state ACQUIRING or SERVING that overlap a range. */
     private List<RangeEntry> activeOverlapping(KeyRange range) {
         return ranges.overlapping(range).stream()
                 .filter(e -> e.state().compareTo(State.SERVING) <= 0)
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
@@ -13,14 +13,18 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The ranges of this gate and those that it released.
+ * The ranges that this gate holds, and a bounded history of those that it released.
  *
  * <p>Invariant: entries in state ACQUIRING or SERVING never overlap. Not thread safe.
  */
 public final class RangeTable {
     private static final int MAX_RELEASED_RANGES = 4_096;
 
-    /** A range that was released for good under a fence. Immutable. */
+    /**
+     * A range whose release under a fence has completed. Immutable.
+     *
+     * @param horizon horizon of the outcome records at the time of the release
+     */
     public record ReleasedRange(KeyRange range, Generation fence, RecordHorizon horizon) {}
 
     private final List<RangeEntry> entries = new ArrayList<>();
@@ -28,6 +32,7 @@
     private final List<ReleasedRange> releasedRanges = new ArrayList<>();
     private boolean releaseHistoryTruncated;
 
+    /** Returns the entry in state SERVING that contains a hash. */
     public Optional<RangeEntry> serving(KeyHash hash) {
         Map.Entry<KeyHash, RangeEntry> floor = servingByFirstHash.floorEntry(hash);
         return floor != null && floor.getValue().range().contains(hash)
@@ -35,7 +40,7 @@
                 : Optional.empty();
     }
 
-    /** The entry with the newest fence that contains a hash, in any state. */
+    /** Returns the entry with the newest fence that contains a hash, in any state. */
     public Optional<RangeEntry> newest(KeyHash hash) {
         RangeEntry newest = null;
         for (RangeEntry entry : entries) {
@@ -58,7 +63,7 @@
         return filter(e -> e.range().overlaps(range));
     }
 
-    /** The ranges that the backend server has to be granted. */
+    /** Returns the entries whose ranges must be granted to the backend server. */
     public List<RangeEntry> grantable() {
         return filter(e -> e.state().compareTo(State.RELEASING) <= 0);
     }
@@ -73,19 +78,23 @@
         servingByFirstHash.remove(entry.range().first(), entry);
     }
 
+    /** Moves an entry to a later state. */
     public void transition(RangeEntry entry, State state) {
         servingByFirstHash.remove(entry.range().first(), entry);
         entry.transitionTo(state);
         indexIfServing(entry);
     }
 
-    /** Takes an entry out of service. */
+    /** Starts the release of an entry; new requests for its range are refused from now on. */
     public void startRelease(RangeEntry entry) {
         servingByFirstHash.remove(entry.range().first(), entry);
         entry.startRelease();
     }
 
-    /** Splits an entry at the ends of a range and returns the part inside; the entry itself is then no longer used. */
+    /**
+     * Returns the part of an entry that lies within a range. If the entry extends beyond the range, it is replaced by one
+     * entry for the part within the range and others for the rest.
+     */
     public RangeEntry splitOff(RangeEntry entry, KeyRange range) {
         if (range.contains(entry.range())) {
             return entry;
@@ -99,7 +108,7 @@
         return inside;
     }
 
-    /** Notes for what is left of granted ranges that the backend server may hold them until a time. */
+    /** Records for all entries with granted ranges that the grant may be valid at the backend server until a time. */
     public void extendGrantExpiry(List<GrantedRange> granted, long expiresAtNanos) {
         for (RangeEntry entry : entries) {
             if (isGrantedBy(entry, granted)) {
@@ -108,12 +117,12 @@
         }
     }
 
-    /** Whether granted ranges give the backend server rights to part of an entry. */
+    /** Whether any granted range applies to part of an entry. */
     public static boolean isGrantedBy(RangeEntry entry, List<GrantedRange> granted) {
         return granted.stream().anyMatch(entry::isGrantedBy);
     }
 
-    /** Moves the horizon after the loss of a record that was made at a time. */
+    /** Advances the horizons after the record of a hash that was created at a time has been removed. */
     public void advanceHorizons(KeyHash hash, long sinceNanos) {
         for (RangeEntry entry : entries) {
             if (entry.range().contains(hash)) {
@@ -122,9 +131,11 @@
         }
     }
 
+    /** Adds an entry to the history of released ranges, in place of older releases that it covers. */
     public void addReleased(RangeEntry entry) {
         ReleasedRange newest = new ReleasedRange(entry.range(), entry.fence(), entry.recordHorizon());
-        releasedRanges.removeIf(r -> newest.range().contains(r.range()) && !r.fence().isNewerThan(newest.fence()));
+        releasedRanges.removeIf(
+                r -> newest.range().contains(r.range()) && !r.fence().isNewerThan(newest.fence()));
         releasedRanges.add(newest);
         if (releasedRanges.size() > MAX_RELEASED_RANGES) {
             releasedRanges.remove(0);
@@ -132,16 +143,18 @@
         }
     }
 
-    /** Whether a range with a hash was released; true if it cannot be told any more. */
+    /** Whether this gate has released a range with a hash; also true if the history is truncated. */
     public boolean mayHaveReleased(KeyHash hash) {
-        return releaseHistoryTruncated || releasedRanges.stream().anyMatch(r -> r.range().contains(hash));
+        return releaseHistoryTruncated
+                || releasedRanges.stream().anyMatch(r -> r.range().contains(hash));
     }
 
+    /** Returns the released ranges that overlap a range. */
     public List<ReleasedRange> releasedIn(KeyRange range) {
         return releasedRanges.stream().filter(r -> r.range().overlaps(range)).toList();
     }
 
-    /** Whether ranges together cover another. */
+    /** Whether some ranges together cover a whole range. */
     public static boolean covers(List<KeyRange> parts, KeyRange whole) {
         List<KeyRange> uncovered = List.of(whole);
         for (KeyRange part : parts) {
@@ -157,7 +170,8 @@
     private static List<KeyRange> subtract(KeyRange whole, KeyRange removed) {
         List<KeyRange> remaining = new ArrayList<>();
         if (whole.first().compareTo(removed.first()) < 0) {
-            remaining.add(new KeyRange(whole.first(), new KeyHash(removed.first().value() - 1)));
+            remaining.add(
+                    new KeyRange(whole.first(), new KeyHash(removed.first().value() - 1)));
         }
         if (removed.last().compareTo(whole.last()) < 0) {
             remaining.add(new KeyRange(new KeyHash(removed.last().value() + 1), whole.last()));
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordHorizon.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordHorizon.java
@@ -3,26 +3,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Time since when outcome records are complete. Immutable.
+ * Earliest monotonic time since which the outcome records of a range are complete. Immutable.
  *
- * @param unlimited whether no record can be missing; {@code sinceNanos} is then without meaning
- * @param sinceNanos monotonic time
+ * @param unlimited whether no record can be missing; {@code sinceNanos} is ignored in this case
+ * @param sinceNanos monotonic time in nanoseconds
  */
 public record RecordHorizon(boolean unlimited, long sinceNanos) {
+    /** Horizon of records of which none can be missing. */
     public static final RecordHorizon UNLIMITED = new RecordHorizon(true, 0);
 
+    /** Creates the horizon of records that are complete after a monotonic time. */
     public static RecordHorizon startingAt(long startNanos) {
         return new RecordHorizon(false, startNanos);
     }
 
-    /** Horizon of records that reach back a number of milliseconds; {@link Long#MAX_VALUE} means without limit. */
+    /** Creates the horizon of records that are complete for the last milliseconds; {@link Long#MAX_VALUE}: unlimited. */
     public static RecordHorizon completeFor(long nowNanos, long completeForMs) {
         return completeForMs == Long.MAX_VALUE
                 ? UNLIMITED
                 : startingAt(nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(completeForMs, Integer.MAX_VALUE)));
     }
 
-    /** The one of two horizons that claims less. */
+    /** Returns the more recent of two horizons; any other horizon is more recent than the unlimited one. */
     public RecordHorizon later(RecordHorizon other) {
         if (unlimited) {
             return other;
@@ -30,17 +32,17 @@
         return other.unlimited || sinceNanos - other.sinceNanos > 0 ? this : other;
     }
 
-    /** The one of two horizons that claims more. */
+    /** Returns the older of two horizons; the unlimited one is older than any other. */
     public RecordHorizon earlier(RecordHorizon other) {
         return later(other).equals(this) ? other : this;
     }
 
-    /** Whether a first attempt at a time would have left a record. */
+    /** Whether an execution at a time has certainly left a record. */
     public boolean covers(long attemptedAtNanos) {
         return unlimited || attemptedAtNanos - sinceNanos > 0;
     }
 
-    /** How far back the records are complete; {@link Long#MAX_VALUE} without limit. */
+    /** Time in milliseconds for which the records are complete; {@link Long#MAX_VALUE} if unlimited. */
     public long completeForMs(long nowNanos) {
         return unlimited ? Long.MAX_VALUE : Math.max(0, TimeUnit.NANOSECONDS.toMillis(nowNanos - sinceNanos));
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLossDetector.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLossDetector.java
@@ -7,7 +7,10 @@
 import org.coriandercrank.kernel.id.KeyHash;
 import org.coriandercrank.kernel.request.CallerRequest;
 
-/** Decides whether the outcome record of an earlier attempt may be missing. Not thread safe. */
+/**
+ * Detects requests with an idempotency key for which the outcome record of an earlier attempt may be missing. Not thread
+ * safe.
+ */
 final class RecordLossDetector {
     private final GateContext context;
     private final RangeTable ranges;
@@ -20,16 +23,18 @@
         unkeyedHorizon = RecordHorizon.startingAt(context.nowNanos());
     }
 
-    /** A record of a service that is not divided by key was dropped. */
+    /** Advances the horizons after a record that was created at a time has been removed, for a service without keys. */
     void advanceUnkeyedHorizons(long sinceNanos) {
         unkeyedHorizon = unkeyedHorizon.later(RecordHorizon.startingAt(sinceNanos));
         unkeyedRemovalHorizon = unkeyedRemovalHorizon.later(RecordHorizon.startingAt(sinceNanos));
     }
 
     /**
-     * Whether an earlier attempt may have run and left no record. The stated age is extended by the time that the
-     * request travelled. A stated age of 0 is a first attempt, or a repeat within less than a millisecond; for it only
-     * dropped records matter, so that first attempts are admitted right after a takeover.
+     * Whether an earlier attempt may have run although this gate has no record of it.
+     *
+     * <p>The stated age of the idempotency key is increased by an upper bound of the time that the request travelled. A
+     * stated age of 0 means a first attempt, or a retry within less than a millisecond. For it only removed records matter,
+     * so that first attempts are admitted right after a takeover.
      */
     boolean mayHaveLostRecord(CallerRequest request, ServiceConfig config, KeyHash hash, long nowNanos) {
         Optional<RangeEntry> entry = ranges.serving(hash);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -22,18 +22,27 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * Final answers by request id and by idempotency key, bounded by count, bytes and age.
+ * Outcome records: final answers by request id and by idempotency key, limited in number, size and age.
  *
- * <p>Invariant: each dropped record with an idempotency key is reported to the listener, so that the horizon of its
- * range can be moved. The id of a record that was dropped before its age limit is remembered without its answer. Not
- * thread safe.
+ * <p>Records are removed in order of insertion: they expire by age and are evicted when the number or size exceeds its
+ * limit. The id of an evicted record is still remembered without its answer.
+ *
+ * <p>Invariant: every removal of a record with an idempotency key is reported to the listener, so that the horizons of
+ * its range are advanced. Not thread safe.
  */
 public final class RecordTable {
+    /** Estimated memory of a record without its body and headers. */
     private static final long RECORD_OVERHEAD_BYTES = 256;
+
     private static final long HEADER_OVERHEAD_BYTES = 48;
     private static final int MAX_EVICTED_IDS_PER_RECORD = 4;
 
-    /** A kept answer. Immutable. */
+    /**
+     * The final answer to a request. Immutable.
+     *
+     * @param requestDigest digest of method, path and body of the request
+     * @param createdAtNanos monotonic time at which the answer became final
+     */
     public record StoredRecord(
             RequestId id,
             Optional<IdempotencyKey> idempotencyKey,
@@ -56,6 +65,7 @@
         }
     }
 
+    /** An idempotency key together with the key hash of its request, which is its scope. */
     private record ScopedKey(KeyHash hash, IdempotencyKey key) {}
 
     private final long retentionNanos;
@@ -67,7 +77,12 @@
     private final LinkedHashMap<RequestId, Long> evictedIds = new LinkedHashMap<>();
     private long totalBytes;
 
-    /** The listener gets the hash and the time of each dropped record that has an idempotency key. */
+    /**
+     * Creates an empty table.
+     *
+     * @param keyedRecordRemoved called with the key hash and creation time of each removed record that has an idempotency
+     *     key
+     */
     public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> keyedRecordRemoved) {
         retentionNanos = TimeUnit.MILLISECONDS.toNanos(options.recordRetentionMs());
         maxRecords = options.maxRecords();
@@ -75,6 +90,7 @@
         this.keyedRecordRemoved = keyedRecordRemoved;
     }
 
+    /** Adds a record, in place of an earlier one with the same id, and evicts old records if a limit is exceeded. */
     public void put(StoredRecord stored, long nowNanos) {
         StoredRecord previous = recordsById.remove(stored.id());
         if (previous != null) {
@@ -94,10 +110,11 @@
         }
     }
 
-    /** Takes over the records of a range; a record that is present already stays. */
-    public void importRecords(TransferredRecords inherited, long nowNanos) {
-        for (OutcomeRecord outcomeRecord : inherited.records()) {
-            long createdAtNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(outcomeRecord.ageMs(), Integer.MAX_VALUE));
+    /** Adds the records that were passed on with a range; records that exist already are not replaced. */
+    public void importRecords(TransferredRecords transferred, long nowNanos) {
+        for (OutcomeRecord outcomeRecord : transferred.records()) {
+            long createdAtNanos =
+                    nowNanos - TimeUnit.MILLISECONDS.toNanos(Math.min(outcomeRecord.ageMs(), Integer.MAX_VALUE));
             if (!recordsById.containsKey(outcomeRecord.requestId())) {
                 put(
                         new StoredRecord(
@@ -120,14 +137,15 @@
         return Optional.ofNullable(recordsByKey.get(new ScopedKey(hash, key)));
     }
 
-    /** Whether an id was executed but its answer had to be dropped early. */
+    /** Whether a request was executed but its record was evicted. */
     public boolean wasEvicted(RequestId id) {
         return evictedIds.containsKey(id);
     }
 
-    /** Drops what has reached the age limit. */
+    /** Removes the records and evicted ids that have reached the maximum age. */
     public void expire(long nowNanos) {
-        while (!recordsById.isEmpty() && nowNanos - recordsById.values().iterator().next().createdAtNanos() >= retentionNanos) {
+        while (!recordsById.isEmpty()
+                && nowNanos - recordsById.values().iterator().next().createdAtNanos() >= retentionNanos) {
             removeOldest();
         }
         Iterator<Long> evictionTimes = evictedIds.values().iterator();
@@ -136,8 +154,14 @@
         }
     }
 
-    /** Records of a range for its next owner, the newest up to a number of bytes, with a horizon that fits them. */
-    public TransferredRecords exportRecords(KeyRange range, RecordHorizon horizon, long maxTransferBytes, long nowNanos) {
+    /**
+     * Returns the records of a range for its next owner: the newest ones up to a total size. The horizon is advanced to
+     * account for the records that are left out.
+     *
+     * @param horizon horizon of the records of the range in this table
+     */
+    public TransferredRecords exportRecords(
+            KeyRange range, RecordHorizon horizon, long maxTransferBytes, long nowNanos) {
         Deque<StoredRecord> inRange = new ArrayDeque<>();
         for (StoredRecord stored : recordsById.values()) {
             if (range.contains(stored.hash())) {
@@ -151,8 +175,13 @@
             exportedBytes += stored.sizeBytes();
             if (exportedBytes <= maxTransferBytes) {
                 long ageMs = Math.max(0, TimeUnit.NANOSECONDS.toMillis(nowNanos - stored.createdAtNanos()));
-                exported.add(
-                        new OutcomeRecord(stored.id(), stored.idempotencyKey(), stored.hash(), stored.requestDigest(), stored.answer(), ageMs));
+                exported.add(new OutcomeRecord(
+                        stored.id(),
+                        stored.idempotencyKey(),
+                        stored.hash(),
+                        stored.requestDigest(),
+                        stored.answer(),
+                        ageMs));
             } else if (stored.idempotencyKey().isPresent()) {
                 exportedHorizon = exportedHorizon.later(RecordHorizon.startingAt(stored.createdAtNanos()));
             }
@@ -160,6 +189,7 @@
         return new TransferredRecords(exportedHorizon.completeForMs(nowNanos), exported);
     }
 
+    /** Number of records. */
     public int size() {
         return recordsById.size();
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
@@ -12,16 +12,18 @@
 import org.coriandercrank.kernel.id.KeyHash;
 
 /**
- * Waiting requests in order of arrival and the use of queue and slots by key.
+ * Queue of admitted requests; also tracks how many slots and queue places each key uses.
  *
- * <p>Per-key share: a key may use the configured share of slots and queue. Above it, a request is refused only while
- * others wait or three quarters of slots and queue are in use, so a lone hot key still gets the whole server. Slots are
- * handed out in the order of {@link QueueOrder}, but while requests of other keys wait, a key that already has its share
- * of the running calls is passed over. A share of 100 percent is plain queue order. Not thread safe.
+ * <p>A key may use a configured share of the slots and the queue. Above this share, its requests are refused only while
+ * requests of other keys wait or three quarters of the slots and the queue are in use, so a single hot key can still use
+ * the whole server. Requests are started in the order of {@link QueueOrder}, but while requests of other keys wait, a key
+ * whose running calls use up its share of the slots is skipped. A share of 100 percent turns this limit off. Not thread
+ * safe.
  */
 public final class RequestQueue {
-    private static final int NEAR_FULL_PERCENT = 75;
+    private static final int NEARLY_FULL_PERCENT = 75;
 
+    /** Number of queued and running requests of a key. */
     private static final class KeyUsage {
         private int queued;
         private int running;
@@ -31,30 +33,32 @@
     private final Map<KeyHash, KeyUsage> usageByHash = new HashMap<>();
     private int running;
 
-    public int queued() {
+    public int size() {
         return queue.size();
     }
 
-    /** Whether one more request of a key exceeds its share at a time when that harms others. */
+    /** Whether another request of a key must be refused because the key has used up its share. */
     public boolean exceedsKeyShare(KeyHash hash, ServiceConfig config, int slots) {
         if (!config.keyed()) {
             return false;
         }
         KeyUsage usage = usageByHash.get(hash);
-        if (usage == null || usage.queued + usage.running < shareOf(config, slots + config.maxQueueLength())) {
+        if (usage == null || usage.queued + usage.running < maxPerKey(config, slots + config.maxQueueLength())) {
             return false;
         }
         boolean othersWait = queue.size() > usage.queued;
         long inUse = (long) queue.size() + running;
-        boolean nearFull = inUse * 100 >= (long) (slots + config.maxQueueLength()) * NEAR_FULL_PERCENT;
-        return config.maxKeySharePercent() < 100 && (othersWait || nearFull);
+        boolean nearlyFull = inUse * 100 >= (long) (slots + config.maxQueueLength()) * NEARLY_FULL_PERCENT;
+        return config.maxKeySharePercent() < 100 && (othersWait || nearlyFull);
     }
 
+    /** Adds an admitted request. */
     public void add(Execution execution) {
         queue.add(execution);
         usage(execution).queued++;
     }
 
+    /** Removes a request that was not started; returns false if it is not queued. */
     public boolean remove(Execution execution) {
         if (!queue.remove(execution)) {
             return false;
@@ -64,21 +68,22 @@
         return true;
     }
 
-    /** The waiting requests that satisfy a condition, in order of arrival. */
+    /** Returns the queued requests that satisfy a condition, in order of arrival. */
     public List<Execution> filter(Predicate<Execution> condition) {
         return queue.stream().filter(condition).toList();
     }
 
     /**
-     * The request that gets the next free slot; it stays in the queue.
+     * Returns the request to be started next; it remains in the queue.
      *
-     * @param expectedServiceMs expected time of a request at the server
+     * @param expectedServiceMs returns the expected execution time of a request at the backend server
      */
-    public Optional<Execution> peekNext(
+    public Optional<Execution> peek(
             ServiceConfig config, int concurrencyLimit, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
         boolean shareLimited = config.keyed() && config.maxKeySharePercent() < 100;
-        int maxRunningPerKey = shareOf(config, concurrencyLimit);
-        Optional<Execution> withinShare = firstMatching(e -> !shareLimited || usage(e).running < maxRunningPerKey, expectedServiceMs, nowNanos);
+        int maxRunningPerKey = maxPerKey(config, concurrencyLimit);
+        Optional<Execution> withinShare =
+                firstMatching(e -> !shareLimited || usage(e).running < maxRunningPerKey, expectedServiceMs, nowNanos);
         return withinShare.isPresent() ? withinShare : firstMatching(e -> true, expectedServiceMs, nowNanos);
     }
 
@@ -98,7 +103,7 @@
         return Optional.ofNullable(best);
     }
 
-    /** Service times of the waiting requests that a request at a place does not go before. */
+    /** Total expected execution time in milliseconds of the queued requests that a request with a sort key follows. */
     public double workAheadMs(SortKey sortKey, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
         double totalMs = 0;
         for (Execution execution : queue) {
@@ -109,9 +114,10 @@
         return totalMs;
     }
 
+    /** Moves a request from the queue to the running calls. */
     public void onStart(Execution execution) {
         if (!queue.remove(execution)) {
-            throw new IllegalStateException("request is not queued");
+            throw new IllegalStateException("the request is not queued");
         }
         KeyUsage usage = usage(execution);
         usage.queued--;
@@ -119,13 +125,15 @@
         running++;
     }
 
+    /** Records the end of a running call. */
     public void onEnd(Execution execution) {
         usage(execution).running--;
         running--;
         removeIfIdle(execution);
     }
 
-    private static int shareOf(ServiceConfig config, int total) {
+    /** Number of slots or queue places that one key may use; at least 1. */
+    private static int maxPerKey(ServiceConfig config, int total) {
         return Math.max(1, total * config.maxKeySharePercent() / 100);
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.gate.internal.Admission.RangeStatus;
 import org.coriandercrank.gate.internal.Admission.AdmissionContext;
+import org.coriandercrank.gate.internal.Admission.RangeStatus;
 import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 import org.coriandercrank.gate.internal.Execution.State;
 import org.coriandercrank.gate.internal.Execution.Waiter;
@@ -33,53 +33,52 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 
 /**
- * Admits requests and runs them at the backend server.
+ * Admits requests and executes them at the backend server. Not thread safe.
  *
- * <p>Invariants: a call is sent only with a free slot and, for a keyed service, with a valid lease and a served and
- * granted range; each execution is started at most once; a slot is taken until the call ends, also when the callers already
- * have their answer. Not thread safe.
+ * <p>Invariants: a call is sent only if a slot is free and, for a keyed service, if the lease is valid and the range is
+ * granted; each execution starts at most once; a call keeps its slot until it ends, even if its callers were answered.
  */
 final class RequestService {
-    private static final long RANGE_MOVING_RETRY_AFTER_MS = 200;
+    private static final long MOVING_RETRY_AFTER_MS = 200;
 
     private final GateContext context;
     private final RangeTable ranges;
     private final GrantManager grants;
     private final RequestTable requestTable;
-    private final DrainState drain;
+    private final DrainState drainState;
     private final RequestQueue queue = new RequestQueue();
-    private final LoadEstimator loadEstimator;
+    private final LoadEstimator estimator;
     private final Set<Execution> running = new LinkedHashSet<>();
     private final List<Execution> lostCalls = new ArrayList<>();
-    private final ParkedRequests parkedRequests;
-    private final Runnable onCallEndListener;
+    private final ParkedRequests parked;
+    private final Runnable callEndListener;
     private final RecordLossDetector recordLossDetector;
     private AttachedBackend backend;
-    private ConcurrencyLimit concurrencyLimit;
-    private boolean acceptingWork = true;
+    private ConcurrencyLimit concurrency;
+    private boolean sendingEnabled = true;
 
     RequestService(
             GateContext context,
             RangeTable ranges,
             GrantManager grants,
             RequestTable requestTable,
-            DrainState drain,
-            Runnable onCallEndListener) {
+            DrainState drainState,
+            Runnable callEndListener) {
         this.context = context;
         this.ranges = ranges;
         this.grants = grants;
         this.requestTable = requestTable;
-        this.drain = drain;
-        this.onCallEndListener = onCallEndListener;
-        parkedRequests = new ParkedRequests(context, ranges);
-        loadEstimator = new LoadEstimator(context.nowNanos());
+        this.drainState = drainState;
+        this.callEndListener = callEndListener;
+        parked = new ParkedRequests(context, ranges);
+        estimator = new LoadEstimator(context.nowNanos());
         recordLossDetector = new RecordLossDetector(context, ranges);
     }
 
     void attach(AttachedBackend newBackend) {
         backend = newBackend;
-        acceptingWork = true;
-        concurrencyLimit = new ConcurrencyLimit(
+        sendingEnabled = true;
+        concurrency = new ConcurrencyLimit(
                 newBackend.info().slots(),
                 context.options().slowStartMs(),
                 context.options().overloadRecoveryMs(),
@@ -90,35 +89,36 @@
         backend = null;
     }
 
-    /** Sends the server in use no further request, and refuses those that wait. */
+    /** Sends no further requests to the attached backend server, and refuses the queued ones. */
     void stopSending() {
-        acceptingWork = false;
-        refuseQueued(ResultCode.DRAINING, "the server takes no new work");
+        sendingEnabled = false;
+        refuseQueued(ResultCode.DRAINING, "the server is draining and accepts no new requests");
     }
 
     private boolean isDraining() {
-        return !acceptingWork || drain.isDraining(backend);
+        return !sendingEnabled || drainState.isDraining(backend);
     }
 
     int queued() {
-        return queue.queued();
+        return queue.size();
     }
 
-    GateLoad loadEstimator() {
+    GateLoad load() {
         return backend == null
                 ? GateLoad.NONE
-                : new GateLoad(queue.queued() + running.size(), concurrencyLimit.limit(context.nowNanos()), loadEstimator.meanMs());
+                : new GateLoad(
+                        queue.size() + running.size(), concurrency.limit(context.nowNanos()), estimator.meanMs());
     }
 
     int inFlight() {
         return running.size();
     }
 
-    boolean isInUse(AttachedBackend other) {
-        return running.stream().anyMatch(r -> r.backend().equals(other));
+    boolean isInUse(AttachedBackend candidate) {
+        return running.stream().anyMatch(call -> call.backend().equals(candidate));
     }
 
-    /** Calls that run, and those that were lost and may still run. */
+    /** Returns the calls that run or may still run because their answer was lost. */
     List<Execution> unsettledCalls() {
         List<Execution> unsettled = new ArrayList<>(running);
         unsettled.addAll(lostCalls);
@@ -133,20 +133,20 @@
         long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
         Waiter waiter = new Waiter(request.id(), result, deadlineNanos);
         RoutingSnapshot routing = context.routing();
-        Optional<ServiceConfig> config = routing.configuration().service(request.service());
+        Optional<ServiceConfig> serviceConfig = routing.configuration().service(request.service());
         if (!request.service().equals(context.dependencies().service())) {
-            refuse(waiter, CallerAnswer.of(ResultCode.NOT_OWNER, "the service is not served here"));
-        } else if (config.isEmpty()) {
+            refuse(waiter, CallerAnswer.of(ResultCode.NOT_OWNER, "this server does not serve the service"));
+        } else if (serviceConfig.isEmpty()) {
             boolean starting = routing.configurationRevision().equals(Revision.NONE);
             refuse(
                     waiter,
                     CallerAnswer.of(
                             starting ? ResultCode.STARTING : ResultCode.UNKNOWN_SERVICE,
-                            "the configuration does not have the service"));
-        } else if (config.get().keyed() && request.key().isEmpty()) {
-            refuse(waiter, CallerAnswer.of(ResultCode.BAD_REQUEST, "the service needs a key"));
+                            "the configuration does not contain the service"));
+        } else if (serviceConfig.get().keyed() && request.key().isEmpty()) {
+            refuse(waiter, CallerAnswer.of(ResultCode.BAD_REQUEST, "the service requires a key"));
         } else {
-            submitValidated(request, config.get(), waiter);
+            submitValidated(request, serviceConfig.get(), waiter);
         }
     }
 
@@ -163,23 +163,23 @@
             requestTable.addWaiter(lookup.running().get(), waiter);
             return;
         }
-        if (parkedRequests.contains(request.id())) {
-            refuse(waiter, CallerAnswer.of(ResultCode.DUPLICATE_RUNNING, "a copy of the request waits for its range"));
+        if (parked.contains(request.id())) {
+            refuse(waiter, CallerAnswer.of(ResultCode.DUPLICATE_RUNNING, "a copy of the request is already waiting"));
             return;
         }
-        if (config.keyed() && !isDraining() && parkedRequests.park(request, hash, waiter, nowNanos)) {
+        if (config.keyed() && !isDraining() && parked.park(request, hash, waiter, nowNanos)) {
             return;
         }
         ranges.serving(hash).ifPresent(entry -> entry.loadMeter().onRequest(hash));
-        loadEstimator.onArrival(request.rules(), nowNanos);
-        Optional<CallerAnswer> refusal =
-                Admission.refusal(admissionContext(request, config, hash, waiter, nowNanos), () -> retryAfterMs(nowNanos));
+        estimator.onArrival(request.rules(), nowNanos);
+        Optional<CallerAnswer> refusal = Admission.refusal(
+                admissionContext(request, config, hash, waiter, nowNanos), () -> retryAfterMs(nowNanos));
         if (refusal.isPresent()) {
             refuse(waiter, refusal.get());
             return;
         }
-        Execution execution =
-                new Execution(request, hash, requestDigest, request.isRepeatable(config), nowNanos, waiter.deadlineNanos());
+        Execution execution = new Execution(
+                request, hash, requestDigest, request.isRepeatable(config), nowNanos, waiter.deadlineNanos());
         requestTable.add(execution);
         requestTable.addWaiter(execution, waiter);
         queue.add(execution);
@@ -187,28 +187,29 @@
     }
 
     boolean isParked(RequestId id) {
-        return parkedRequests.contains(id);
+        return parked.contains(id);
     }
 
-    /** Submits the parked requests whose range is served now, and refuses those whose wait is over. */
+    /** Submits the parked requests whose range is served now, and refuses the expired ones. */
     void processParked(long nowNanos) {
-        for (ParkedRequest p : parkedRequests.removeServed()) {
-            submitValidated(p.request(), context.serviceConfig(), p.waiter());
+        for (ParkedRequest request : parked.removeServed()) {
+            submitValidated(request.request(), context.serviceConfig(), request.waiter());
         }
-        for (ParkedRequest p : parkedRequests.removeExpired(nowNanos, backend != null && acceptingWork)) {
+        for (ParkedRequest request : parked.removeExpired(nowNanos, backend != null && sendingEnabled)) {
             refuse(
-                    p.waiter(),
-                    CallerAnswer.retryLater(ResultCode.RANGE_MOVING, "the range is being moved", RANGE_MOVING_RETRY_AFTER_MS));
+                    request.waiter(),
+                    CallerAnswer.retryLater(
+                            ResultCode.RANGE_MOVING, "the range is being moved", MOVING_RETRY_AFTER_MS));
         }
     }
 
     private AdmissionContext admissionContext(
             CallerRequest request, ServiceConfig config, KeyHash hash, Waiter waiter, long nowNanos) {
-        int limit = backend == null ? 1 : concurrencyLimit.limit(nowNanos);
-        double expectedServiceMs = loadEstimator.serviceMs(request.rules());
+        int limit = backend == null ? 1 : concurrency.limit(nowNanos);
+        double expectedServiceMs = estimator.serviceMs(request.rules());
         SortKey sortKey = QueueOrder.sortKey(request.rules(), nowNanos, expectedServiceMs, nowNanos);
-        long expectedWaitMs = loadEstimator.expectedWaitMs(
-                queue.workAheadMs(sortKey, this::expectedServiceMs, nowNanos), occupiedSlots(), limit, request.rules());
+        long expectedWaitMs = estimator.expectedWaitMs(
+                queue.workAheadMs(sortKey, this::serviceMs, nowNanos), occupiedSlots(), limit, request.rules());
         return new AdmissionContext(
                 hasRequiredLease(config),
                 rangeStatus(config, hash),
@@ -219,26 +220,26 @@
                 TimeUnit.NANOSECONDS.toMillis(waiter.deadlineNanos() - nowNanos),
                 backend != null
                         && queue.exceedsKeyShare(hash, config, backend.info().slots()),
-                queue.queued(),
+                queue.size(),
                 config.maxQueueLength(),
                 occupiedSlots(),
                 limit,
                 expectedWaitMs,
                 (long) expectedServiceMs,
                 request.rules().map(RequestRules::latencyObjectiveMs).orElse(Long.MAX_VALUE),
-                loadEstimator.isOverloaded(request.rules(), limit, nowNanos));
+                estimator.isOverloaded(request.rules(), limit, nowNanos));
     }
 
-    private double expectedServiceMs(Execution execution) {
-        return loadEstimator.serviceMs(execution.request().rules());
+    private double serviceMs(Execution execution) {
+        return estimator.serviceMs(execution.request().rules());
     }
 
-    /** Time told to a refused caller, from the work that waits now. */
+    /** Retry-after time in milliseconds for a refused caller, derived from the queued work. */
     private long retryAfterMs(long nowNanos) {
-        int limit = backend == null ? 1 : concurrencyLimit.limit(nowNanos);
-        double queuedWorkMs = queue.workAheadMs(SortKey.LAST, this::expectedServiceMs, nowNanos);
-        return loadEstimator.retryAfterMs(
-                loadEstimator.expectedWaitMs(queuedWorkMs, occupiedSlots(), limit, Optional.empty()), limit, nowNanos);
+        int limit = backend == null ? 1 : concurrency.limit(nowNanos);
+        double queuedWorkMs = queue.workAheadMs(SortKey.LAST, this::serviceMs, nowNanos);
+        return estimator.retryAfterMs(
+                estimator.expectedWaitMs(queuedWorkMs, occupiedSlots(), limit, Optional.empty()), limit, nowNanos);
     }
 
     private RangeStatus rangeStatus(ServiceConfig config, KeyHash hash) {
@@ -248,42 +249,42 @@
         return ranges.newest(hash).isPresent() ? RangeStatus.MOVING : RangeStatus.NOT_SERVED;
     }
 
-    /** Starts waiting requests while slots are free. */
+    /** Starts queued requests while slots are free. */
     void dispatch() {
         ServiceConfig config = context.serviceConfig();
-        while (backend != null && queue.queued() > 0) {
+        while (backend != null && queue.size() > 0) {
             if (!hasRequiredLease(config)) {
                 refuseQueued(ResultCode.LEASE_LAPSED, "the lease is not valid");
                 return;
             }
             long nowNanos = context.nowNanos();
-            int limit = concurrencyLimit.limit(nowNanos);
+            int limit = concurrency.limit(nowNanos);
             if (occupiedSlots() >= limit || (config.keyed() && !grants.hasValidGrant(nowNanos))) {
                 return;
             }
-            startOrRefuse(queue.peekNext(config, limit, this::expectedServiceMs, nowNanos).orElseThrow(), config, nowNanos);
+            sendOrRefuse(queue.peek(config, limit, this::serviceMs, nowNanos).orElseThrow(), config, nowNanos);
         }
     }
 
-    private void startOrRefuse(Execution execution, ServiceConfig config, long nowNanos) {
+    private void sendOrRefuse(Execution execution, ServiceConfig config, long nowNanos) {
         long remainingMs = TimeUnit.NANOSECONDS.toMillis(execution.deadlineNanos() - nowNanos);
         Optional<RangeEntry> entry = ranges.serving(execution.hash());
         if (remainingMs < 1) {
-            finishQueued(execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline passed in the queue"));
+            finishQueued(execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline expired in the queue"));
         } else if (config.keyed() && entry.isEmpty()) {
             finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
         } else {
             Generation fence = config.keyed() ? entry.orElseThrow().fence() : Generation.NONE;
-            start(execution, config, new BackendCall(execution.request().withRemainingMs(remainingMs), fence), nowNanos);
+            send(execution, config, new BackendCall(execution.request().withRemainingMs(remainingMs), fence), nowNanos);
         }
     }
 
-    /** Only keys have an owner that another server could replace. */
+    /** Whether the lease permits requests; a service without keys needs no lease, as its requests have no owner. */
     private boolean hasRequiredLease(ServiceConfig config) {
         return !config.keyed() || context.isLeaseValid();
     }
 
-    private void start(Execution execution, ServiceConfig config, BackendCall call, long nowNanos) {
+    private void send(Execution execution, ServiceConfig config, BackendCall call, long nowNanos) {
         AttachedBackend target = backend;
         if (!hasRequiredLease(config)) {
             finishQueued(execution, CallerAnswer.of(ResultCode.LEASE_LAPSED, "the lease is not valid"));
@@ -310,25 +311,25 @@
             execution.end(State.ENDED);
         }
         if (finalAnswer.outcome() == Outcome.RUN) {
-            loadEstimator.onExecuted(execution.request().rules(), nowNanos - execution.startedAtNanos());
+            estimator.onExecuted(execution.request().rules(), nowNanos - execution.startedAtNanos());
         }
         requestTable.finish(execution, finalAnswer, nowNanos);
         answerAll(execution, finalAnswer);
-        onCallEndListener.run();
+        callEndListener.run();
     }
 
     private CallerAnswer failureAnswer(Execution execution, CrankException failure, long nowNanos) {
         if (failure.code() == ResultCode.OVERLOADED && execution.backend().equals(backend)) {
-            concurrencyLimit.onOverload(nowNanos);
+            concurrency.onOverload(nowNanos);
         } else if (failure.code() == ResultCode.FENCE_REJECTED) {
             ranges.serving(execution.hash()).ifPresent(entry -> entry.markRejected(nowNanos));
             grants.requestGrant();
         }
-        return CallFailureMapper.toCallerAnswer(failure.code(), execution.isCancelRequested(), () -> retryAfterMs(nowNanos));
+        return CallFailureMapper.map(failure.code(), execution.isCancelRequested(), () -> retryAfterMs(nowNanos));
     }
 
     void cancel(RequestId id) {
-        parkedRequests.remove(id)
+        parked.remove(id)
                 .ifPresent(p -> refuse(
                         p.waiter(), CallerAnswer.of(ResultCode.CANCELLED, "cancelled before its range was served")));
         Optional<Execution> found = requestTable.active(id);
@@ -350,19 +351,19 @@
         }
     }
 
-    /** Whether a waiting request has no chance: no time is left, or those in time take all that the server can do. */
+    /** Whether a queued request has too little time left, or misses its objective while the server is overloaded. */
     private boolean cannotFinishInTime(Execution execution, long nowNanos) {
         long remainingMs = TimeUnit.NANOSECONDS.toMillis(execution.deadlineNanos() - nowNanos);
-        if (remainingMs < Admission.MIN_SERVICE_TIME_SHARE * expectedServiceMs(execution)) {
+        if (remainingMs < Admission.MIN_SERVICE_TIME_SHARE * serviceMs(execution)) {
             return true;
         }
-        SortKey sortKey = QueueOrder.sortKey(execution, this::expectedServiceMs, nowNanos);
+        SortKey sortKey = QueueOrder.sortKey(execution, this::serviceMs, nowNanos);
         return sortKey.missesObjective()
                 && backend != null
-                && loadEstimator.isOverloaded(execution.request().rules(), concurrencyLimit.limit(nowNanos), nowNanos);
+                && estimator.isOverloaded(execution.request().rules(), concurrency.limit(nowNanos), nowNanos);
     }
 
-    /** Answers those whose deadline has passed, and stops calls that nobody waits for or that hold up a release. */
+    /** Answers requests whose deadline has passed; cancels overdue calls without waiters or in a released range. */
     void expire(RangeService rangeService, long nowNanos) {
         for (Execution execution : List.copyOf(requestTable.active())) {
             boolean overdue = nowNanos - execution.deadlineNanos() >= 0;
@@ -370,12 +371,12 @@
                 finishQueued(
                         execution,
                         CallerAnswer.retryLater(
-                                ResultCode.OVERLOADED, "it cannot be served in the time left", retryAfterMs(nowNanos)));
+                                ResultCode.OVERLOADED, "the request cannot finish in time", retryAfterMs(nowNanos)));
                 continue;
             }
             if (execution.state() == State.QUEUED && overdue) {
                 finishQueued(
-                        execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline passed in the queue"));
+                        execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline expired in the queue"));
                 continue;
             }
             ResultCode code = execution.state() == State.QUEUED
@@ -394,7 +395,7 @@
         }
     }
 
-    /** Answers the waiting requests that no served range contains. */
+    /** Refuses the queued requests whose key is in no served range. */
     void refuseUnservedRanges() {
         if (context.serviceConfig().keyed()) {
             for (Execution execution :
@@ -419,6 +420,7 @@
         answerAll(execution, answer);
     }
 
+    /** Number of running calls at the address of the attached backend server. */
     private int occupiedSlots() {
         if (backend == null) {
             return 0;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
@@ -18,13 +18,14 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * What the gate knows of request ids and idempotency keys; decides whether a request may be admitted.
+ * Active and finished executions by request id and idempotency key; detects requests that must not be executed again.
  *
- * <p>Invariant: an id or idempotency key that has an active execution, or a kept answer with outcome RUN or UNKNOWN,
- * leads to no other execution. Answers with outcome NOT_RUN are not kept, so a later attempt may run; an outcome query
- * then bars the id, so that what it reported stays true. Not thread safe.
+ * <p>Invariant: a request id or idempotency key that has an active execution, or a record with outcome RUN or UNKNOWN, is
+ * not executed again. Answers with outcome NOT_RUN are not recorded, so a later attempt may run. An outcome query bars the
+ * id in this case, so that the reported outcome stays true. Not thread safe.
  */
 public final class RequestTable {
+    /** An idempotency key together with the key hash of its request, which is its scope. */
     private record ScopedKey(KeyHash hash, IdempotencyKey key) {}
 
     private final RecordTable records;
@@ -40,7 +41,12 @@
         this.executedIds = executedIds;
     }
 
-    /** What the table says to a submitted request; both parts are empty for a request that it does not know. */
+    /**
+     * Result of a lookup. Both components are empty for a new request.
+     *
+     * @param running active execution whose answer the request shares
+     * @param answer final answer to the request
+     */
     public record Lookup(Optional<Execution> running, Optional<CallerAnswer> answer) {
         private static final Lookup NEW = new Lookup(Optional.empty(), Optional.empty());
 
@@ -57,7 +63,7 @@
         }
     }
 
-    /** Finds the execution or the answer that a request shares with an earlier one. */
+    /** Finds the active execution or the answer that a request shares with an earlier request. */
     public Lookup lookup(CallerRequest request, KeyHash hash, long requestDigest, long nowNanos) {
         Execution activeExecution = activeById.get(request.id());
         if (activeExecution != null) {
@@ -65,27 +71,34 @@
         }
         Optional<StoredRecord> stored = records.find(request.id());
         if (stored.isPresent()) {
-            return stored.get().isSameRequest(hash, requestDigest) ? Lookup.of(stored.get().answer()) : requestIdReused();
+            return stored.get().isSameRequest(hash, requestDigest)
+                    ? Lookup.of(stored.get().answer())
+                    : requestIdReused();
         }
         Optional<ReportedOutcome> reportedOutcome = barredIds.find(request.id());
         if (reportedOutcome.equals(Optional.of(ReportedOutcome.NOT_RUN))) {
-            return Lookup.of(ResultCode.BARRED, "the request id was barred");
+            return Lookup.of(ResultCode.BARRED, "the request id was barred after an outcome query");
         }
         if (reportedOutcome.isPresent()) {
-            return Lookup.of(ResultCode.OUTCOME_UNKNOWN, "the request id was barred; it may have been executed before");
+            return Lookup.of(
+                    ResultCode.OUTCOME_UNKNOWN, "the request id was barred; the request may have been executed before");
         }
         if (records.wasEvicted(request.id())) {
-            return Lookup.of(ResultCode.OUTCOME_UNKNOWN, "the request was executed; its answer is not kept any more");
+            return Lookup.of(
+                    ResultCode.OUTCOME_UNKNOWN, "the request was executed, but its answer is not available any more");
         }
         return request.idempotencyKey()
                 .map(key -> lookupByKey(request, key, hash, requestDigest, nowNanos))
                 .orElse(Lookup.NEW);
     }
 
-    private Lookup lookupByKey(CallerRequest request, IdempotencyKey key, KeyHash hash, long requestDigest, long nowNanos) {
+    private Lookup lookupByKey(
+            CallerRequest request, IdempotencyKey key, KeyHash hash, long requestDigest, long nowNanos) {
         Execution activeExecution = activeByKey.get(new ScopedKey(hash, key));
         if (activeExecution != null) {
-            return activeExecution.requestDigest() == requestDigest ? Lookup.of(activeExecution) : idempotencyKeyReused();
+            return activeExecution.requestDigest() == requestDigest
+                    ? Lookup.of(activeExecution)
+                    : idempotencyKeyReused();
         }
         Optional<StoredRecord> stored = records.find(hash, key);
         if (stored.isEmpty()) {
@@ -95,7 +108,15 @@
         if (first.requestDigest() != requestDigest) {
             return idempotencyKeyReused();
         }
-        records.put(new StoredRecord(request.id(), first.idempotencyKey(), hash, requestDigest, first.answer(), first.createdAtNanos()), nowNanos);
+        records.put(
+                new StoredRecord(
+                        request.id(),
+                        first.idempotencyKey(),
+                        hash,
+                        requestDigest,
+                        first.answer(),
+                        first.createdAtNanos()),
+                nowNanos);
         return Lookup.of(first.answer());
     }
 
@@ -104,9 +125,11 @@
     }
 
     private static Lookup idempotencyKeyReused() {
-        return Lookup.of(ResultCode.IDEMPOTENCY_KEY_REUSED, "the key was used before for a different request");
+        return Lookup.of(
+                ResultCode.IDEMPOTENCY_KEY_REUSED, "the idempotency key was used before for a different request");
     }
 
+    /** Adds an admitted execution. */
     public void add(Execution execution) {
         active.add(execution);
         activeById.put(execution.request().id(), execution);
@@ -116,21 +139,23 @@
                 .ifPresent(key -> activeByKey.put(new ScopedKey(execution.hash(), key), execution));
     }
 
-    /** Adds a waiter and makes its id known. */
+    /** Adds a waiter to an execution and registers the waiter's request id. */
     public void addWaiter(Execution execution, Execution.Waiter waiter) {
         execution.addWaiter(waiter);
         activeById.put(waiter.id(), execution);
     }
 
+    /** Returns the active execution of a request id. */
     public Optional<Execution> active(RequestId id) {
         return Optional.ofNullable(activeById.get(id));
     }
 
+    /** Returns all active executions. */
     public Collection<Execution> active() {
         return active;
     }
 
-    /** Ends an execution and keeps its answer if it must not run again. */
+    /** Removes an active execution, and records its answer if the request must not run again. */
     public void finish(Execution execution, CallerAnswer answer, long nowNanos) {
         active.remove(execution);
         execution.requestIds().forEach(activeById::remove);
@@ -142,7 +167,9 @@
         for (RequestId id : execution.requestIds()) {
             executedIds.add(id);
             if (execution.isAtMostOnce()) {
-                records.put(new StoredRecord(id, key, execution.hash(), execution.requestDigest(), answer, nowNanos), nowNanos);
+                records.put(
+                        new StoredRecord(id, key, execution.hash(), execution.requestDigest(), answer, nowNanos),
+                        nowNanos);
             }
         }
     }
@@ -151,14 +178,14 @@
      * Answers an outcome query.
      *
      * <ul>
-     *   <li>FINISHED: a kept answer, with outcome RUN or UNKNOWN.
-     *   <li>RUNNING: queued or at the backend server, even if the callers got their answer at the deadline.
-     *   <li>BARRED: not executed, and from now on refused.
-     *   <li>UNKNOWN: executed without a kept answer, or the memory of the gate does not reach back. The id is barred
-     *       too, so a later query gets the same answer.
+     *   <li>FINISHED: the gate has a record of the answer, with outcome RUN or UNKNOWN.
+     *   <li>RUNNING: the request is queued or runs at the backend server, even if its callers were answered at the deadline.
+     *   <li>BARRED: the request was not executed and is refused from now on.
+     *   <li>UNKNOWN: the request was executed but its answer is not available, or the history of the gate is incomplete.
+     *       The id is barred too, so that later queries get the same answer.
      * </ul>
      *
-     * @param historyComplete whether the gate has seen each request that the query can be about
+     * @param historyComplete whether the gate has received every request that the query can refer to
      */
     public OutcomeAnswer resolve(RequestId id, boolean historyComplete, long nowNanos) {
         if (activeById.containsKey(id)) {
@@ -171,7 +198,9 @@
         Optional<ReportedOutcome> earlierReport = barredIds.find(id);
         if (earlierReport.isPresent()) {
             return OutcomeAnswer.of(
-                    earlierReport.get() == ReportedOutcome.NOT_RUN ? OutcomeAnswer.State.BARRED : OutcomeAnswer.State.UNKNOWN);
+                    earlierReport.get() == ReportedOutcome.NOT_RUN
+                            ? OutcomeAnswer.State.BARRED
+                            : OutcomeAnswer.State.UNKNOWN);
         }
         boolean notRun = historyComplete && !records.wasEvicted(id) && !executedIds.mayContain(id);
         boolean barred = barredIds.bar(id, notRun ? ReportedOutcome.NOT_RUN : ReportedOutcome.UNKNOWN, nowNanos);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/package-info.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/package-info.java
@@ -1,2 +1,2 @@
-/** The owner gate: the only path from the system to the local backend server. */
+/** The owner gate: the only component of a daemon that sends requests to the local backend server. */
 package org.coriandercrank.gate;
