--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -51,22 +51,25 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
 
-/** Stand-ins of the other parts in one process: store, views, links and gates. Thread safe. */
+/**
+ * Fakes of the components that placement depends on, for several daemons in one process: store, routing views, peer
+ * connections and owner gates. Thread safe.
+ */
 final class FakeDaemons {
     final Store store = new Store();
     final Map<MemberId, Gate> gates = new ConcurrentHashMap<>();
-    private final Map<MemberId, PeerHandlers> handlers = new ConcurrentHashMap<>();
+    private final Map<MemberId, PeerHandlers> handlersByMember = new ConcurrentHashMap<>();
 
     PlacementContext context(MemberId self, TimerService timers) {
-        PeerHandlers own = new PeerHandlers();
-        handlers.put(self, own);
+        PeerHandlers ownHandlers = new PeerHandlers();
+        handlersByMember.put(self, ownHandlers);
         gates.put(self, new Gate());
         return new PlacementContext(
                 self,
                 store,
                 new View(self),
                 new Peers(self),
-                own,
+                ownHandlers,
                 timers,
                 new DecisionLog(0, MonotonicClock.SYSTEM),
                 new SimpleMeterRegistry(),
@@ -85,13 +88,13 @@
     AssignmentTable table() {
         return store.get(ObjectNames.assignments(TestFleet.SERVICE))
                 .join()
-                .map(o -> TableCodec.decode(o.value()))
+                .map(object -> TableCodec.decode(object.value()))
                 .orElse(AssignmentTable.empty(TestFleet.SERVICE));
     }
 
     /**
-     * An object store in memory; each write tells the views. One write of a planner in four takes effect without an
-     * answer.
+     * An in-memory object store; each write notifies the views. Every fourth write of a planner takes effect, but fails
+     * as unanswered.
      */
     static final class Store implements ObjectStore {
         private final Map<String, StoredObject> objects = new TreeMap<>();
@@ -117,8 +120,8 @@
             Revision written;
             boolean unanswered;
             synchronized (this) {
-                StoredObject old = objects.get(name);
-                if (!expected.equals(old == null ? Revision.NONE : old.revision())) {
+                StoredObject existing = objects.get(name);
+                if (!expected.equals(existing == null ? Revision.NONE : existing.revision())) {
                     return CompletableFuture.failedFuture(new CrankException(ResultCode.REVISION_CONFLICT, name));
                 }
                 written = new Revision(++revision);
@@ -150,6 +153,7 @@
         public void close() {}
     }
 
+    /** Computes snapshots from the current content of the store. */
     private final class View implements RoutingView {
         private final MemberId self;
 
@@ -181,10 +185,12 @@
 
         @Override
         public CompletableFuture<RoutingSnapshot> await(Predicate<RoutingSnapshot> condition, long waitMs) {
-            return CompletableFuture.failedFuture(new CrankException(ResultCode.CALL_TIMEOUT, "not used"));
+            return CompletableFuture.failedFuture(
+                    new CrankException(ResultCode.CALL_TIMEOUT, "await is not supported by this fake"));
         }
     }
 
+    /** Calls the handlers of other daemons directly; messages without an answer are lost. */
     private final class Peers implements PeerClient {
         private final MemberId self;
 
@@ -195,7 +201,8 @@
         @Override
         public <A extends Message> CompletableFuture<A> call(
                 PeerTarget target, Message message, Class<A> answerType, long timeoutMs) {
-            return handlers.get(target.member())
+            return handlersByMember
+                    .get(target.member())
                     .find(message)
                     .orElseThrow()
                     .handle(self, message)
@@ -206,7 +213,7 @@
         public void send(PeerTarget target, Message message) {}
     }
 
-    /** A gate that only notes what it serves. */
+    /** A gate that only records which ranges it serves. */
     static final class Gate implements OwnerGate {
         private List<RangeLoad> serving = new ArrayList<>();
 
@@ -226,9 +233,9 @@
 
         private void remove(KeyRange range) {
             List<RangeLoad> next = new ArrayList<>();
-            for (RangeLoad s : serving) {
-                KeyRanges.subtract(s.range(), List.of(range))
-                        .forEach(r -> next.add(new RangeLoad(r, s.fence(), true, 0, List.of())));
+            for (RangeLoad load : serving) {
+                KeyRanges.subtract(load.range(), List.of(range))
+                        .forEach(part -> next.add(new RangeLoad(part, load.fence(), true, 0, List.of())));
             }
             serving = next;
         }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
@@ -20,14 +20,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Planner and range ownership of four daemons together, over stand-ins of the other parts. */
+/** Tests the planner and range ownership of four daemons together, with fakes of all other components. */
 final class PlacementTest {
-    private static final long WAIT_MS = 10_000;
-    private static final PlannerOptions OPTIONS = new PlannerOptions(100, 400, 50, 1_000, 3, 20, 200, 200, 150, 60_000);
+    private static final long TIMEOUT_MS = 10_000;
+    private static final PlannerOptions PLANNER_OPTIONS = new PlannerOptions(
+            /* renewIntervalMs= */ 100,
+            /* roleTimeoutMs= */ 400,
+            /* rankDelayMs= */ 50,
+            /* slowReadIntervalMs= */ 1_000,
+            /* fastReaders= */ 3,
+            /* tickIntervalMs= */ 20,
+            /* firstTableDelayMs= */ 200,
+            /* loadQueryIntervalMs= */ 200,
+            /* loadQueryTimeoutMs= */ 150,
+            /* sealedRetentionMs= */ 60_000);
 
     private final FakeDaemons daemons = new FakeDaemons();
     private final SystemTimerService timers = new SystemTimerService();
-    private final List<AutoCloseable> parts = new ArrayList<>();
+    private final List<AutoCloseable> components = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
 
     @BeforeEach
@@ -46,22 +56,25 @@
         PlacementContext context = daemons.context(member.id(), timers);
         RangeOwnership ownership = new RangeOwnership(
                 context, () -> Long.MAX_VALUE / 2, daemons.gates.get(member.id()), RangeOwnershipOptions.DEFAULTS);
-        Planner planner = new Planner(context, PluginRegistry.load(), OPTIONS);
+        Planner planner = new Planner(context, PluginRegistry.load(), PLANNER_OPTIONS);
         ownership.start();
         planner.start();
-        parts.add(planner);
-        parts.add(ownership);
+        components.add(planner);
+        components.add(ownership);
     }
 
     @AfterEach
     void stop() throws Exception {
-        for (AutoCloseable part : parts) {
-            part.close();
+        for (AutoCloseable component : components) {
+            component.close();
         }
         timers.close();
     }
 
-    /** Guards against keys that stay without an owner after a loss, and against moves of healthy ranges. */
+    /**
+     * Guards against keys that stay without an owner after the loss of a member, and against moves of ranges of other
+     * members.
+     */
     @Test
     void takesOverRangesOfASealedMember() {
         List<RangeAssignment> before = daemons.table().assignments();
@@ -80,7 +93,7 @@
         }
     }
 
-    /** Guards against a leaving member that keeps ranges, and a joining one that gets none. */
+    /** Guards against a leaving member that keeps ranges, and against a joining member that gets none. */
     @Test
     void movesRangesOnLeaveAndJoin() {
         daemons.write(members.get(1).withState(MemberState.LEAVING));
@@ -92,9 +105,12 @@
         awaitServed();
     }
 
-    /** Guards against ranges of a withdrawn service that stay served, and a table that starts again at generation 1. */
+    /**
+     * Guards against ranges of a withdrawn service that stay served, and against a table that starts at generation 1
+     * when the service is added again.
+     */
     @Test
-    void withdrawsAndAddsAgain() {
+    void reassignsRangesAfterWithdrawal() {
         daemons.write(ObjectNames.CONFIGURATION, JsonCodec.encode(Configuration.EMPTY));
         await(() -> daemons.table().assignments().isEmpty()
                 && daemons.gates.values().stream().allMatch(g -> g.loads().isEmpty()));
@@ -121,10 +137,10 @@
     }
 
     private void await(BooleanSupplier condition) {
-        long deadlineMs = timers.clock().nowMs() + WAIT_MS;
+        long deadlineMs = timers.clock().nowMs() + TIMEOUT_MS;
         while (!condition.getAsBoolean()) {
             assertThat(timers.clock().nowMs())
-                    .as("time limit, table %s", daemons.table())
+                    .as("timeout, table %s", daemons.table())
                     .isLessThan(deadlineMs);
             try {
                 Thread.sleep(5);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/TestFleet.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/TestFleet.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 
-/** Members and configurations for tests. Stateless. */
+/** Creates members and configurations for tests. Stateless. */
 public final class TestFleet {
     public static final ServiceName SERVICE = new ServiceName("counter-desk");
     private static final HostAddress ADDRESS = new HostAddress("127.0.0.1", 0);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
@@ -10,28 +10,32 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 import org.coriandercrank.kernel.table.RangeAssignment;
 
-/** Checks of one step from a table to the next. Stateless. */
+/** Assertions on the transition from one table to the next. Stateless. */
 final class OwnershipChecks {
     private OwnershipChecks() {}
 
-    /** Guards against a fence that goes back, holes in the table, and a takeover that moves ranges of healthy members. */
-    static void checkNext(AssignmentTable old, TablePlanner.Decision decision, Set<MemberId> gone) {
+    /**
+     * Guards against a decreasing fence, gaps in the table, and a takeover that moves ranges of members that are not
+     * lost.
+     */
+    static void assertValidTransition(AssignmentTable previous, TablePlanner.Decision decision, Set<MemberId> removed) {
         AssignmentTable next = decision.table();
-        assertThat(next.generation().value()).isEqualTo(old.generation().value() + 1);
+        assertThat(next.generation().value()).isEqualTo(previous.generation().value() + 1);
         List<KeyRange> covered =
                 next.assignments().stream().map(RangeAssignment::range).toList();
         if (decision.kind() != TablePlanner.Kind.WITHDRAW) {
             assertThat(KeyRanges.subtract(KeyRange.ALL, covered)).isEmpty();
         }
-        for (RangeAssignment a : next.assignments()) {
-            for (RangeAssignment b : old.assignments()) {
-                if (!a.range().overlaps(b.range())) {
+        for (RangeAssignment assignment : next.assignments()) {
+            for (RangeAssignment previousAssignment : previous.assignments()) {
+                if (!assignment.range().overlaps(previousAssignment.range())) {
                     continue;
                 }
-                boolean sameOwner = a.owner().equals(b.owner());
-                assertThat(a.fence().compareTo(b.fence())).isGreaterThanOrEqualTo(sameOwner ? 0 : 1);
-                if (!sameOwner && !gone.contains(b.owner())) {
-                    assertThat(a.previousOwners()).contains(b.owner());
+                boolean sameOwner = assignment.owner().equals(previousAssignment.owner());
+                assertThat(assignment.fence().compareTo(previousAssignment.fence()))
+                        .isGreaterThanOrEqualTo(sameOwner ? 0 : 1);
+                if (!sameOwner && !removed.contains(previousAssignment.owner())) {
+                    assertThat(assignment.previousOwners()).contains(previousAssignment.owner());
                     assertThat(decision.kind()).isNotEqualTo(TablePlanner.Kind.TAKEOVER);
                 }
             }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -28,25 +28,39 @@
 import org.coriandercrank.placement.TestFleet;
 
 /**
- * Members with fake gates, a network that loses, delays and duplicates, and two planners that act on old knowledge.
+ * A model of members with fake gates, of a network that loses, delays and duplicates messages, and of two planners, one
+ * of which decides on outdated tables and members.
  *
- * <p>A gate counts as serving from the call of acquire until its release completes or its member is sealed.
+ * <p>A gate counts as serving a range from the call of acquire until its release completes or its member is sealed.
  */
 final class OwnershipModel {
+    /**
+     * A range in a fake gate.
+     *
+     * @param confirmed whether acquiring the range has completed
+     */
     record Served(KeyRange range, Generation fence, boolean confirmed) {}
 
-    private static final long LINGER_MS = 5;
+    private static final long RELEASE_GRACE_MS = 5;
 
-    /** A daemon: its state machine, fake gate and the table that it knows. */
+    /**
+     * A daemon: its state machine, the ranges that its fake gate serves and the index of the latest table it received.
+     */
     private static final class Daemon {
         final MemberId id;
         final OwnershipState state;
-        final List<Served> gate = new ArrayList<>();
-        int knownTable;
+        final List<Served> servedRanges = new ArrayList<>();
+        int knownTableIndex;
 
         Daemon(MemberId id) {
             this.id = id;
-            state = new OwnershipState(id, TestFleet.SERVICE, 1, 4, LINGER_MS, 1_000);
+            state = new OwnershipState(
+                    id,
+                    TestFleet.SERVICE,
+                    /* minRetryDelayMs= */ 1,
+                    /* maxRetryDelayMs= */ 4,
+                    RELEASE_GRACE_MS,
+                    /* maxRetainedRecords= */ 1_000);
         }
     }
 
@@ -58,7 +72,7 @@
     private final Map<MemberId, LoadReport> reports = new HashMap<>();
     private final List<Runnable> events = new ArrayList<>();
     private Configuration configuration = TestFleet.configuration();
-    private boolean faults = true;
+    private boolean faultsEnabled = true;
     private long nowMs;
 
     OwnershipModel(long seed, int size) {
@@ -74,22 +88,22 @@
         daemons.put(member.id(), new Daemon(member.id()));
     }
 
-    AssignmentTable newest() {
+    AssignmentTable newestTable() {
         return tables.get(tables.size() - 1);
     }
 
     void randomStep() {
         nowMs++;
         switch (random.nextInt(12)) {
-            case 0, 1 -> plan(newest(), sealed);
-            case 2 -> plan(tables.get(random.nextInt(tables.size())), knownPart(sealed));
+            case 0, 1 -> planOnce(newestTable(), sealed);
+            case 2 -> planOnce(tables.get(random.nextInt(tables.size())), randomSubset(sealed));
             case 3 -> changeMembers();
-            case 4 -> collectReport(pickDaemon());
+            case 4 -> collectReport(randomDaemon());
             case 5 -> configuration = random.nextInt(4) == 0 ? Configuration.EMPTY : TestFleet.configuration();
             default -> {
-                Daemon daemon = daemons.get(pickDaemon());
-                daemon.knownTable = Math.max(daemon.knownTable, random.nextInt(tables.size()));
-                poll(daemon);
+                Daemon daemon = daemons.get(randomDaemon());
+                daemon.knownTableIndex = Math.max(daemon.knownTableIndex, random.nextInt(tables.size()));
+                pollActions(daemon);
             }
         }
         for (int i = random.nextInt(3); i > 0 && !events.isEmpty(); i--) {
@@ -97,18 +111,18 @@
         }
     }
 
-    /** Ends all faults and changes, and runs until nothing is left to do. */
-    void settle() {
-        faults = false;
+    /** Stops all faults and membership changes, and runs until nothing is left to do. */
+    void runUntilIdle() {
+        faultsEnabled = false;
         configuration = TestFleet.configuration();
         for (int round = 0; round < 200; round++) {
             nowMs += 10;
             if (round == 100) {
-                plan(newest(), sealed);
+                planOnce(newestTable(), sealed);
             }
             daemons.values().forEach(d -> {
-                d.knownTable = tables.size() - 1;
-                poll(d);
+                d.knownTableIndex = tables.size() - 1;
+                pollActions(d);
             });
             while (!events.isEmpty()) {
                 events.remove(random.nextInt(events.size())).run();
@@ -116,24 +130,24 @@
         }
     }
 
-    private Set<MemberId> knownPart(Set<MemberId> all) {
+    private Set<MemberId> randomSubset(Set<MemberId> all) {
         Set<MemberId> known = new HashSet<>(all);
         known.removeIf(m -> random.nextBoolean());
         return known;
     }
 
-    private MemberId pickDaemon() {
+    private MemberId randomDaemon() {
         List<MemberId> ids = List.copyOf(daemons.keySet());
         return ids.get(random.nextInt(ids.size()));
     }
 
     private void changeMembers() {
-        int alive = members.size() - sealed.size();
-        if (random.nextInt(3) == 0 && alive > 1) {
-            MemberId lost = pickDaemon();
-            sealed.add(lost);
-            daemons.get(lost).gate.clear();
-        } else if (alive < 6 && members.size() < 40) {
+        int unsealedCount = members.size() - sealed.size();
+        if (random.nextInt(3) == 0 && unsealedCount > 1) {
+            MemberId sealedMember = randomDaemon();
+            sealed.add(sealedMember);
+            daemons.get(sealedMember).servedRanges.clear();
+        } else if (unsealedCount < 6 && members.size() < 40) {
             join();
         }
     }
@@ -143,20 +157,23 @@
         if (sealed.contains(id)) {
             return;
         }
-        List<RangeLoad> ranges = daemon.gate.stream()
+        List<RangeLoad> ranges = daemon.servedRanges.stream()
                 .map(s -> new RangeLoad(s.range, s.fence, s.confirmed, 1, List.of()))
                 .toList();
         LoadReport report = new LoadReport(id, TestFleet.SERVICE, daemon.state.appliedGeneration(), ranges);
         events.add(() -> reports.put(id, report));
     }
 
-    /** One planner: decides on a table that may be old, and writes only if the store still has that table. */
-    private void plan(AssignmentTable known, Set<MemberId> gone) {
+    /**
+     * Runs a planner once: it decides on a table that may be outdated, and writes only if the store still has this
+     * table.
+     */
+    private void planOnce(AssignmentTable knownTable, Set<MemberId> removed) {
         TablePlanner.View view =
-                new TablePlanner.View(configuration, members, gone, known, reports, nowMs, 0, nowMs, 0);
+                new TablePlanner.View(configuration, members, removed, knownTable, reports, nowMs, 0, nowMs, 0);
         Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(view);
-        if (decision.isPresent() && known.generation().equals(newest().generation())) {
-            OwnershipChecks.checkNext(newest(), decision.get(), gone);
+        if (decision.isPresent() && knownTable.generation().equals(newestTable().generation())) {
+            OwnershipChecks.assertValidTransition(newestTable(), decision.get(), removed);
             tables.add(decision.get().table());
         }
     }
@@ -180,86 +197,88 @@
         return placed;
     }
 
-    private void poll(Daemon daemon) {
-        daemon.state.applyTable(tables.get(daemon.knownTable));
+    private void pollActions(Daemon daemon) {
+        daemon.state.applyTable(tables.get(daemon.knownTableIndex));
         for (OwnershipAction action : daemon.state.poll(nowMs, sealed::contains)) {
             if (action instanceof OwnershipAction.Acquire acquire) {
                 startAcquire(daemon, acquire);
             } else if (action instanceof OwnershipAction.Release release) {
                 events.add(() -> finishRelease(daemon, release));
-            } else if (action instanceof OwnershipAction.RequestRelease ask) {
-                ask(daemon, ask);
+            } else if (action instanceof OwnershipAction.RequestRelease requestRelease) {
+                sendReleaseRequest(daemon, requestRelease);
             }
         }
     }
 
-    private boolean isDead(Daemon daemon) {
+    private boolean isSealed(Daemon daemon) {
         return sealed.contains(daemon.id);
     }
 
     private void startAcquire(Daemon daemon, OwnershipAction.Acquire action) {
-        if (!isDead(daemon)) {
-            replace(daemon, action.range(), new Served(action.range(), action.fence(), false));
+        if (!isSealed(daemon)) {
+            replaceServed(daemon, action.range(), new Served(action.range(), action.fence(), false));
         }
         events.add(() -> {
-            if (faults && random.nextInt(5) == 0) {
+            if (faultsEnabled && random.nextInt(5) == 0) {
                 daemon.state.acquireFailed(action, nowMs);
                 return;
             }
-            if (!isDead(daemon)) {
-                replace(daemon, action.range(), new Served(action.range(), action.fence(), true));
+            if (!isSealed(daemon)) {
+                replaceServed(daemon, action.range(), new Served(action.range(), action.fence(), true));
             }
             daemon.state.acquireCompleted(action);
         });
     }
 
     private void finishRelease(Daemon daemon, OwnershipAction.Release release) {
-        if (faults && random.nextInt(5) == 0) {
+        if (faultsEnabled && random.nextInt(5) == 0) {
             daemon.state.releaseFailed(release, nowMs);
             return;
         }
-        replace(daemon, release.range(), null);
+        replaceServed(daemon, release.range(), null);
         daemon.state.releaseCompleted(release, TransferredRecords.NONE, nowMs);
     }
 
-    private static void replace(Daemon daemon, KeyRange range, Served served) {
+    private static void replaceServed(Daemon daemon, KeyRange range, Served served) {
         List<Served> next = new ArrayList<>();
-        for (Served s : daemon.gate) {
-            KeyRanges.subtract(s.range, List.of(range)).forEach(r -> next.add(new Served(r, s.fence, s.confirmed)));
+        for (Served s : daemon.servedRanges) {
+            KeyRanges.subtract(s.range, List.of(range))
+                    .forEach(remaining -> next.add(new Served(remaining, s.fence, s.confirmed)));
         }
         if (served != null) {
             next.add(served);
         }
-        daemon.gate.clear();
-        daemon.gate.addAll(next);
+        daemon.servedRanges.clear();
+        daemon.servedRanges.addAll(next);
     }
 
-    private void ask(Daemon daemon, OwnershipAction.RequestRelease ask) {
-        if (faults && random.nextInt(4) == 0) {
-            events.add(() -> daemon.state.releaseRequestFailed(ask, nowMs));
+    private void sendReleaseRequest(Daemon daemon, OwnershipAction.RequestRelease requestRelease) {
+        if (faultsEnabled && random.nextInt(4) == 0) {
+            events.add(() -> daemon.state.releaseRequestFailed(requestRelease, nowMs));
         }
-        int copies = faults ? 1 + random.nextInt(2) : 1;
-        ReleaseRequest request = new ReleaseRequest(daemon.id, TestFleet.SERVICE, ask.range(), ask.fence());
+        int copies = faultsEnabled ? 1 + random.nextInt(2) : 1;
+        ReleaseRequest request =
+                new ReleaseRequest(daemon.id, TestFleet.SERVICE, requestRelease.range(), requestRelease.fence());
         for (int i = 0; i < copies; i++) {
             events.add(() -> {
-                Daemon previous = daemons.get(ask.previousOwner());
+                Daemon previous = daemons.get(requestRelease.previousOwner());
                 var answer = previous.state.handleReleaseRequest(request, nowMs);
                 events.add(() -> {
-                    if (answer.isPresent() && !(faults && random.nextInt(4) == 0)) {
-                        daemon.state.releaseRequestAnswered(ask, answer.get(), nowMs);
+                    if (answer.isPresent() && !(faultsEnabled && random.nextInt(4) == 0)) {
+                        daemon.state.releaseRequestAnswered(requestRelease, answer.get(), nowMs);
                     } else {
-                        daemon.state.releaseRequestFailed(ask, nowMs);
+                        daemon.state.releaseRequestFailed(requestRelease, nowMs);
                     }
                 });
             });
         }
     }
 
-    /** Ranges that two members serve, or one member twice; empty if there are none. */
+    /** Describes the hashes that are served twice, by two members or by the same member. */
     List<String> conflicts() {
         List<String> conflicts = new ArrayList<>();
         List<Map.Entry<MemberId, Served>> all = new ArrayList<>();
-        daemons.forEach((id, d) -> d.gate.forEach(s -> all.add(Map.entry(id, s))));
+        daemons.forEach((id, d) -> d.servedRanges.forEach(s -> all.add(Map.entry(id, s))));
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
                 if (all.get(i).getValue().range.overlaps(all.get(j).getValue().range)) {
@@ -270,16 +289,16 @@
         return conflicts;
     }
 
-    /** Assigned ranges that their owner does not serve although it could. */
+    /** Describes the assigned ranges that their owner does not serve completely. */
     List<String> unserved() {
         List<String> unserved = new ArrayList<>();
-        for (RangeAssignment a : newest().assignments()) {
-            List<KeyRange> served = daemons.get(a.owner()).gate.stream()
+        for (RangeAssignment assignment : newestTable().assignments()) {
+            List<KeyRange> served = daemons.get(assignment.owner()).servedRanges.stream()
                     .filter(Served::confirmed)
                     .map(Served::range)
                     .toList();
-            if (!KeyRanges.subtract(a.range(), served).isEmpty()) {
-                unserved.add(a.toString());
+            if (!KeyRanges.subtract(assignment.range(), served).isEmpty()) {
+                unserved.add(assignment.toString());
             }
         }
         return unserved;
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -22,23 +22,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fault cases of the ownership of ranges. */
+/** Tests the ownership of ranges under faults. */
 final class OwnershipStateTest {
     private static final MemberId A = new MemberId("a");
     private static final MemberId B = new MemberId("b");
     private static final MemberId C = new MemberId("c");
     private static final KeyRange LOW = new KeyRange(KeyHash.MIN, new KeyHash(99));
     private static final KeyRange HIGH = new KeyRange(new KeyHash(100), KeyHash.MAX);
-    private static final long KEPT_MS = 5_000;
+    private static final long COMPLETE_FOR_MS = 5_000;
 
-    private final OwnershipState state = new OwnershipState(A, TestFleet.SERVICE, 1, 4, 0, 100);
+    private final OwnershipState state = new OwnershipState(
+            A,
+            TestFleet.SERVICE,
+            /* minRetryDelayMs= */ 1,
+            /* maxRetryDelayMs= */ 4,
+            /* releaseGraceMs= */ 0,
+            /* maxRetainedRecords= */ 100);
 
     private static AssignmentTable table(long generation, RangeAssignment... assignments) {
         return new AssignmentTable(TestFleet.SERVICE, new Generation(generation), List.of(assignments));
     }
 
-    private static RangeAssignment range(KeyRange range, MemberId owner, long fence, MemberId... previous) {
-        return new RangeAssignment(range, owner, new Generation(fence), List.of(previous));
+    private static RangeAssignment assignment(KeyRange range, MemberId owner, long fence, MemberId... previousOwners) {
+        return new RangeAssignment(range, owner, new Generation(fence), List.of(previousOwners));
     }
 
     private static ReleaseRequest request(MemberId requester, KeyRange range, long generation) {
@@ -49,70 +55,79 @@
         return state.poll(1_000, Set.of(sealed)::contains);
     }
 
-    private void serveAllFromGenerationOne() {
-        state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
+    private void serveWholeSpaceUnderGenerationOne() {
+        state.applyTable(table(1, assignment(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
         assertThat(acquire.transferred()).isEqualTo(TransferredRecords.NEVER_OWNED);
         state.acquireCompleted(acquire);
     }
 
-    private void finishRelease(KeyRange range) {
+    private void completeRelease(KeyRange range) {
         assertThat(poll()).containsExactly(new OwnershipAction.Release(range));
-        state.releaseCompleted(new OwnershipAction.Release(range), new TransferredRecords(KEPT_MS, List.of()), 1_000);
+        state.releaseCompleted(
+                new OwnershipAction.Release(range), new TransferredRecords(COMPLETE_FOR_MS, List.of()), 1_000);
     }
 
-    /** Guards against an old table that makes a daemon serve a range again which it released to a newer owner. */
+    /**
+     * Guards against an old table that makes a daemon acquire a range again after it released the range to a newer
+     * owner.
+     */
     @Test
-    void staysReleasedUntilTheTableIsAsNew() {
-        serveAllFromGenerationOne();
+    void doesNotReacquireBeforeTableReachesRequestGeneration() {
+        serveWholeSpaceUnderGenerationOne();
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
                 .isEmpty();
-        finishRelease(KeyRange.ALL);
+        completeRelease(KeyRange.ALL);
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
                 .isPresent();
-        state.applyTable(table(4, range(KeyRange.ALL, A, 4)));
+        state.applyTable(table(4, assignment(KeyRange.ALL, A, 4)));
         assertThat(poll()).isEmpty();
-        state.applyTable(table(6, range(KeyRange.ALL, A, 6, B)));
+        state.applyTable(table(6, assignment(KeyRange.ALL, A, 6, B)));
         assertThat(poll()).containsExactly(new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(6), B));
     }
 
-    /** Guards against a daemon that never served a range and acquires it after it has answered. */
+    /**
+     * Guards against a daemon that acquires a range on the basis of an old table after it answered a newer release
+     * request for the range, which it had never served.
+     */
     @Test
-    void keepsThePromiseForARangeNeverServed() {
+    void doesNotAcquireUnservedRangeAfterAnsweringRequest() {
         assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000)
                         .orElseThrow()
                         .recordsCompleteForMs())
                 .isEqualTo(ReleaseAnswer.NOT_SERVED);
-        state.applyTable(table(3, range(KeyRange.ALL, A, 3)));
+        state.applyTable(table(3, assignment(KeyRange.ALL, A, 3)));
         assertThat(poll()).singleElement().extracting("range").isEqualTo(HIGH);
     }
 
-    /** Guards against a stale requester that takes a range from its newer owner. */
+    /** Guards against a stale release request that takes a range from its newer owner. */
     @Test
-    void refusesAStaleRequest() {
-        serveAllFromGenerationOne();
-        state.applyTable(table(7, range(KeyRange.ALL, A, 7)));
+    void refusesStaleReleaseRequest() {
+        serveWholeSpaceUnderGenerationOne();
+        state.applyTable(table(7, assignment(KeyRange.ALL, A, 7)));
         assertThat(state.handleReleaseRequest(request(B, LOW, 5), 1_000)).contains(ReleaseAnswer.notReleased());
         assertThat(poll()).isEmpty();
     }
 
-    /** Guards against an interruption of the part that stays when a range is split. */
+    /** Guards against an interruption of the remaining part when a range is split. */
     @Test
-    void releasesOnlyTheMovedPartOfASplitRange() {
-        serveAllFromGenerationOne();
-        state.applyTable(table(2, range(LOW, A, 1), range(HIGH, B, 2, A)));
+    void releasesOnlyMovedPartOfSplitRange() {
+        serveWholeSpaceUnderGenerationOne();
+        state.applyTable(table(2, assignment(LOW, A, 1), assignment(HIGH, B, 2, A)));
         assertThat(state.appliedGeneration()).isEqualTo(Generation.NONE);
-        finishRelease(HIGH);
+        completeRelease(HIGH);
         assertThat(state.appliedGeneration()).isEqualTo(new Generation(2));
         assertThat(poll()).isEmpty();
     }
 
-    /** Guards against a second acquire while the first runs, and against serving a range that was moved meanwhile. */
+    /**
+     * Guards against a second acquire while the first runs, and against serving a range that moved during the acquire.
+     */
     @Test
-    void releasesARangeThatMovedDuringAcquire() {
-        state.applyTable(table(1, range(KeyRange.ALL, A, 1)));
+    void releasesRangeMovedDuringAcquire() {
+        state.applyTable(table(1, assignment(KeyRange.ALL, A, 1)));
         OwnershipAction.Acquire acquire = (OwnershipAction.Acquire) poll().get(0);
-        state.applyTable(table(2, range(KeyRange.ALL, B, 2, A)));
+        state.applyTable(table(2, assignment(KeyRange.ALL, B, 2, A)));
         assertThat(poll()).isEmpty();
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 2), 1_000))
                 .isEmpty();
@@ -120,28 +135,31 @@
         assertThat(poll()).containsExactly(new OwnershipAction.Release(KeyRange.ALL));
     }
 
-    /** Guards against a sealed daemon that goes on serving or acquires ranges. */
+    /** Guards against a sealed daemon that goes on serving ranges or acquires new ones. */
     @Test
-    void dropsEverythingWhenSealed() {
-        serveAllFromGenerationOne();
+    void releasesAllRangesWhenSealed() {
+        serveWholeSpaceUnderGenerationOne();
         state.seal();
-        finishRelease(KeyRange.ALL);
-        state.applyTable(table(2, range(KeyRange.ALL, A, 2)));
+        completeRelease(KeyRange.ALL);
+        state.applyTable(table(2, assignment(KeyRange.ALL, A, 2)));
         assertThat(poll()).isEmpty();
     }
 
-    /** Guards against records that count as complete although another member may have served the range since. */
+    /**
+     * Guards against records that count as complete although another member may have served the range since the
+     * handover.
+     */
     @ParameterizedTest
     @CsvSource({
-        "the first requester gets them,                b, 5, 5100",
-        "another requester does not,                   c, 6, -1",
-        "nor the same one under a later fence,         b, 8, -1",
+        "complete for the first requester,             b, 5, 5100",
+        "not complete for another requester,           c, 6, -1",
+        "not complete for a later generation,          b, 8, -1",
     })
-    void vouchesForRecordsOnce(String label, String requester, long generation, long completeForMs) {
-        serveAllFromGenerationOne();
+    void recordsAreCompleteForFirstRecipientOnly(String label, String requester, long generation, long completeForMs) {
+        serveWholeSpaceUnderGenerationOne();
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_000))
                 .isEmpty();
-        finishRelease(KeyRange.ALL);
+        completeRelease(KeyRange.ALL);
         assertThat(state.handleReleaseRequest(request(B, KeyRange.ALL, 5), 1_050))
                 .isPresent();
         Optional<ReleaseAnswer> answer =
@@ -149,23 +167,25 @@
         assertThat(answer.orElseThrow().recordsCompleteForMs()).as(label).isEqualTo(completeForMs);
     }
 
-    /** Guards against a second run of a request whose record was lost with a sealed owner. */
+    /** Guards against a second execution of a request whose record was lost with a sealed owner. */
     @ParameterizedTest
     @CsvSource({
         "both answered; one served,     3000, -1,   false, 3000",
-        "the smaller of two counts,     3000, 2000, false, 2000",
-        "nobody served,                 -1,   -1,   false, 0",
+        "the shorter of two periods,    3000, 2000, false, 2000",
+        "none served the range,         -1,   -1,   false, 0",
         "one is sealed,                 3000, 0,    true,  0",
     })
-    void inheritsFromPreviousOwners(String label, long fromB, long fromC, boolean sealedC, long expectedMs) {
-        state.applyTable(table(4, range(KeyRange.ALL, A, 4, B, C)));
+    void combinesAnswersOfPreviousOwners(String label, long fromB, long fromC, boolean sealedC, long expectedMs) {
+        state.applyTable(table(4, assignment(KeyRange.ALL, A, 4, B, C)));
         poll();
-        OwnershipAction.RequestRelease askB = new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), B);
-        OwnershipAction.RequestRelease askC = new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), C);
-        state.releaseRequestAnswered(askB, new ReleaseAnswer(true, fromB, List.of()), 1_000);
+        OwnershipAction.RequestRelease requestToB =
+                new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), B);
+        OwnershipAction.RequestRelease requestToC =
+                new OwnershipAction.RequestRelease(KeyRange.ALL, new Generation(4), C);
+        state.releaseRequestAnswered(requestToB, new ReleaseAnswer(true, fromB, List.of()), 1_000);
         assertThat(poll()).isEmpty();
         if (!sealedC) {
-            state.releaseRequestAnswered(askC, new ReleaseAnswer(true, fromC, List.of()), 1_000);
+            state.releaseRequestAnswered(requestToC, new ReleaseAnswer(true, fromC, List.of()), 1_000);
         }
         List<OwnershipAction> actions = sealedC ? poll(C) : poll();
         assertThat(actions)
@@ -175,12 +195,13 @@
     }
 
     /**
-     * The last server but three leaves: a hundred narrow ranges are asked for, one request each, and each request is
-     * looked at again with every event. A daemon was deaf for seconds while it did so.
+     * Guards against a daemon that does not respond for seconds while it releases many narrow ranges. This happened
+     * when one of four servers left: about a hundred ranges were requested with one release request each, and every
+     * event evaluated every waiting request again.
      */
     @Test
     @Timeout(value = 20, unit = TimeUnit.SECONDS)
-    void manyNarrowRangesAreReleasedWithoutStandingStill() {
+    void releasesManyNarrowRangesInTime() {
         int ranges = 400;
         long width = Long.divideUnsigned(-1L, ranges);
         List<RangeAssignment> before = new ArrayList<>();
@@ -191,9 +212,15 @@
             before.add(new RangeAssignment(range, A, new Generation(1), List.of()));
             after.add(new RangeAssignment(range, B, new Generation(2), List.of(A)));
         }
-        OwnershipState state = new OwnershipState(A, TestFleet.SERVICE, 10, 500, 500, 1_000);
+        OwnershipState state = new OwnershipState(
+                A,
+                TestFleet.SERVICE,
+                /* minRetryDelayMs= */ 10,
+                /* maxRetryDelayMs= */ 500,
+                /* releaseGraceMs= */ 500,
+                /* maxRetainedRecords= */ 1_000);
         state.applyTable(new AssignmentTable(TestFleet.SERVICE, new Generation(1), before));
-        perform(state, 0);
+        performActions(state, 0);
         List<ReleaseRequest> requests = after.stream()
                 .map(a -> new ReleaseRequest(B, TestFleet.SERVICE, a.range(), new Generation(2)))
                 .toList();
@@ -207,12 +234,12 @@
                         ? 1
                         : 0;
             }
-            perform(state, round);
+            performActions(state, round);
         }
         assertThat(answered).isEqualTo(ranges);
     }
 
-    private static void perform(OwnershipState state, long nowMs) {
+    private static void performActions(OwnershipState state, long nowMs) {
         for (OwnershipAction action : state.poll(nowMs, member -> false)) {
             if (action instanceof OwnershipAction.Acquire acquire) {
                 state.acquireCompleted(acquire);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
@@ -10,54 +10,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fault cases of the planner role. */
+/** Tests the election of the planner under faults. */
 final class PlannerElectionTest {
     private static final MemberId SELF = new MemberId("self");
     private static final MemberId OTHER = new MemberId("other");
-    private static final PlannerElection.Options DELAYS = new PlannerElection.Options(500, 1_500, 200, 10_000, 3);
+    private static final PlannerElection.Options OPTIONS = new PlannerElection.Options(
+            /* renewIntervalMs= */ 500,
+            /* roleTimeoutMs= */ 1_500,
+            /* rankDelayMs= */ 200,
+            /* slowReadIntervalMs= */ 10_000,
+            /* fastReaders= */ 3);
 
-    private final PlannerElection election = new PlannerElection(SELF, DELAYS);
+    private final PlannerElection election = new PlannerElection(SELF, OPTIONS);
 
     private void read(PlannerRecord record, long revision, long nowMs) {
         election.readStarted();
         election.readDone(Optional.ofNullable(record), new Revision(revision), nowMs);
     }
 
-    /** Guards against a role taken from a living holder, and against a fleet in which nobody takes a free role. */
+    /**
+     * Guards against a takeover from a holder that renews the role, and against a free role that no daemon takes over.
+     */
     @ParameterizedTest
     @CsvSource({
-        "a silent holder is replaced after 1.5 s,      1500, 5, 5, 0, true,  false, WRITE",
-        "a silent holder is kept before that,          1400, 5, 5, 0, true,  false, NONE",
-        "rank 2 waits 400 ms longer,                   1800, 5, 5, 2, true,  false, NONE",
-        "a renewed counter restarts the wait,          1500, 5, 6, 0, true,  false, NONE",
-        "a sealed holder is replaced at once,           500, 5, 5, 1, true,  true,  WRITE",
-        "a member that is not active takes nothing,    9000, 5, 5, 0, false, true,  NONE",
+        "a holder without renewals is replaced at 1.5 s, 1500, 5, 5, 0, true,  false, WRITE",
+        "a holder without renewals is kept before that, 1400, 5, 5, 0, true,  false, NONE",
+        "rank 2 waits 400 ms longer,                    1800, 5, 5, 2, true,  false, NONE",
+        "a renewal restarts the timeout,                1500, 5, 6, 0, true,  false, NONE",
+        "a lost holder is replaced immediately,          500, 5, 5, 1, true,  true,  WRITE",
+        "an ineligible member does not take the role,   9000, 5, 5, 0, false, true,  NONE",
     })
-    void takesTheRoleOnlyWhenDue(
+    void takesOverRoleOnlyAfterTimeoutOrLoss(
             String label,
-            long atMs,
+            long nowMs,
             long counter,
             long laterCounter,
             int rank,
             boolean eligible,
-            boolean lost,
+            boolean holderLost,
             Step expected) {
         read(new PlannerRecord(OTHER, counter), 1, 0);
-        read(new PlannerRecord(OTHER, laterCounter), 2, atMs);
-        assertThat(election.nextStep(atMs, eligible, rank, lost)).as(label).isEqualTo(expected);
+        read(new PlannerRecord(OTHER, laterCounter), 2, nowMs);
+        assertThat(election.nextStep(nowMs, eligible, rank, holderLost))
+                .as(label)
+                .isEqualTo(expected);
     }
 
-    /** Guards against a start without any planner. */
+    /** Guards against a first start at which no daemon becomes the planner. */
     @Test
-    void takesAnAbsentObject() {
+    void takesRoleWithoutPlannerObject() {
         assertThat(election.nextStep(0, true, 0, false)).isEqualTo(Step.READ);
         read(null, 0, 0);
         assertThat(election.nextStep(0, true, 0, false)).isEqualTo(Step.WRITE);
     }
 
-    /** Guards against a planner that gives up, or writes twice, when the answer to a write was lost. */
+    /** Guards against a planner that loses the role, or writes again, when the answer to a write is lost. */
     @Test
-    void resolvesAnUnansweredWriteByReading() {
+    void resolvesUnansweredWriteByReadingBack() {
         read(null, 0, 0);
         PlannerRecord written = election.writeStarted(10);
         read(written, 7, 30);
@@ -66,9 +75,9 @@
         assertThat(election.nextStep(40, true, 0, false)).isEqualTo(Step.NONE);
     }
 
-    /** Guards against reads at every tick while the store is down. */
+    /** Guards against reads at every tick while the store is unavailable. */
     @Test
-    void keepsThePeriodOfReadsWhenTheStoreFails() {
+    void keepsReadIntervalWhenStoreFails() {
         election.readStarted();
         election.callFailed(100);
         assertThat(election.nextStep(599, true, 0, false)).isEqualTo(Step.NONE);
@@ -76,9 +85,9 @@
         assertThat(election.nextStep(10_099, true, 3, false)).isEqualTo(Step.NONE);
     }
 
-    /** Guards against two planners: the role lapses when it could not be renewed, or another member has taken it. */
+    /** Guards against two planners: the role ends if it is not renewed in time or another member has taken it over. */
     @Test
-    void losesTheRole() {
+    void losesRoleAfterTimeoutOrToAnotherHolder() {
         read(null, 0, 0);
         election.writeDone(election.writeStarted(0), new Revision(1));
         assertThat(election.isHolder(1_499)).isTrue();
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
@@ -26,47 +26,49 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 import org.coriandercrank.placement.TestFleet;
 
-/** Properties of each registered policy under random load and membership. */
+/** Properties of each registered policy under random load and membership changes. */
 final class PolicyPropertyTest {
     private static final int MAX_RANGES_PER_MEMBER = 16;
 
     /**
-     * Guards against invalid tables, tables that grow without bound, ranges placed on servers that may not have any, and
-     * takeovers that move ranges of healthy members. ServicePlan throws if a policy leaves a hole.
+     * Guards against invalid tables, tables that grow without bound, ranges assigned to servers that are not
+     * candidates, and takeovers that move ranges of members that are not lost. TablePlanner throws if a policy leaves a
+     * gap.
      */
     @Property(tries = 60)
     void tablesStayValidAndBounded(@ForAll long seed, @ForAll @IntRange(min = 0, max = 3) int policyIndex) {
         PluginRegistry registry = PluginRegistry.load();
         String name = List.copyOf(registry.names(PluginRegistry.Kind.PLACEMENT)).get(policyIndex);
-        TablePlanner plan = new TablePlanner(registry.get(PluginRegistry.Kind.PLACEMENT, name), 0);
+        TablePlanner planner = new TablePlanner(registry.get(PluginRegistry.Kind.PLACEMENT, name), 0);
         Random random = new Random(seed);
         Map<MemberId, Member> members = new HashMap<>();
-        Set<MemberId> gone = new HashSet<>();
+        Set<MemberId> removed = new HashSet<>();
         AssignmentTable table = AssignmentTable.empty(TestFleet.SERVICE);
-        int largestFleet = 0;
+        int maxCandidates = 0;
         for (int step = 0; step < 120; step++) {
-            changeMembers(random, members, gone);
+            changeMembers(random, members, removed);
             Configuration configuration = TestFleet.configuration(
                     new BackendRule("server-001", random.nextInt(3) * 100, random.nextInt(10) == 0));
             TablePlanner.View view = new TablePlanner.View(
-                    configuration, members, gone, table, reports(random, table, gone), step * 20_000L, 0, 0, 0);
-            largestFleet = Math.max(largestFleet, TablePlanner.candidates(view).size());
-            Optional<TablePlanner.Decision> decision = plan.decide(view);
+                    configuration, members, removed, table, reports(random, table, removed), step * 20_000L, 0, 0, 0);
+            maxCandidates =
+                    Math.max(maxCandidates, TablePlanner.candidates(view).size());
+            Optional<TablePlanner.Decision> decision = planner.decide(view);
             if (decision.isEmpty()) {
                 continue;
             }
-            OwnershipChecks.checkNext(table, decision.get(), gone);
+            OwnershipChecks.assertValidTransition(table, decision.get(), removed);
             List<MemberId> allowed =
                     TablePlanner.candidates(view).stream().map(Member::id).toList();
             decision.get().changes().forEach(c -> assertThat(allowed).contains(c.to()));
             table = decision.get().table();
             assertThat(table.assignments().size())
                     .as("policy %s seed %d step %d", name, seed, step)
-                    .isLessThanOrEqualTo(MAX_RANGES_PER_MEMBER * largestFleet);
+                    .isLessThanOrEqualTo(MAX_RANGES_PER_MEMBER * maxCandidates);
         }
     }
 
-    private static void changeMembers(Random random, Map<MemberId, Member> members, Set<MemberId> gone) {
+    private static void changeMembers(Random random, Map<MemberId, Member> members, Set<MemberId> removed) {
         List<MemberId> active = members.values().stream()
                 .filter(m -> m.state() == MemberState.ACTIVE)
                 .map(Member::id)
@@ -80,30 +82,31 @@
             MemberState state = random.nextBoolean() ? MemberState.SEALED : MemberState.LEAVING;
             members.computeIfPresent(id, (k, m) -> m.withState(state));
             if (state == MemberState.SEALED) {
-                gone.add(id);
+                removed.add(id);
             }
         }
     }
 
-    private static Map<MemberId, LoadReport> reports(Random random, AssignmentTable table, Set<MemberId> gone) {
+    private static Map<MemberId, LoadReport> reports(Random random, AssignmentTable table, Set<MemberId> removed) {
         Map<MemberId, List<RangeLoad>> loads = new HashMap<>();
-        for (RangeAssignment a : table.assignments()) {
-            double even = random.nextInt(20) == 0 ? 500 : random.nextInt(20);
-            long width = a.range().last().value() - a.range().first().value();
-            KeyHash hash = new KeyHash(a.range().first().value()
+        for (RangeAssignment assignment : table.assignments()) {
+            double evenLoad = random.nextInt(20) == 0 ? 500 : random.nextInt(20);
+            long width = assignment.range().last().value()
+                    - assignment.range().first().value();
+            KeyHash hash = new KeyHash(assignment.range().first().value()
                     + Long.remainderUnsigned(random.nextLong(), width == -1 ? width : width + 1));
-            double hot = random.nextInt(4) == 0 ? random.nextInt(300) : 0;
-            loads.computeIfAbsent(a.owner(), m -> new ArrayList<>())
+            double hotLoad = random.nextInt(4) == 0 ? random.nextInt(300) : 0;
+            loads.computeIfAbsent(assignment.owner(), m -> new ArrayList<>())
                     .add(new RangeLoad(
-                            a.range(),
-                            a.fence(),
+                            assignment.range(),
+                            assignment.fence(),
                             random.nextInt(4) > 0,
-                            even + hot,
-                            List.of(new RangeLoad.HotHash(hash, hot))));
+                            evenLoad + hotLoad,
+                            List.of(new RangeLoad.HotHash(hash, hotLoad))));
         }
         Map<MemberId, LoadReport> reports = new HashMap<>();
         loads.forEach((m, list) -> {
-            if (!gone.contains(m)) {
+            if (!removed.contains(m)) {
                 reports.put(m, new LoadReport(m, TestFleet.SERVICE, table.generation(), list));
             }
         });
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/RangeAlignmentTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/RangeAlignmentTest.java
@@ -10,9 +10,9 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 import org.junit.jupiter.api.Test;
 
-/** Guards against ranges that end within a numbered key, so that two servers would own parts of it. */
+/** Guards against range boundaries within the hashes of one key, so that two servers would own parts of the key. */
 class RangeAlignmentTest {
-    private static final long STEP = 1L << 48;
+    private static final long HASHES_PER_KEY = 1L << 48;
     private static final MemberId A = new MemberId("a");
     private static final MemberId B = new MemberId("b");
 
@@ -21,34 +21,46 @@
     }
 
     @Test
-    void everyBoundaryLiesBetweenTwoKeysAndNothingIsLost() {
+    void boundariesLieBetweenKeysAndRangesStayComplete() {
         List<PlacedRange> aligned = RangeAlignment.align(
-                List.of(placed(0, 5 * STEP + 17, A), placed(5 * STEP + 18, 9 * STEP - 1, B), placed(9 * STEP, -1, A)),
+                List.of(
+                        placed(0, 5 * HASHES_PER_KEY + 17, A),
+                        placed(5 * HASHES_PER_KEY + 18, 9 * HASHES_PER_KEY - 1, B),
+                        placed(9 * HASHES_PER_KEY, -1, A)),
                 16);
         assertThat(aligned)
                 .containsExactly(
-                        placed(0, 6 * STEP - 1, A), placed(6 * STEP, 9 * STEP - 1, B), placed(9 * STEP, -1, A));
+                        placed(0, 6 * HASHES_PER_KEY - 1, A),
+                        placed(6 * HASHES_PER_KEY, 9 * HASHES_PER_KEY - 1, B),
+                        placed(9 * HASHES_PER_KEY, -1, A));
     }
 
-    /** A hot key is split off as a range of one position. */
+    /** A policy splits off a hot key as a range of a single hash. */
     @Test
-    void rangeOfOnePositionBecomesTheWholeKey() {
-        long hot = 7 * STEP;
+    void singleHashRangeBecomesWholeKey() {
+        long hot = 7 * HASHES_PER_KEY;
         List<PlacedRange> aligned =
                 RangeAlignment.align(List.of(placed(0, hot - 1, A), placed(hot, hot, B), placed(hot + 1, -1, A)), 16);
         assertThat(aligned)
-                .containsExactly(placed(0, hot - 1, A), placed(hot, hot + STEP - 1, B), placed(hot + STEP, -1, A));
+                .containsExactly(
+                        placed(0, hot - 1, A),
+                        placed(hot, hot + HASHES_PER_KEY - 1, B),
+                        placed(hot + HASHES_PER_KEY, -1, A));
     }
 
     @Test
-    void rangeWithinOneKeyDisappears() {
+    void rangeWithinOneKeyIsOmitted() {
         List<PlacedRange> aligned = RangeAlignment.align(
-                List.of(placed(0, STEP + 5, A), placed(STEP + 6, STEP + 9, B), placed(STEP + 10, -1, A)), 16);
-        assertThat(aligned).containsExactly(placed(0, 2 * STEP - 1, A), placed(2 * STEP, -1, A));
+                List.of(
+                        placed(0, HASHES_PER_KEY + 5, A),
+                        placed(HASHES_PER_KEY + 6, HASHES_PER_KEY + 9, B),
+                        placed(HASHES_PER_KEY + 10, -1, A)),
+                16);
+        assertThat(aligned).containsExactly(placed(0, 2 * HASHES_PER_KEY - 1, A), placed(2 * HASHES_PER_KEY, -1, A));
     }
 
     @Test
-    void rangeBehindTheLastBoundaryJoinsTheOneBefore() {
+    void rangeAfterLastBoundaryIsMergedIntoPreviousRange() {
         List<PlacedRange> aligned = RangeAlignment.align(List.of(placed(0, -100, A), placed(-99, -1, B)), 16);
         assertThat(aligned).containsExactly(new PlacedRange(KeyRange.ALL, A, "test"));
         assertThat(KeyRanges.isSingleHash(aligned.get(0).range())).isFalse();
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/StripePolicyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/StripePolicyTest.java
@@ -26,30 +26,31 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 import org.junit.jupiter.api.Test;
 
-/** Guards against hot spots of neighbouring keys on one server, and against moves that nobody needs. */
+/** Guards against hot spots of adjacent keys on a single server, and against unnecessary moves. */
 class StripePolicyTest {
     private static final ServiceName SERVICE = new ServiceName("cards");
     private static final int KEY_BITS = 16;
 
-    /** Rows of some 24 bytes in an answer of at most 4 KiB. */
+    /** A grant takes about 24 bytes, and an answer with grants at most 4 KiB. */
     private static final int MAX_RANGES_PER_SERVER = 160;
 
     private final StripePolicy policy = new StripePolicy();
 
-    /** Neighbouring keys that are hot together, as on the users' days: 200 of 65,536. */
+    /** Adjacent keys that are hot at the same time, as the users observed: 200 of 65,536 keys. */
     @Test
-    void everyHotSpotOfTwoHundredKeysFallsOnSeveralServers() {
+    void hotSpotOf200AdjacentKeysIsSharedBySeveralServers() {
         List<PlacedRange> placed = aligned(policy.place(input(members(4), List.of())));
         for (int first = 0; first + 200 <= 65_536; first += 50) {
             Map<MemberId, Integer> keys = keysByOwner(placed, first, first + 199);
-            int most = keys.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+            int maxKeys =
+                    keys.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
             assertThat(keys.size()).as("servers of keys from %d", first).isGreaterThanOrEqualTo(2);
-            assertThat(most).as("keys of one server from %d", first).isLessThanOrEqualTo(170);
+            assertThat(maxKeys).as("keys of one server from %d", first).isLessThanOrEqualTo(170);
         }
     }
 
     @Test
-    void loadOfALostServerIsSharedByTheOthersAndNothingElseMoves() {
+    void stripesOfLostServerAreSharedAndOthersStay() {
         List<Member> four = members(4);
         List<PlacedRange> before = aligned(policy.place(input(four, List.of())));
         List<PlacedRange> after = aligned(policy.place(input(four.subList(1, 4), before)));
@@ -60,7 +61,7 @@
     }
 
     @Test
-    void joinerGetsItsShareFromAllOverTheKeys() {
+    void joiningServerGetsFairShareFromWholeHashSpace() {
         List<Member> four = members(4);
         List<PlacedRange> before = aligned(policy.place(input(four.subList(0, 3), List.of())));
         List<PlacedRange> after = aligned(policy.place(input(four, before)));
@@ -73,16 +74,16 @@
     }
 
     @Test
-    void settledTableStandsStill() {
+    void stableTableIsNotChanged() {
         List<Member> four = members(4);
         List<PlacedRange> before = aligned(policy.place(input(four, List.of())));
         assertThat(movedShare(before, aligned(policy.place(input(four, before)))))
                 .isZero();
     }
 
-    /** A server that cannot take its grants in one answer gets none. */
+    /** Guards against servers whose grants do not fit into one answer; such a server would get no grants. */
     @Test
-    void rangesOfAServerStayBoundedWhenServersComeAndGo() {
+    void rangesPerServerStayBoundedWhenServersJoinAndLeave() {
         List<Member> all = members(6);
         List<PlacedRange> placed = aligned(policy.place(input(all.subList(0, 4), List.of())));
         List<List<Member>> fleets = List.of(
@@ -90,8 +91,8 @@
         for (List<Member> fleet : fleets) {
             placed = aligned(policy.place(input(fleet, placed)));
             placed = aligned(policy.place(input(fleet, placed)));
-            Map<MemberId, Integer> rows = rows(placed);
-            assertThat(rows.values()).allSatisfy(n -> assertThat(n).isLessThanOrEqualTo(MAX_RANGES_PER_SERVER));
+            Map<MemberId, Integer> counts = grantCounts(placed);
+            assertThat(counts.values()).allSatisfy(n -> assertThat(n).isLessThanOrEqualTo(MAX_RANGES_PER_SERVER));
         }
     }
 
@@ -99,17 +100,17 @@
         return RangeAlignment.align(placed, KEY_BITS);
     }
 
-    /** Neighbours of one owner are one row. */
-    private static Map<MemberId, Integer> rows(List<PlacedRange> placed) {
-        Map<MemberId, Integer> rows = new HashMap<>();
+    /** Number of grants by owner; adjacent ranges of the same owner need one grant. */
+    private static Map<MemberId, Integer> grantCounts(List<PlacedRange> placed) {
+        Map<MemberId, Integer> counts = new HashMap<>();
         MemberId last = null;
         for (PlacedRange p : placed) {
             if (!p.owner().equals(last)) {
-                rows.merge(p.owner(), 1, Integer::sum);
+                counts.merge(p.owner(), 1, Integer::sum);
             }
             last = p.owner();
         }
-        return rows;
+        return counts;
     }
 
     private static Map<MemberId, Integer> keysByOwner(List<PlacedRange> placed, int first, int last) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/package-info.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the pure decisions and state machines of placement. */
+/** Tests of the decisions and state machines of placement. */
 package org.coriandercrank.placement.internal;
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
@@ -26,28 +26,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares the placement policies on one deterministic workload. Not a test: its name keeps it out of the build; run it
- * with {@code -Dtest=PlacementTrial}, if wanted for one number of servers ({@code -Dtrial.servers}) and for some policies
- * only ({@code -Dtrial.policies}).
+ * Compares the placement policies on a deterministic simulated workload. This is not a test, and its name excludes it
+ * from the build. Run it with {@code -Dtest=PlacementTrial}; {@code -Dtrial.servers} restricts it to one number of
+ * servers and {@code -Dtrial.policies} to some policies.
  *
- * <p>One decision per load report of 2 s. Every 5 minutes a server joins, leaves or dies. A planned move makes its keys
- * unavailable for 0.1 s and a takeover for 5 s.
+ * <p>The simulation makes one decision per round of load reports, every 2 s. Every 5 minutes a server joins, leaves or
+ * is lost. A planned move makes the moved keys unavailable for 0.1 s and a takeover for 5 s.
  */
 final class PlacementTrial {
     private static final int STEP_MS = 2_000;
     private static final int STEPS = 1_800;
-    private static final int STEPS_PER_HOT_SET = 30;
-    private static final int STEPS_PER_EVENT = 150;
+    private static final int STEPS_PER_HOT_KEY_CHANGE = 30;
+    private static final int STEPS_PER_MEMBER_CHANGE = 150;
     private static final int WARM_UP_STEPS = 15;
-    private static final double REQUESTS_PER_SERVER = 500;
-    private static final double KEY_LIMIT = 0.8;
-    private static final double MOVE_SECONDS = 0.1;
-    private static final double TAKEOVER_SECONDS = 5;
+    private static final double REQUESTS_PER_SECOND_PER_SERVER = 500;
+    private static final double MAX_KEY_LOAD_RATIO = 0.8;
+    private static final double MOVE_UNAVAILABLE_SECONDS = 0.1;
+    private static final double TAKEOVER_UNAVAILABLE_SECONDS = 5;
     private static final String POLICIES = "availability low-churn static greedy";
     private static final List<Integer> SIZES = List.of(4, 12, 48);
     private static final double[] EXPONENTS = {0.9, 1.0, 1.1};
 
-    /** Figures of one run; churn per hour of the trial. */
+    /** Results of one run; moves and unavailability per hour of simulated time. */
     private record Figures(
             double mean, double p95, double shareMoved, double moves, double unavailableKeySeconds, int maxRanges) {}
 
@@ -56,84 +56,88 @@
         System.out.println("servers policy seed exponent mean p95 share-moved/h moves/h key-s-unavailable max-ranges");
         List<String> policies =
                 List.of(System.getProperty("trial.policies", POLICIES).split(" "));
-        String only = System.getProperty("trial.servers", "");
+        String onlySize = System.getProperty("trial.servers", "");
         for (int size : SIZES) {
-            for (String policy : only.isEmpty() || only.equals("" + size) ? policies : List.<String>of()) {
+            for (String policy : onlySize.isEmpty() || onlySize.equals("" + size) ? policies : List.<String>of()) {
                 for (int seed = 1; seed <= EXPONENTS.length; seed++) {
                     double exponent = EXPONENTS[seed - 1];
-                    Figures f = new PlacementTrial().run(policy, size, seed, exponent);
+                    Figures figures = new PlacementTrial().run(policy, size, seed, exponent);
                     System.out.printf(
                             "%d %s %d %.1f %.3f %.3f %.2f %.0f %.0f %d%n",
                             size,
                             policy,
                             seed,
                             exponent,
-                            f.mean,
-                            f.p95,
-                            f.shareMoved,
-                            f.moves,
-                            f.unavailableKeySeconds,
-                            f.maxRanges);
+                            figures.mean,
+                            figures.p95,
+                            figures.shareMoved,
+                            figures.moves,
+                            figures.unavailableKeySeconds,
+                            figures.maxRanges);
                 }
             }
         }
     }
 
     private final Map<MemberId, Member> members = new TreeMap<>();
-    private final Set<MemberId> gone = new HashSet<>();
+    private final Set<MemberId> removed = new HashSet<>();
     private int nextMember;
     private double shareMoved;
     private double moves;
-    private double unavailable;
+    private double unavailableKeySeconds;
 
     private Figures run(String policyName, int size, long seed, double exponent) {
         PlacementPolicy policy = policy(policyName);
-        TablePlanner plan = new TablePlanner(policy, 0);
-        TrialLoad load = new TrialLoad(seed, exponent, REQUESTS_PER_SERVER * size, KEY_LIMIT * REQUESTS_PER_SERVER);
+        TablePlanner planner = new TablePlanner(policy, 0);
+        TrialLoad load = new TrialLoad(
+                seed,
+                exponent,
+                REQUESTS_PER_SECOND_PER_SERVER * size,
+                MAX_KEY_LOAD_RATIO * REQUESTS_PER_SECOND_PER_SERVER);
         for (int i = 0; i < size; i++) {
             join();
         }
-        ServicePlanningState track = new ServicePlanningState(TestFleet.SERVICE, 125, 0);
+        ServicePlanningState state = new ServicePlanningState(TestFleet.SERVICE, /* imbalanceTargetPercent= */ 125, 0);
         List<Double> imbalances = new ArrayList<>();
         int maxRanges = 0;
         for (int step = 0; step < STEPS; step++) {
-            if (step % STEPS_PER_HOT_SET == 0) {
+            if (step % STEPS_PER_HOT_KEY_CHANGE == 0) {
                 load.changeHotKeys();
             }
-            if (step > 0 && step % STEPS_PER_EVENT == 0) {
-                change(step / STEPS_PER_EVENT);
+            if (step > 0 && step % STEPS_PER_MEMBER_CHANGE == 0) {
+                changeMembers(step / STEPS_PER_MEMBER_CHANGE);
             }
             load.measure();
             if (step >= WARM_UP_STEPS) {
-                imbalances.add(imbalance(track.table(), load));
+                imbalances.add(imbalance(state.table(), load));
             }
-            decide(plan, track, load, (long) step * STEP_MS);
-            maxRanges = Math.max(maxRanges, track.table().assignments().size());
+            decide(planner, state, load, (long) step * STEP_MS);
+            maxRanges = Math.max(maxRanges, state.table().assignments().size());
         }
         imbalances.sort(Double::compare);
         double hours = STEPS * STEP_MS / 3_600_000.0;
         double mean = imbalances.stream().mapToDouble(i -> i).average().orElseThrow();
         double p95 = imbalances.get((int) (imbalances.size() * 0.95));
-        return new Figures(mean, p95, shareMoved / hours, moves / hours, unavailable / hours, maxRanges);
+        return new Figures(mean, p95, shareMoved / hours, moves / hours, unavailableKeySeconds / hours, maxRanges);
     }
 
-    /** A registered policy, or one whose name is the list of its rules. */
+    /** A registered policy, or a {@link RebalancePolicy} if the name is a comma-separated list of its parameters. */
     private static PlacementPolicy policy(String name) {
-        String[] v = name.split(",");
-        if (v.length == 1) {
+        String[] values = name.split(",");
+        if (values.length == 1) {
             return PluginRegistry.load().get(PluginRegistry.Kind.PLACEMENT, name);
         }
         return new RebalancePolicy(new RebalanceParameters(
-                Double.parseDouble(v[0]),
-                Double.parseDouble(v[1]),
-                Long.parseLong(v[2]),
-                Long.parseLong(v[3]),
-                Integer.parseInt(v[4]),
-                Integer.parseInt(v[5]),
-                Double.parseDouble(v[6]),
-                Double.parseDouble(v[7]),
-                Double.parseDouble(v[8]),
-                Double.parseDouble(v[9])));
+                Double.parseDouble(values[0]),
+                Double.parseDouble(values[1]),
+                Long.parseLong(values[2]),
+                Long.parseLong(values[3]),
+                Integer.parseInt(values[4]),
+                Integer.parseInt(values[5]),
+                Double.parseDouble(values[6]),
+                Double.parseDouble(values[7]),
+                Double.parseDouble(values[8]),
+                Double.parseDouble(values[9])));
     }
 
     private void join() {
@@ -141,8 +145,8 @@
         members.put(member.id(), member);
     }
 
-    /** Join, leave, join, death, in turn; the member that goes is the oldest. */
-    private void change(int event) {
+    /** Alternates joining, leaving, joining and losing a server; the oldest active server leaves or is lost. */
+    private void changeMembers(int event) {
         if (event % 2 == 1) {
             join();
             return;
@@ -152,54 +156,59 @@
                 .findFirst()
                 .orElseThrow()
                 .id();
-        boolean dies = event % 4 == 0;
-        members.computeIfPresent(oldest, (id, m) -> m.withState(dies ? MemberState.SEALED : MemberState.LEAVING));
-        if (dies) {
-            gone.add(oldest);
+        boolean isLost = event % 4 == 0;
+        members.computeIfPresent(oldest, (id, m) -> m.withState(isLost ? MemberState.SEALED : MemberState.LEAVING));
+        if (isLost) {
+            removed.add(oldest);
         }
     }
 
-    private void decide(TablePlanner plan, ServicePlanningState track, TrialLoad load, long nowMs) {
-        Map<MemberId, LoadReport> reports = reports(track.table(), load);
-        track.updateImbalance(TablePlanner.imbalance(view(track, reports, nowMs)), nowMs);
-        Optional<TablePlanner.Decision> decision = plan.decide(view(track, reports, nowMs));
+    private void decide(TablePlanner planner, ServicePlanningState state, TrialLoad load, long nowMs) {
+        Map<MemberId, LoadReport> reports = reports(state.table(), load);
+        state.updateImbalance(TablePlanner.imbalance(view(state, reports, nowMs)), nowMs);
+        Optional<TablePlanner.Decision> decision = planner.decide(view(state, reports, nowMs));
         if (decision.isEmpty()) {
             return;
         }
-        track.updateTable(decision.get().table());
+        state.updateTable(decision.get().table());
         if (decision.get().kind() == TablePlanner.Kind.POLICY) {
-            track.recordPolicyChange(nowMs);
+            state.recordPolicyChange(nowMs);
         }
         for (TableBuilder.Change change : decision.get().changes()) {
             if (change.from().isPresent()) {
                 boolean takeover = decision.get().kind() == TablePlanner.Kind.TAKEOVER;
                 moves++;
                 shareMoved += change.range().share();
-                unavailable += load.keys(change.range()) * (takeover ? TAKEOVER_SECONDS : MOVE_SECONDS);
+                unavailableKeySeconds += load.keyCount(change.range())
+                        * (takeover ? TAKEOVER_UNAVAILABLE_SECONDS : MOVE_UNAVAILABLE_SECONDS);
             }
         }
     }
 
-    private TablePlanner.View view(ServicePlanningState track, Map<MemberId, LoadReport> reports, long nowMs) {
+    private TablePlanner.View view(ServicePlanningState state, Map<MemberId, LoadReport> reports, long nowMs) {
         return new TablePlanner.View(
                 TestFleet.configuration(),
                 members,
-                gone,
-                track.table(),
+                removed,
+                state.table(),
                 reports,
                 nowMs,
-                track.lastChangeMs(),
-                track.imbalancedSinceMs(nowMs),
+                state.lastChangeMs(),
+                state.imbalancedSinceMs(nowMs),
                 0);
     }
 
     private Map<MemberId, LoadReport> reports(AssignmentTable table, TrialLoad load) {
         Map<MemberId, List<RangeLoad>> ranges = new HashMap<>();
-        for (RangeAssignment a : table.assignments()) {
-            if (!gone.contains(a.owner())) {
-                ranges.computeIfAbsent(a.owner(), m -> new ArrayList<>())
+        for (RangeAssignment assignment : table.assignments()) {
+            if (!removed.contains(assignment.owner())) {
+                ranges.computeIfAbsent(assignment.owner(), m -> new ArrayList<>())
                         .add(new RangeLoad(
-                                a.range(), a.fence(), true, load.smoothedRate(a.range()), load.hot(a.range())));
+                                assignment.range(),
+                                assignment.fence(),
+                                true,
+                                load.smoothedRate(assignment.range()),
+                                load.hottest(assignment.range())));
             }
         }
         Map<MemberId, LoadReport> reports = new HashMap<>();
@@ -208,12 +217,12 @@
         return reports;
     }
 
-    /** Highest over mean load of the servers that may have ranges, all of the same weight. */
+    /** The highest over the mean load of the active servers, which all have the same weight. */
     private double imbalance(AssignmentTable table, TrialLoad load) {
         Map<MemberId, Double> loads = new HashMap<>();
         members.values().stream().filter(m -> m.state() == MemberState.ACTIVE).forEach(m -> loads.put(m.id(), 0.0));
-        for (RangeAssignment a : table.assignments()) {
-            loads.computeIfPresent(a.owner(), (m, sum) -> sum + load.rate(a.range()));
+        for (RangeAssignment assignment : table.assignments()) {
+            loads.computeIfPresent(assignment.owner(), (m, sum) -> sum + load.rate(assignment.range()));
         }
         double max = loads.values().stream().mapToDouble(l -> l).max().orElseThrow();
         double mean = loads.values().stream().mapToDouble(l -> l).average().orElseThrow();
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/TrialLoad.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/TrialLoad.java
@@ -9,23 +9,23 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * Requests per second of Zipf keys; the hottest keys are replaced every minute. Not thread safe, deterministic for a
- * seed. No key gets more than a fixed part of the fair load of a server.
+ * Load of keys with a Zipf distribution, whose hottest keys can be replaced by others. The rate of each key is
+ * bounded by a maximum. Not thread safe; deterministic for a seed.
  */
 final class TrialLoad {
     static final int KEYS = 20_000;
     private static final int HOT_KEYS = 26;
-    private static final int REPORTED_HOT = 8;
-    private static final double SMOOTHING = 0.5;
+    private static final int REPORTED_HOT_KEYS = 8;
+    private static final double SMOOTHING_FACTOR = 0.5;
 
     private final Random random;
     private final double[] rankRates = new double[KEYS];
     private final long[] hashes;
-    private final double[] base = new double[KEYS];
+    private final double[] baseRates = new double[KEYS];
     private final double[] rates = new double[KEYS];
-    private final double[] smoothed = new double[KEYS];
+    private final double[] smoothedRates = new double[KEYS];
 
-    TrialLoad(long seed, double exponent, double totalPerSecond, double keyLimitPerSecond) {
+    TrialLoad(long seed, double exponent, double totalPerSecond, double maxKeyRatePerSecond) {
         random = new Random(seed);
         hashes = random.longs()
                 .distinct()
@@ -40,14 +40,14 @@
             sum += rankRates[i];
         }
         for (int i = 0; i < KEYS; i++) {
-            rankRates[i] = Math.min(keyLimitPerSecond, rankRates[i] * totalPerSecond / sum);
+            rankRates[i] = Math.min(maxKeyRatePerSecond, rankRates[i] * totalPerSecond / sum);
         }
         int[] order = shuffled();
         for (int i = HOT_KEYS; i < KEYS; i++) {
-            base[order[i]] = rankRates[i];
+            baseRates[order[i]] = rankRates[i];
         }
         changeHotKeys();
-        System.arraycopy(rates, 0, smoothed, 0, KEYS);
+        System.arraycopy(rates, 0, smoothedRates, 0, KEYS);
     }
 
     private int[] shuffled() {
@@ -62,17 +62,17 @@
     }
 
     void changeHotKeys() {
-        System.arraycopy(base, 0, rates, 0, KEYS);
+        System.arraycopy(baseRates, 0, rates, 0, KEYS);
         for (int i = 0; i < HOT_KEYS; i++) {
             rates[random.nextInt(KEYS)] = rankRates[i];
         }
     }
 
-    /** Measures for two seconds: the counts vary like those of independent arrivals. */
+    /** Simulates a measurement over two seconds, with the variance of independent arrivals, and smooths the rates. */
     void measure() {
         for (int i = 0; i < KEYS; i++) {
             double counted = Math.max(0, rates[i] + random.nextGaussian() * Math.sqrt(rates[i] / 2));
-            smoothed[i] += SMOOTHING * (counted - smoothed[i]);
+            smoothedRates[i] += SMOOTHING_FACTOR * (counted - smoothedRates[i]);
         }
     }
 
@@ -96,7 +96,7 @@
                 : firstIndex(new KeyRange(new KeyHash(range.last().value() + 1), KeyHash.MAX));
     }
 
-    int keys(KeyRange range) {
+    int keyCount(KeyRange range) {
         return endIndex(range) - firstIndex(range);
     }
 
@@ -105,27 +105,27 @@
     }
 
     double smoothedRate(KeyRange range) {
-        return Arrays.stream(smoothed, firstIndex(range), endIndex(range)).sum();
+        return Arrays.stream(smoothedRates, firstIndex(range), endIndex(range)).sum();
     }
 
-    /** The hashes with the highest measured rates, by repeated selection. */
-    List<HotHash> hot(KeyRange range) {
+    /** The hashes of a range with the highest measured rates, highest first. */
+    List<HotHash> hottest(KeyRange range) {
         int end = endIndex(range);
-        int[] best = new int[REPORTED_HOT];
+        int[] best = new int[REPORTED_HOT_KEYS];
         int found = 0;
         for (int i = firstIndex(range); i < end; i++) {
-            if (found == REPORTED_HOT && smoothed[i] <= smoothed[best[found - 1]]) {
+            if (found == REPORTED_HOT_KEYS && smoothedRates[i] <= smoothedRates[best[found - 1]]) {
                 continue;
             }
-            int at = found < REPORTED_HOT ? found++ : found - 1;
-            while (at > 0 && smoothed[best[at - 1]] < smoothed[i]) {
-                best[at] = best[at - 1];
-                at--;
+            int insertIndex = found < REPORTED_HOT_KEYS ? found++ : found - 1;
+            while (insertIndex > 0 && smoothedRates[best[insertIndex - 1]] < smoothedRates[i]) {
+                best[insertIndex] = best[insertIndex - 1];
+                insertIndex--;
             }
-            best[at] = i;
+            best[insertIndex] = i;
         }
         return Arrays.stream(best, 0, found)
-                .mapToObj(i -> new HotHash(new KeyHash(hashes[i]), smoothed[i]))
+                .mapToObj(i -> new HotHash(new KeyHash(hashes[i]), smoothedRates[i]))
                 .toList();
     }
 }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/package-info.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/package-info.java
@@ -1,2 +1,2 @@
-/** Step-by-step trial of placement decisions. */
+/** Step-by-step simulation of placement decisions. */
 package org.coriandercrank.placement.trial;
