--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
@@ -16,19 +16,21 @@
 import org.coriandercrank.kernel.request.Header;
 import org.junit.jupiter.api.Test;
 
+/** Tests connections that the server closes after a response. */
 class ClosingConnectionTest {
-    /** Large enough that the answer is still being written when the second request arrives. */
+    /** Large enough that the first response is still being written when the second request arrives. */
     private static final int BODY_BYTES = 16_777_216;
 
-    private static final long UNTIL_FIRST_ANSWER_IS_WRITTEN_MS = 200;
+    /** Time in which the server handles a request and starts to write the response. */
+    private static final long RESPONSE_START_DELAY_MS = 200;
 
-    /** Guards against requests that run although the connection is closed before their answer. */
+    /** Guards against handling requests whose response cannot be written because the connection is being closed. */
     @Test
-    void handlesNoRequestAfterAnAnswerThatClosesTheConnection() throws IOException, InterruptedException {
+    void handlesNoRequestAfterAResponseThatClosesTheConnection() throws IOException, InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        AtomicInteger handled = new AtomicInteger();
+        AtomicInteger handledRequests = new AtomicInteger();
         HttpHandler handler = (call, closed) -> {
-            handled.incrementAndGet();
+            handledRequests.incrementAndGet();
             return CompletableFuture.completedFuture(
                     new HttpResponse(503, List.of(new Header("connection", "close")), new byte[BODY_BYTES]));
         };
@@ -38,24 +40,24 @@
                         InetAddress.getLoopbackAddress(), server.address().port())) {
             byte[] request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
             socket.getOutputStream().write(request);
-            Thread.sleep(UNTIL_FIRST_ANSWER_IS_WRITTEN_MS);
+            Thread.sleep(RESPONSE_START_DELAY_MS);
             socket.getOutputStream().write(request);
-            Thread.sleep(UNTIL_FIRST_ANSWER_IS_WRITTEN_MS);
-            byte[] answer = socket.getInputStream().readAllBytes();
+            Thread.sleep(RESPONSE_START_DELAY_MS);
+            byte[] response = socket.getInputStream().readAllBytes();
 
-            assertThat(new String(answer, 0, 200, StandardCharsets.US_ASCII))
+            assertThat(new String(response, 0, 200, StandardCharsets.US_ASCII))
                     .startsWith("HTTP/1.1 503")
                     .containsIgnoringCase("connection: close");
-            assertThat(answer).hasSizeGreaterThan(BODY_BYTES);
-            assertThat(handled).hasValue(1);
+            assertThat(response).hasSizeGreaterThan(BODY_BYTES);
+            assertThat(handledRequests).hasValue(1);
         } finally {
             group.shutdownGracefully();
         }
     }
 
-    /** Guards against a reset that destroys the rejection while the caller is still sending its body. */
+    /** Guards against a connection reset that discards the rejection while the client is still sending its body. */
     @Test
-    void deliversTheRejectionOfABodyThatIsStillBeingSent() throws IOException {
+    void deliversARejectionWhileTheBodyIsStillBeingSent() throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpServerOptions options =
                 new HttpServerOptions(8_192, 16_384, 1_000, status -> HttpResponse.text(status, "rejected"));
@@ -67,9 +69,9 @@
                     String head = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
                     socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
                     socket.getOutputStream().write(new byte[BODY_BYTES]);
-                    String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+                    String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
 
-                    assertThat(answer).startsWith("HTTP/1.1 413");
+                    assertThat(response).startsWith("HTTP/1.1 413");
                 }
             }
         } finally {
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards the classification of failed calls, on which not-run answers depend. */
+/** Tests the stage that a failed request reports. The outcome {@code not-run} of an answer depends on it. */
 class HttpFaultTest {
     private static final long TIMEOUT_MS = 2_000;
 
@@ -27,7 +27,11 @@
     @BeforeEach
     void start() {
         server = HttpServer.listen(
-                group, new HostAddress("127.0.0.1", 0), HttpServerOptions.DEFAULTS, 2, (call, closed) -> answer(call));
+                group,
+                new HostAddress("127.0.0.1", 0),
+                HttpServerOptions.DEFAULTS,
+                2,
+                (request, closed) -> respond(request));
         client = new HttpClient(group, server.address(), HttpClientOptions.DEFAULTS);
     }
 
@@ -38,8 +42,8 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private static CompletableFuture<HttpResponse> answer(HttpRequest call) {
-        return switch (call.path()) {
+    private static CompletableFuture<HttpResponse> respond(HttpRequest request) {
+        return switch (request.path()) {
             case "/cut" ->
                 CompletableFuture.failedFuture(HttpAbortException.midResponse(HttpResponse.text(200, "x".repeat(100))));
             case "/lost" -> CompletableFuture.failedFuture(HttpAbortException.withoutResponse());
@@ -47,22 +51,23 @@
         };
     }
 
-    private Stage failureStage(HttpRequest call) {
+    private Stage failureStage(HttpRequest request) {
         CompletionException failure = catchThrowableOfType(
-                CompletionException.class, () -> client.send(call, TIMEOUT_MS).join());
+                CompletionException.class,
+                () -> client.send(request, TIMEOUT_MS).join());
         return ((HttpClientException) failure.getCause()).stage();
     }
 
-    /** Guards against a truncated answer being taken for a whole one. */
+    /** Guards against accepting a truncated response as a complete one. */
     @Test
-    void cutAnswerIsAFailureAfterSending() {
+    void truncatedResponseIsAFailureAfterSending() {
         assertThat(failureStage(HttpRequest.of("GET", "/cut"))).isEqualTo(Stage.SENT);
         assertThat(failureStage(HttpRequest.of("GET", "/lost"))).isEqualTo(Stage.SENT);
     }
 
-    /** Guards against a call that cannot be encoded being reported as possibly sent, after its whole timeout. */
+    /** Guards against reporting a request that cannot be encoded as possibly sent, and only after its timeout. */
     @Test
-    void invalidCallIsNotSentAndKeepsTheConnection() {
+    void invalidRequestIsNotSentAndKeepsTheConnection() {
         HttpRequest invalid = new HttpRequest("GET", "/", List.of(new Header("x", "a\r\nb")), new byte[0]);
         assertThat(failureStage(invalid)).isEqualTo(Stage.NOT_SENT);
         assertThat(client.send(HttpRequest.of("GET", "/"), TIMEOUT_MS).join().status())
@@ -70,9 +75,12 @@
         assertThat(client.openConnections()).isEqualTo(1);
     }
 
-    /** Guards against a pool that opens its first connections only under load, or more than the server serves. */
+    /**
+     * Guards against a client that does not open connections in advance, and against a server that serves more
+     * connections than its limit.
+     */
     @Test
-    void warmOpensConnectionsAndServerLimitHolds() throws InterruptedException {
+    void warmUpOpensConnectionsWithinTheServerLimit() throws InterruptedException {
         client.warmUp(5);
         for (int i = 0; i < 100 && server.openConnections() != 2; i++) {
             Thread.sleep(10);
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/PipeliningTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/PipeliningTest.java
@@ -21,21 +21,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards the order of answers to requests that a caller sends before it has read the earlier answers. */
+/** Tests the order of responses to pipelined requests, which a client sends without waiting for earlier responses. */
 class PipeliningTest {
-    private static final long ARRIVAL_LIMIT_S = 10;
+    private static final long ARRIVAL_TIMEOUT_S = 10;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<String> arrived = new LinkedBlockingQueue<>();
-    private final Map<String, CompletableFuture<HttpResponse>> replies = new ConcurrentHashMap<>();
-    private final Map<String, CompletableFuture<Void>> closes = new ConcurrentHashMap<>();
-    private final HttpServer server =
-            HttpServer.listen(group, new HostAddress("127.0.0.1", 0), HttpServerOptions.DEFAULTS, (call, closed) -> {
-                closes.put(call.target(), closed);
-                CompletableFuture<HttpResponse> reply =
-                        replies.computeIfAbsent(call.target(), target -> new CompletableFuture<>());
-                arrived.add(call.target());
-                return reply;
+    private final BlockingQueue<String> arrivedTargets = new LinkedBlockingQueue<>();
+    private final Map<String, CompletableFuture<HttpResponse>> responses = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<Void>> connectionClosures = new ConcurrentHashMap<>();
+    private final HttpServer server = HttpServer.listen(
+            group, new HostAddress("127.0.0.1", 0), HttpServerOptions.DEFAULTS, (request, connectionClosed) -> {
+                connectionClosures.put(request.target(), connectionClosed);
+                CompletableFuture<HttpResponse> response =
+                        responses.computeIfAbsent(request.target(), target -> new CompletableFuture<>());
+                arrivedTargets.add(request.target());
+                return response;
             });
 
     @AfterEach
@@ -58,12 +58,14 @@
 
     private void awaitArrival(String... targets) throws InterruptedException {
         for (String target : targets) {
-            assertThat(arrived.poll(ARRIVAL_LIMIT_S, TimeUnit.SECONDS)).isEqualTo(target);
+            assertThat(arrivedTargets.poll(ARRIVAL_TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(target);
         }
     }
 
-    private void reply(String target, Header... headers) {
-        replies.get(target).complete(new HttpResponse(200, List.of(headers), target.getBytes(StandardCharsets.US_ASCII)));
+    private void completeResponse(String target, Header... headers) {
+        responses
+                .get(target)
+                .complete(new HttpResponse(200, List.of(headers), target.getBytes(StandardCharsets.US_ASCII)));
     }
 
     private static String readAll(Socket socket) throws IOException {
@@ -71,52 +73,52 @@
     }
 
     @Test
-    void handlesRequestsTogetherAndAnswersInOrder() throws Exception {
+    void handlesRequestsConcurrentlyAndRespondsInOrder() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "/1", "/2", "/3");
             awaitArrival("/1", "/2", "/3");
-            reply("/3", new Header("connection", "close"));
-            reply("/2");
-            reply("/1");
-            String answers = readAll(socket);
-            assertThat(answers.indexOf("/1")).isLessThan(answers.indexOf("/2"));
-            assertThat(answers.indexOf("/2")).isLessThan(answers.indexOf("/3"));
-            assertThat(answers).containsIgnoringCase("connection: close");
+            completeResponse("/3", new Header("connection", "close"));
+            completeResponse("/2");
+            completeResponse("/1");
+            String output = readAll(socket);
+            assertThat(output.indexOf("/1")).isLessThan(output.indexOf("/2"));
+            assertThat(output.indexOf("/2")).isLessThan(output.indexOf("/3"));
+            assertThat(output).containsIgnoringCase("connection: close");
         }
     }
 
-    /** A request that was handed on must get its answer although an earlier answer asked to close the connection. */
+    /** Guards against a lost response to a request when the response to an earlier one asks to close the connection. */
     @Test
-    void onlyTheLastAnswerClosesTheConnection() throws Exception {
+    void onlyTheLastResponseClosesTheConnection() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "/1", "/2");
             awaitArrival("/1", "/2");
-            reply("/1", new Header("connection", "close"));
-            reply("/2", new Header("connection", "close"));
+            completeResponse("/1", new Header("connection", "close"));
+            completeResponse("/2", new Header("connection", "close"));
             assertThat(readAll(socket)).contains("/1").contains("/2");
         }
     }
 
-    /** A caller that leaves must be noticed while several of its requests wait. */
+    /** Guards against work for a client that closed its connection while several of its requests were pending. */
     @Test
-    void closeOfTheCallerReachesEveryRequest() throws Exception {
+    void closedConnectionIsSignalledToEveryRequest() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "/1", "/2");
             awaitArrival("/1", "/2");
         }
-        closes.get("/1").get(ARRIVAL_LIMIT_S, TimeUnit.SECONDS);
-        closes.get("/2").get(ARRIVAL_LIMIT_S, TimeUnit.SECONDS);
+        connectionClosures.get("/1").get(ARRIVAL_TIMEOUT_S, TimeUnit.SECONDS);
+        connectionClosures.get("/2").get(ARRIVAL_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Test
-    void malformedRequestIsRejectedAfterTheAnswersBeforeIt() throws Exception {
+    void malformedRequestIsRejectedAfterEarlierResponses() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "/1");
             awaitArrival("/1");
             socket.getOutputStream().write("nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            reply("/1");
-            String answers = readAll(socket);
-            assertThat(answers).startsWith("HTTP/1.1 200").contains("HTTP/1.1 400");
+            completeResponse("/1");
+            String output = readAll(socket);
+            assertThat(output).startsWith("HTTP/1.1 200").contains("HTTP/1.1 400");
         }
     }
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ClientConnectionHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ClientConnectionHandler.java
@@ -19,139 +19,156 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * One connection of {@link HttpClient}. Confined to its event loop; has at most one outstanding call. A call that
- * times out closes the connection, so that its late answer is never taken for that of another call.
+ * One connection of {@link HttpClient} with at most one request in progress. Confined to the event loop of its channel.
+ *
+ * <p>A request that times out closes the connection, so that its late response is never taken for the response to
+ * another request.
  */
 final class ClientConnectionHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final HttpClientOptions options;
-    private HttpRequest call;
-    private ChannelFuture written;
-    private CompletableFuture<HttpResponse> outstanding;
-    private Runnable release;
-    private ScheduledFuture<?> timeout;
-    private ScheduledFuture<?> idleClose;
+    private HttpRequest request;
+    private ChannelFuture requestWritten;
+
+    /** Result of the request in progress; null if there is none. */
+    private CompletableFuture<HttpResponse> pendingResponse;
+
+    /** Makes the connection available for the next request. */
+    private Runnable releaseConnection;
+
+    private ScheduledFuture<?> responseTimeout;
+    private ScheduledFuture<?> idleTimeout;
 
     ClientConnectionHandler(HttpClientOptions options) {
         this.options = options;
     }
 
+    /**
+     * Sends a request. Called on the event loop while no other request is in progress.
+     *
+     * @param response completed with the response, or with an {@link HttpClientException}; cancelling it closes the
+     *     connection
+     * @param newReleaseConnection run when the connection can be used for another request
+     */
     void send(
             Channel channel,
             HostAddress target,
-            HttpRequest newCall,
+            HttpRequest newRequest,
             long timeoutMs,
-            CompletableFuture<HttpResponse> result,
-            Runnable whenFree) {
-        if (idleClose != null) {
-            idleClose.cancel(false);
-            idleClose = null;
+            CompletableFuture<HttpResponse> response,
+            Runnable newReleaseConnection) {
+        if (idleTimeout != null) {
+            idleTimeout.cancel(false);
+            idleTimeout = null;
         }
         if (!channel.isActive()) {
-            result.completeExceptionally(
+            response.completeExceptionally(
                     new HttpClientException(Stage.NOT_SENT, "connection to " + target + " was closed", null));
             return;
         }
-        FullHttpRequest request;
+        FullHttpRequest nettyRequest;
         try {
-            request = request(target, newCall);
+            nettyRequest = toNettyRequest(target, newRequest);
         } catch (IllegalArgumentException e) {
-            whenFree.run();
-            result.completeExceptionally(new HttpClientException(Stage.NOT_SENT, "call is not valid HTTP", e));
+            newReleaseConnection.run();
+            response.completeExceptionally(new HttpClientException(Stage.NOT_SENT, "request is not valid HTTP", e));
             return;
         }
-        call = newCall;
-        outstanding = result;
-        release = whenFree;
-        timeout = channel.eventLoop()
+        request = newRequest;
+        pendingResponse = response;
+        releaseConnection = newReleaseConnection;
+        responseTimeout = channel.eventLoop()
                 .schedule(
-                        () -> failAndClose(channel, "no answer from " + target + " within " + timeoutMs + " ms", null),
+                        () -> failAndClose(
+                                channel, "no response from " + target + " within " + timeoutMs + " ms", null),
                         timeoutMs,
                         TimeUnit.MILLISECONDS);
-        written = channel.writeAndFlush(request);
-        result.whenComplete((reply, failure) -> {
-            if (result.isCancelled()) {
-                channel.eventLoop().execute(() -> closeIfOutstanding(channel, result));
+        requestWritten = channel.writeAndFlush(nettyRequest);
+        response.whenComplete((result, failure) -> {
+            if (response.isCancelled()) {
+                channel.eventLoop().execute(() -> closeIfPending(channel, response));
             }
         });
     }
 
-    private void closeIfOutstanding(Channel channel, CompletableFuture<HttpResponse> cancelled) {
-        if (outstanding == cancelled) {
-            failAndClose(channel, "call was cancelled", null);
+    private void closeIfPending(Channel channel, CompletableFuture<HttpResponse> cancelled) {
+        if (pendingResponse == cancelled) {
+            failAndClose(channel, "request was cancelled", null);
         }
     }
 
-    private static FullHttpRequest request(HostAddress target, HttpRequest call) {
-        FullHttpRequest request = new DefaultFullHttpRequest(
+    private static FullHttpRequest toNettyRequest(HostAddress target, HttpRequest request) {
+        FullHttpRequest nettyRequest = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(call.method()),
-                call.target(),
-                Unpooled.wrappedBuffer(call.body()));
-        HttpHeadersSupport.toNetty(call.headers(), request.headers());
-        request.headers()
-                .set(HttpHeaderNames.HOST, call.header(HttpHeadersSupport.HOST).orElse(target.toString()));
-        if (call.body().length > 0 || !("GET".equals(call.method()) || "HEAD".equals(call.method()))) {
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+                HttpMethod.valueOf(request.method()),
+                request.target(),
+                Unpooled.wrappedBuffer(request.body()));
+        HeaderConverter.toNetty(request.headers(), nettyRequest.headers());
+        nettyRequest
+                .headers()
+                .set(HttpHeaderNames.HOST, request.header(HeaderConverter.HOST).orElse(target.toString()));
+        if (request.body().length > 0 || !("GET".equals(request.method()) || "HEAD".equals(request.method()))) {
+            nettyRequest.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
-        return request;
+        return nettyRequest;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-        CompletableFuture<HttpResponse> result = outstanding;
-        Runnable whenFree = release;
-        if (result == null) {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse nettyResponse) {
+        CompletableFuture<HttpResponse> pending = pendingResponse;
+        Runnable release = releaseConnection;
+        if (pending == null) {
             context.close();
             return;
         }
-        if (response.decoderResult().isFailure()) {
+        if (nettyResponse.decoderResult().isFailure()) {
             failAndClose(
                     context.channel(),
-                    "the answer is not valid HTTP",
-                    response.decoderResult().cause());
+                    "the response is not valid HTTP",
+                    nettyResponse.decoderResult().cause());
             return;
         }
-        byte[] body = new byte[response.content().readableBytes()];
-        response.content().readBytes(body);
-        HttpResponse reply =
-                new HttpResponse(response.status().code(), HttpHeadersSupport.fromNetty(response.headers()), body);
-        if (!options.responseMatcher().matches(call, reply)) {
-            failAndClose(context.channel(), "the answer does not belong to the call", null);
+        byte[] body = new byte[nettyResponse.content().readableBytes()];
+        nettyResponse.content().readBytes(body);
+        HttpResponse response = new HttpResponse(
+                nettyResponse.status().code(), HeaderConverter.fromNetty(nettyResponse.headers()), body);
+        if (!options.responseMatcher().matches(request, response)) {
+            failAndClose(context.channel(), "the response does not belong to the request", null);
             return;
         }
-        timeout.cancel(false);
-        outstanding = null;
-        release = null;
-        // The server may answer before it has read the whole body; what follows on the connection would be misread.
-        if (HttpUtil.isKeepAlive(response) && written.isSuccess()) {
-            idleClose = context.executor()
+        responseTimeout.cancel(false);
+        pendingResponse = null;
+        releaseConnection = null;
+        // The server may respond before it has read the whole request body. It would then read the rest of that body
+        // as the start of the next request, so the connection cannot be reused.
+        if (HttpUtil.isKeepAlive(nettyResponse) && requestWritten.isSuccess()) {
+            idleTimeout = context.executor()
                     .schedule(() -> closeIfIdle(context), options.idleTimeoutMs(), TimeUnit.MILLISECONDS);
-            whenFree.run();
+            release.run();
         } else {
             context.close();
         }
-        result.complete(reply);
+        pending.complete(response);
     }
 
     private void closeIfIdle(ChannelHandlerContext context) {
-        if (outstanding == null) {
+        if (pendingResponse == null) {
             context.close();
         }
     }
 
     private void failAndClose(Channel channel, String message, Throwable cause) {
-        CompletableFuture<HttpResponse> result = outstanding;
-        outstanding = null;
+        CompletableFuture<HttpResponse> pending = pendingResponse;
+        pendingResponse = null;
         channel.close();
-        if (result != null) {
-            timeout.cancel(false);
-            result.completeExceptionally(new HttpClientException(Stage.SENT, message, cause));
+        if (pending != null) {
+            responseTimeout.cancel(false);
+            pending.completeExceptionally(new HttpClientException(Stage.SENT, message, cause));
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        failAndClose(context.channel(), "connection closed before the answer", null);
+        failAndClose(context.channel(), "connection closed before the response", null);
     }
 
     @Override
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpHeadersSupport.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HeaderConverter.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import org.coriandercrank.kernel.request.Header;
 
-/** Conversion between Netty's headers and {@link Header}. Stateless. */
-final class HttpHeadersSupport {
+/** Converts between Netty's headers and {@link Header}. Stateless. */
+final class HeaderConverter {
     static final String HOST = "host";
 
-    /** Fields that belong to one connection and are set by this package. */
+    /** Hop-by-hop header fields. They apply to one connection only and are set by this package. */
     private static final Set<String> CONNECTION_FIELDS = Set.of(
             "connection",
             "content-length",
@@ -25,8 +25,9 @@
             "transfer-encoding",
             "upgrade");
 
-    private HttpHeadersSupport() {}
+    private HeaderConverter() {}
 
+    /** Copies all headers except the hop-by-hop ones, with names in lower case. */
     static List<Header> fromNetty(HttpHeaders headers) {
         List<Header> result = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> entry : headers) {
@@ -38,6 +39,7 @@
         return result;
     }
 
+    /** Adds all headers except {@code Host} and the hop-by-hop ones. */
     static void toNetty(List<Header> headers, HttpHeaders target) {
         for (Header header : headers) {
             if (!CONNECTION_FIELDS.contains(header.name()) && !header.name().equals(HOST)) {
@@ -46,7 +48,8 @@
         }
     }
 
-    static Optional<String> first(List<Header> headers, String name) {
+    /** First value of a header; the name must be in lower case. */
+    static Optional<String> firstValue(List<Header> headers, String name) {
         for (Header header : headers) {
             if (header.name().equals(name)) {
                 return Optional.of(header.value());
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
@@ -3,30 +3,30 @@
 import java.util.Optional;
 
 /**
- * A handler's future that fails with this exception closes the connection without a complete answer. Used by
- * stand-ins to produce lost and cut answers. Immutable.
+ * Makes the server close the connection without a complete response, if the future returned by an {@link HttpHandler}
+ * fails with it. Simulated backend servers and stores use it to inject lost and truncated responses. Immutable.
  */
 public final class HttpAbortException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient HttpResponse truncatedResponse;
 
-    private HttpAbortException(HttpResponse cutReply) {
-        super("connection closed on purpose", null, false, false);
-        this.truncatedResponse = cutReply;
+    private HttpAbortException(HttpResponse truncatedResponse) {
+        super("connection closed without a complete response", null, false, false);
+        this.truncatedResponse = truncatedResponse;
     }
 
-    /** Closes the connection without writing any byte. */
+    /** Closes the connection without writing any byte of a response. */
     public static HttpAbortException withoutResponse() {
         return new HttpAbortException(null);
     }
 
-    /** Writes the head of a reply and half of its body, then closes the connection. */
-    public static HttpAbortException midResponse(HttpResponse reply) {
-        return new HttpAbortException(reply);
+    /** Writes the head of a response and half of its body, then closes the connection. */
+    public static HttpAbortException midResponse(HttpResponse response) {
+        return new HttpAbortException(response);
     }
 
-    /** The reply of which half is written. */
+    /** The response of which only a part is written; empty if nothing is written. */
     public Optional<HttpResponse> truncatedResponse() {
         return Optional.ofNullable(truncatedResponse);
     }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClient.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClient.java
@@ -19,28 +19,32 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * A client of one HTTP/1.1 server with a bounded pool of keep-alive connections; one call at a time on each.
+ * A client of one HTTP/1.1 server with a bounded pool of keep-alive connections. Each connection carries one request at
+ * a time.
  *
- * <p>Thread safe. The most recently used connection is used first. A call is written to at most one connection and is
- * never repeated by this class. Futures fail with {@link HttpClientException}; cancelling one closes the connection of its
- * call, which tells the server to stop.
+ * <p>Thread safe. The pool hands out the most recently used idle connection first. A request is written to at most one
+ * connection and never retried by this class. Futures fail with {@link HttpClientException}. Cancelling a future closes
+ * the connection of its request, from which the server can see that the response is no longer wanted.
  */
 public final class HttpClient implements AutoCloseable {
-    private record Waiting(HttpRequest call, long deadlineNanos, CompletableFuture<HttpResponse> result) {}
+    private record QueuedRequest(HttpRequest request, long deadlineNanos, CompletableFuture<HttpResponse> result) {}
 
     private final HostAddress target;
     private final HttpClientOptions options;
     private final Bootstrap bootstrap;
 
-    /** Guards the fields below. */
+    /** Guards the mutable fields below. */
     private final Object lock = new Object();
 
-    private final Deque<Channel> idle = new ArrayDeque<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private int open;
+    private final Deque<Channel> idleConnections = new ArrayDeque<>();
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+
+    /** Connections that are open or being opened. */
+    private int openConnections;
+
     private boolean closed;
 
-    /** The group stays the property of the creator. */
+    /** Creates a client without connections. The event loop group is not closed with the client. */
     public HttpClient(EventLoopGroup group, HostAddress target, HttpClientOptions options) {
         this.target = target;
         this.options = options;
@@ -60,129 +64,134 @@
                 });
     }
 
-    /** Sends a call; fails after {@code timeoutMs}, also while it waits for a connection. */
-    public CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMs) {
-        Waiting entry = new Waiting(
-                call, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs), new CompletableFuture<>());
+    /** Sends a request. The timeout includes the time that the request waits for a connection. */
+    public CompletableFuture<HttpResponse> send(HttpRequest request, long timeoutMs) {
+        QueuedRequest queued = new QueuedRequest(
+                request, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs), new CompletableFuture<>());
         Channel channel = null;
         boolean connect = false;
         synchronized (lock) {
             if (closed) {
-                return failed("client is closed");
+                return notSentFuture("client is closed");
             }
-            channel = pollActive();
-            if (channel == null && open < options.maxConnections()) {
-                open++;
+            channel = pollIdleConnection();
+            if (channel == null && openConnections < options.maxConnections()) {
+                openConnections++;
                 connect = true;
             } else if (channel == null) {
-                if (waiting.size() >= options.maxQueuedRequests()) {
-                    return failed("too many calls wait for a connection to " + target);
+                if (queue.size() >= options.maxQueuedRequests()) {
+                    return notSentFuture("too many requests wait for a connection to " + target);
                 }
-                waiting.add(entry);
+                queue.add(queued);
             }
         }
         if (channel != null) {
-            sendOn(channel, entry);
+            sendOn(channel, queued);
         } else if (connect) {
-            connect(entry);
+            connect(queued);
         } else {
-            scheduleWaitTimeout(entry, timeoutMs);
+            scheduleQueueTimeout(queued, timeoutMs);
         }
-        return entry.result;
+        return queued.result;
     }
 
-    /** Opens connections until {@code count} are open or being opened, within the limit of the pool. */
+    /**
+     * Opens connections in advance, so that the first requests do not wait for them.
+     *
+     * @param count number of connections that are then open or being opened; limited by the size of the pool
+     */
     public void warmUp(int count) {
         int missing;
         synchronized (lock) {
-            missing = closed ? 0 : Math.max(0, Math.min(count, options.maxConnections()) - open);
-            open += missing;
+            missing = closed ? 0 : Math.max(0, Math.min(count, options.maxConnections()) - openConnections);
+            openConnections += missing;
         }
         for (int i = 0; i < missing; i++) {
             bootstrap.connect(target.ip(), target.port()).addListener((io.netty.channel.ChannelFutureListener)
                     future -> {
                         if (future.isSuccess()) {
-                            future.channel().closeFuture().addListener(done -> connectionClosed());
+                            future.channel().closeFuture().addListener(done -> onConnectionClosed());
                             release(future.channel());
                         } else {
-                            connectionClosed();
+                            onConnectionClosed();
                         }
                     });
         }
     }
 
+    /** Number of connections that are open or being opened. */
     public int openConnections() {
         synchronized (lock) {
-            return open;
+            return openConnections;
         }
     }
 
-    private Channel pollActive() {
-        Channel channel = idle.pollFirst();
+    private Channel pollIdleConnection() {
+        Channel channel = idleConnections.pollFirst();
         while (channel != null && !channel.isActive()) {
-            channel = idle.pollFirst();
+            channel = idleConnections.pollFirst();
         }
         return channel;
     }
 
-    private void scheduleWaitTimeout(Waiting entry, long timeoutMs) {
-        bootstrap.config().group().next().schedule(() -> expire(entry), timeoutMs, TimeUnit.MILLISECONDS);
+    private void scheduleQueueTimeout(QueuedRequest queued, long timeoutMs) {
+        bootstrap.config().group().next().schedule(() -> failIfQueued(queued), timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    private void expire(Waiting entry) {
+    private void failIfQueued(QueuedRequest queued) {
         boolean removed;
         synchronized (lock) {
-            removed = waiting.remove(entry);
+            removed = queue.remove(queued);
         }
         if (removed) {
-            entry.result.completeExceptionally(notSent("no connection to " + target + " became free", null));
+            queued.result.completeExceptionally(notSentFailure("no connection to " + target + " became free", null));
         }
     }
 
-    private void connect(Waiting entry) {
+    private void connect(QueuedRequest queued) {
         bootstrap.connect(target.ip(), target.port()).addListener((io.netty.channel.ChannelFutureListener) future -> {
             if (!future.isSuccess()) {
-                connectionClosed();
-                entry.result.completeExceptionally(notConnected(future.cause()));
+                onConnectionClosed();
+                queued.result.completeExceptionally(connectFailure(future.cause()));
                 return;
             }
             Channel channel = future.channel();
-            channel.closeFuture().addListener(done -> connectionClosed());
-            sendOn(channel, entry);
+            channel.closeFuture().addListener(done -> onConnectionClosed());
+            sendOn(channel, queued);
         });
     }
 
-    private void sendOn(Channel channel, Waiting entry) {
-        if (entry.result.isDone()) {
+    private void sendOn(Channel channel, QueuedRequest queued) {
+        if (queued.result.isDone()) {
             release(channel);
             return;
         }
-        long remainingMs = TimeUnit.NANOSECONDS.toMillis(entry.deadlineNanos - System.nanoTime());
+        long remainingMs = TimeUnit.NANOSECONDS.toMillis(queued.deadlineNanos - System.nanoTime());
         if (remainingMs <= 0) {
             release(channel);
-            entry.result.completeExceptionally(notSent("deadline passed before sending to " + target, null));
+            queued.result.completeExceptionally(notSentFailure("deadline passed before sending to " + target, null));
             return;
         }
         ClientConnectionHandler handler = channel.pipeline().get(ClientConnectionHandler.class);
         if (handler == null) {
-            entry.result.completeExceptionally(notSent("connection to " + target + " was closed", null));
+            queued.result.completeExceptionally(notSentFailure("connection to " + target + " was closed", null));
             return;
         }
         channel.eventLoop()
-                .execute(() ->
-                        handler.send(channel, target, entry.call, remainingMs, entry.result, () -> release(channel)));
+                .execute(() -> handler.send(
+                        channel, target, queued.request, remainingMs, queued.result, () -> release(channel)));
     }
 
-    /** Hands a free connection to the next waiting call or to the pool. */
+    /** Hands a free connection to the next queued request, or returns it to the pool. */
     private void release(Channel channel) {
-        Waiting next;
+        QueuedRequest next;
         synchronized (lock) {
             if (!channel.isActive()) {
                 return;
             }
-            next = waiting.pollFirst();
+            next = queue.pollFirst();
             if (next == null && !closed) {
-                idle.addFirst(channel);
+                idleConnections.addFirst(channel);
             }
         }
         if (next != null) {
@@ -192,13 +201,14 @@
         }
     }
 
-    private void connectionClosed() {
-        Waiting next;
+    /** Opens a new connection for the next queued request, if there is one. */
+    private void onConnectionClosed() {
+        QueuedRequest next;
         synchronized (lock) {
-            open--;
-            next = waiting.pollFirst();
+            openConnections--;
+            next = queue.pollFirst();
             if (next != null) {
-                open++;
+                openConnections++;
             }
         }
         if (next != null) {
@@ -206,32 +216,33 @@
         }
     }
 
-    private static CompletableFuture<HttpResponse> failed(String message) {
-        return CompletableFuture.failedFuture(notSent(message, null));
+    private static CompletableFuture<HttpResponse> notSentFuture(String message) {
+        return CompletableFuture.failedFuture(notSentFailure(message, null));
     }
 
-    private HttpClientException notConnected(Throwable cause) {
+    private HttpClientException connectFailure(Throwable cause) {
         boolean refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return new HttpClientException(refused ? Stage.CONNECTION_REFUSED : Stage.NOT_SENT, "cannot connect to " + target, cause);
+        return new HttpClientException(
+                refused ? Stage.CONNECTION_REFUSED : Stage.NOT_SENT, "cannot connect to " + target, cause);
     }
 
-    private static HttpClientException notSent(String message, Throwable cause) {
+    private static HttpClientException notSentFailure(String message, Throwable cause) {
         return new HttpClientException(Stage.NOT_SENT, message, cause);
     }
 
-    /** Closes idle connections now and the others after their call; waiting calls fail. */
+    /** Closes idle connections immediately and the others after their current request. Queued requests fail. */
     @Override
     public void close() {
         Deque<Channel> toClose;
-        Deque<Waiting> toFail;
+        Deque<QueuedRequest> toFail;
         synchronized (lock) {
             closed = true;
-            toClose = new ArrayDeque<>(idle);
-            toFail = new ArrayDeque<>(waiting);
-            idle.clear();
-            waiting.clear();
+            toClose = new ArrayDeque<>(idleConnections);
+            toFail = new ArrayDeque<>(queue);
+            idleConnections.clear();
+            queue.clear();
         }
         toClose.forEach(Channel::close);
-        toFail.forEach(entry -> entry.result.completeExceptionally(notSent("client is closed", null)));
+        toFail.forEach(queued -> queued.result.completeExceptionally(notSentFailure("client is closed", null)));
     }
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientException.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientException.java
@@ -1,16 +1,16 @@
 package org.coriandercrank.http;
 
-/** Failure of a client call. Immutable. */
+/** Failure of a request that was sent with {@link HttpClient}. Immutable. */
 public final class HttpClientException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** How far the call got. */
+    /** How far the request got before it failed. */
     public enum Stage {
-        /** No byte of the request was written, because nothing listens at the address of the server. */
+        /** No byte of the request was written, because no process listens at the address of the server. */
         CONNECTION_REFUSED,
         /** No byte of the request was written. */
         NOT_SENT,
-        /** The server may have handled the request. */
+        /** The request was written at least in part, so the server may have handled it. */
         SENT
     }
 
@@ -25,12 +25,12 @@
         return stage;
     }
 
-    /** Whether a failure tells that no byte of the request was written. */
+    /** Whether a failure proves that no byte of the request was written. */
     public static boolean isNotSent(Throwable failure) {
         return failure instanceof HttpClientException e && e.stage != Stage.SENT;
     }
 
-    /** Whether a failure tells that nothing listens at the address of the server. */
+    /** Whether a failure shows that no process listens at the address of the server. */
     public static boolean isConnectionRefused(Throwable failure) {
         return failure instanceof HttpClientException e && e.stage == Stage.CONNECTION_REFUSED;
     }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpHandler.java
@@ -2,15 +2,15 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Answers requests of a server. Called on an I/O thread; must not block. */
+/** Handles the requests of an {@link HttpServer}. Called on an I/O thread; must not block. */
 @FunctionalInterface
 public interface HttpHandler {
     /**
-     * Starts handling a call.
+     * Starts handling a request.
      *
-     * @param closed completes when the caller's connection closes before the answer was written
-     * @return the answer; a failed future is answered with status 500, or closes the connection if it fails with
-     *     {@link HttpAbortException}
+     * @param connectionClosed completes if the client's connection closes before the response is written
+     * @return the response. If the future fails, the server responds with status 500, or closes the connection if the
+     *     failure is an {@link HttpAbortException}.
      */
-    CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed);
+    CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> connectionClosed);
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpRequest.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpRequest.java
@@ -6,11 +6,11 @@
 import org.coriandercrank.kernel.request.Header;
 
 /**
- * A request, on the server or the client side. Immutable by convention: the body array is not changed.
+ * An HTTP request, on the server or the client side. Immutable by convention: the body array must not be changed.
  *
  * @param target path and query, starting with a slash
- * @param headers without {@code Content-Length}, {@code Connection} and {@code Transfer-Encoding}; a client call without
- *     {@code Host} gets the address of its server
+ * @param headers with names in lower case, without hop-by-hop fields such as {@code Content-Length}, {@code Connection}
+ *     and {@code Transfer-Encoding}; a request of a client gets the address of the server as {@code Host} if it has none
  */
 public record HttpRequest(String method, String target, List<Header> headers, byte[] body) {
     public HttpRequest {
@@ -25,9 +25,9 @@
         return new HttpRequest(method, target, List.of(), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** First value of a header; the name is in lower case. */
+    /** First value of a header; the name must be in lower case. */
     public Optional<String> header(String name) {
-        return HttpHeadersSupport.first(headers, name);
+        return HeaderConverter.firstValue(headers, name);
     }
 
     /** The target without its query. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpResponse.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpResponse.java
@@ -5,7 +5,12 @@
 import java.util.Optional;
 import org.coriandercrank.kernel.request.Header;
 
-/** An answer, on the server or the client side. Immutable by convention: the body array is not changed. */
+/**
+ * An HTTP response, on the server or the client side. Immutable by convention: the body array must not be changed.
+ *
+ * @param headers with names in lower case; hop-by-hop fields are ignored when the response is written, except that
+ *     {@code connection: close} makes the server close the connection
+ */
 public record HttpResponse(int status, List<Header> headers, byte[] body) {
     public HttpResponse {
         headers = List.copyOf(headers);
@@ -23,16 +28,17 @@
         return new HttpResponse(status, List.of(new Header("content-type", contentType)), body);
     }
 
-    /** First value of a header; the name is in lower case. */
+    /** First value of a header; the name must be in lower case. */
     public Optional<String> header(String name) {
-        return HttpHeadersSupport.first(headers, name);
+        return HeaderConverter.firstValue(headers, name);
     }
 
-    /** Whether the header {@code connection: close} asks the server to close the connection after this answer. */
-    boolean asksForClose() {
+    /** Whether the server must close the connection after this response, because it has {@code connection: close}. */
+    boolean closesConnection() {
         return header("connection").map("close"::equalsIgnoreCase).orElse(false);
     }
 
+    /** The body decoded as UTF-8. */
     public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServer.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServer.java
@@ -16,28 +16,31 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * An HTTP/1.1 server with keep-alive; pipelined requests are answered in order, one at a time.
+ * An HTTP/1.1 server with keep-alive connections. Responses to pipelined requests are written in the order of the
+ * requests.
  *
- * <p>Thread safe. The handler runs on the I/O threads of the group that the creator passes and still owns.
+ * <p>Thread safe. The handler runs on the I/O threads of the given event loop group, which is not closed with the
+ * server.
  */
 public final class HttpServer implements AutoCloseable {
     private static final int ACCEPT_BACKLOG = 1_024;
+    private static final int MAX_CHUNK_BYTES = 8_192;
 
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger pendingResponses = new AtomicInteger();
-    private final Channel listener;
+    private final Channel listenChannel;
 
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicInteger peak = new AtomicInteger();
+    private final AtomicInteger openConnections = new AtomicInteger();
+    private final AtomicInteger peakConnections = new AtomicInteger();
 
     private HttpServer(
             EventLoopGroup group,
-            HostAddress listen,
+            HostAddress listenAddress,
             HttpServerOptions options,
             int maxConnections,
             HttpHandler handler)
             throws InterruptedException {
-        listener = new ServerBootstrap()
+        listenChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
@@ -46,70 +49,72 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        int count = open.incrementAndGet();
-                        channel.closeFuture().addListener(done -> open.decrementAndGet());
-                        if (count > maxConnections) {
+                        int openCount = openConnections.incrementAndGet();
+                        channel.closeFuture().addListener(done -> openConnections.decrementAndGet());
+                        if (openCount > maxConnections) {
                             channel.close();
                             return;
                         }
-                        peak.accumulateAndGet(count, Math::max);
+                        peakConnections.accumulateAndGet(openCount, Math::max);
                         connections.add(channel);
                         channel.pipeline()
                                 .addLast(new HttpServerCodec(
-                                        options.maxInitialLineBytes(), options.maxHeaderBytes(), 8_192))
+                                        options.maxInitialLineBytes(), options.maxHeaderBytes(), MAX_CHUNK_BYTES))
                                 .addLast(new ServerConnectionHandler(options, handler, pendingResponses));
                     }
                 })
-                .bind(listen.ip(), listen.port())
+                .bind(listenAddress.ip(), listenAddress.port())
                 .sync()
                 .channel();
     }
 
-    /** Listens at an address; port 0 takes a free port. Blocks until the port is bound. */
+    /** Starts a server. Port 0 selects a free port. Blocks until the port is bound. */
     public static HttpServer listen(
-            EventLoopGroup group, HostAddress listen, HttpServerOptions options, HttpHandler handler) {
-        return listen(group, listen, options, Integer.MAX_VALUE, handler);
+            EventLoopGroup group, HostAddress listenAddress, HttpServerOptions options, HttpHandler handler) {
+        return listen(group, listenAddress, options, Integer.MAX_VALUE, handler);
     }
 
-    /** As above; a connection beyond {@code maxConnections} is closed at once. */
+    /** Starts a server that closes each connection beyond {@code maxConnections} as soon as it is accepted. */
     public static HttpServer listen(
             EventLoopGroup group,
-            HostAddress listen,
+            HostAddress listenAddress,
             HttpServerOptions options,
             int maxConnections,
             HttpHandler handler) {
         try {
-            return new HttpServer(group, listen, options, maxConnections, handler);
+            return new HttpServer(group, listenAddress, options, maxConnections, handler);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted while binding " + listen, e);
+            throw new IllegalStateException("interrupted while binding " + listenAddress, e);
         }
     }
 
+    /** The address that the server is bound to. */
     public HostAddress address() {
-        InetSocketAddress bound = (InetSocketAddress) listener.localAddress();
+        InetSocketAddress bound = (InetSocketAddress) listenChannel.localAddress();
         return new HostAddress(bound.getAddress().getHostAddress(), bound.getPort());
     }
 
     public int openConnections() {
-        return open.get();
+        return openConnections.get();
     }
 
-    /** Most connections that were served at the same time since the start. */
+    /** Largest number of connections that were served at the same time since the start. */
     public int peakConnections() {
-        return peak.get();
+        return peakConnections.get();
     }
 
-    /** Calls whose answer has not yet been passed to the operating system as a whole. */
+    /** Number of requests whose response has not yet been passed to the operating system completely. */
     public int pendingResponses() {
         return pendingResponses.get();
     }
 
-    /** Accepts no further connections; open ones go on. */
+    /** Stops accepting connections. Open connections are still served. */
     public void stopAccepting() {
-        listener.close().syncUninterruptibly();
+        listenChannel.close().syncUninterruptibly();
     }
 
+    /** Stops accepting connections and closes the open ones. */
     @Override
     public void close() {
         stopAccepting();
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServerOptions.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServerOptions.java
@@ -5,11 +5,17 @@
 /**
  * Limits of an HTTP server. Immutable.
  *
- * @param rejectionResponse makes the answer to a request that the server cannot pass to the handler, from the HTTP status:
- *     400 malformed, 413 body too large, 431 header or request line too large
+ * @param maxInitialLineBytes largest request line
+ * @param maxHeaderBytes largest size of all header fields together
+ * @param maxBodyBytes largest request body
+ * @param rejectionResponse creates the response to a request that is not passed to the handler, from its HTTP status:
+ *     400 malformed request, 413 body too large, 431 header or request line too large
  */
 public record HttpServerOptions(
         int maxInitialLineBytes, int maxHeaderBytes, int maxBodyBytes, IntFunction<HttpResponse> rejectionResponse) {
-    public static final HttpServerOptions DEFAULTS =
-            new HttpServerOptions(8_192, 16_384, 8_388_608, status -> HttpResponse.text(status, "request rejected\n"));
+    public static final HttpServerOptions DEFAULTS = new HttpServerOptions(
+            /* maxInitialLineBytes= */ 8_192,
+            /* maxHeaderBytes= */ 16_384,
+            /* maxBodyBytes= */ 8_388_608,
+            status -> HttpResponse.text(status, "request rejected\n"));
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ResponseMatcher.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ResponseMatcher.java
@@ -1,10 +1,16 @@
 package org.coriandercrank.http;
 
-/** Tells whether a reply belongs to a call, for servers that may answer out of turn. Stateless. */
+/**
+ * Checks whether a response belongs to a request, for servers that may send the response to another request. Must be
+ * thread safe.
+ */
 @FunctionalInterface
 public interface ResponseMatcher {
     ResponseMatcher ACCEPT_ALL = (call, reply) -> true;
 
-    /** A reply that does not belong to the call closes the connection, and the call fails as sent. */
-    boolean matches(HttpRequest call, HttpResponse reply);
+    /**
+     * Whether the response belongs to the request. If not, the client closes the connection and fails the request with
+     * {@link HttpClientException.Stage#SENT}.
+     */
+    boolean matches(HttpRequest request, HttpResponse response);
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
@@ -32,90 +32,97 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One connection of {@link HttpServer}. Confined to its event loop.
+ * One connection of {@link HttpServer}. Confined to the event loop of its channel.
  *
- * <p>Invariant: answers are written in the order of the requests. Pipelined requests are handled at the same time, up to
- * a limit beyond which reading pauses. Only the last request taken can end the connection, so no request that was handed
- * to the handler is left without its answer; what follows is not read.
+ * <p>Responses are written in the order of the requests. Pipelined requests are handled concurrently up to a limit, at
+ * which reading pauses. The connection is closed only after the response to the last request that was passed to the
+ * handler, so that each such request gets its response. Input after that request is discarded.
  */
 final class ServerConnectionHandler extends SimpleChannelInboundHandler<HttpObject> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int STATUS_BAD_REQUEST = 400;
     private static final int STATUS_BODY_TOO_LARGE = 413;
     private static final int STATUS_HEADER_TOO_LARGE = 431;
-    private static final int STATUS_INTERNAL = 500;
-    private static final long CLOSE_WAIT_MS = 1_000;
+    private static final int STATUS_INTERNAL_ERROR = 500;
 
-    /** Requests of one connection that are handled at the same time. */
-    private static final int MAX_PIPELINED = 16;
+    /** Time in which the client must close the connection after the server has shut down its output. */
+    private static final long CLIENT_CLOSE_TIMEOUT_MS = 1_000;
 
-    /** A request that was handed to the handler and has no written answer. */
+    /** Largest number of requests of one connection that are handled concurrently. */
+    private static final int MAX_PIPELINED_REQUESTS = 16;
+
+    /** A request whose response has not been written yet. */
     private static final class Exchange {
-        private final CompletableFuture<Void> closed = new CompletableFuture<>();
-        private final boolean callerKeepsAlive;
+        private final CompletableFuture<Void> connectionClosed = new CompletableFuture<>();
+        private final boolean clientKeepsAlive;
         private final boolean headOnly;
-        private HttpResponse reply;
+        private HttpResponse response;
         private Throwable failure;
 
-        private Exchange(boolean callerKeepsAlive, boolean headOnly) {
-            this.callerKeepsAlive = callerKeepsAlive;
+        private Exchange(boolean clientKeepsAlive, boolean headOnly) {
+            this.clientKeepsAlive = clientKeepsAlive;
             this.headOnly = headOnly;
         }
 
-        private boolean isAnswered() {
-            return reply != null || failure != null;
+        private boolean hasResult() {
+            return response != null || failure != null;
         }
     }
 
     private final HttpServerOptions options;
     private final HttpHandler handler;
-    private final AtomicInteger openCalls;
-    private io.netty.handler.codec.http.HttpRequest head;
-    private ByteArrayOutputStream body;
-    private boolean stopped;
+    private final AtomicInteger pendingResponses;
+    private io.netty.handler.codec.http.HttpRequest requestHead;
+    private ByteArrayOutputStream requestBody;
+    private boolean discardsInput;
+
+    /** Requests without a written response, in the order of their arrival. */
     private final Deque<Exchange> exchanges = new ArrayDeque<>();
-    private final Deque<HttpObject> unread = new ArrayDeque<>();
 
-    ServerConnectionHandler(HttpServerOptions options, HttpHandler handler, AtomicInteger openCalls) {
+    /** Input that was decoded while the pipeline limit was reached. */
+    private final Deque<HttpObject> deferredInput = new ArrayDeque<>();
+
+    /** @param pendingResponses counter of all requests of the server whose response is not written yet */
+    ServerConnectionHandler(HttpServerOptions options, HttpHandler handler, AtomicInteger pendingResponses) {
         this.options = options;
         this.handler = handler;
-        this.openCalls = openCalls;
+        this.pendingResponses = pendingResponses;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (!unread.isEmpty() || mustWait()) {
-            unread.add(ReferenceCountUtil.retain(part));
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+        if (!deferredInput.isEmpty() || isAtPipelineLimit()) {
+            deferredInput.add(ReferenceCountUtil.retain(message));
             context.channel().config().setAutoRead(false);
             return;
         }
-        handle(context, part);
+        process(context, message);
     }
 
-    /** Whether a request that starts now has to wait for earlier ones. */
-    private boolean mustWait() {
-        return head == null && exchanges.size() >= MAX_PIPELINED;
+    /** Whether a request that starts now must wait until an earlier response is written. */
+    private boolean isAtPipelineLimit() {
+        return requestHead == null && exchanges.size() >= MAX_PIPELINED_REQUESTS;
     }
 
-    private void handle(ChannelHandlerContext context, HttpObject part) {
-        if (stopped) {
+    private void process(ChannelHandlerContext context, HttpObject message) {
+        if (discardsInput) {
             return;
         }
-        if (part.decoderResult().isFailure()) {
-            reject(context, statusOf(part.decoderResult().cause()));
+        if (message.decoderResult().isFailure()) {
+            reject(context, rejectionStatus(message.decoderResult().cause()));
             return;
         }
-        if (part instanceof io.netty.handler.codec.http.HttpRequest request) {
-            begin(context, request);
+        if (message instanceof io.netty.handler.codec.http.HttpRequest request) {
+            beginRequest(context, request);
         }
-        if (part instanceof HttpContent content && !stopped) {
-            append(context, content);
+        if (message instanceof HttpContent content && !discardsInput) {
+            appendBody(context, content);
         }
     }
 
-    private void begin(ChannelHandlerContext context, io.netty.handler.codec.http.HttpRequest request) {
-        head = request;
-        body = new ByteArrayOutputStream();
+    private void beginRequest(ChannelHandlerContext context, io.netty.handler.codec.http.HttpRequest request) {
+        requestHead = request;
+        requestBody = new ByteArrayOutputStream();
         if (HttpUtil.getContentLength(request, 0L) > options.maxBodyBytes()) {
             reject(context, STATUS_BODY_TOO_LARGE);
         } else if (HttpUtil.is100ContinueExpected(request) && exchanges.isEmpty()) {
@@ -124,14 +131,14 @@
         }
     }
 
-    private void append(ChannelHandlerContext context, HttpContent content) {
+    private void appendBody(ChannelHandlerContext context, HttpContent content) {
         int length = content.content().readableBytes();
-        if (body.size() + length > options.maxBodyBytes()) {
+        if (requestBody.size() + length > options.maxBodyBytes()) {
             reject(context, STATUS_BODY_TOO_LARGE);
             return;
         }
         try {
-            content.content().readBytes(body, length);
+            content.content().readBytes(requestBody, length);
         } catch (IOException e) {
             throw new IllegalStateException("in-memory stream failed", e);
         }
@@ -142,143 +149,154 @@
 
     private void dispatch(ChannelHandlerContext context) {
         Exchange exchange = new Exchange(
-                HttpUtil.isKeepAlive(head), "HEAD".equals(head.method().name()));
-        HttpRequest call = new HttpRequest(
-                head.method().name(), head.uri(), HttpHeadersSupport.fromNetty(head.headers()), body.toByteArray());
-        head = null;
-        body = null;
-        stopped = !exchange.callerKeepsAlive;
+                HttpUtil.isKeepAlive(requestHead),
+                "HEAD".equals(requestHead.method().name()));
+        HttpRequest request = new HttpRequest(
+                requestHead.method().name(),
+                requestHead.uri(),
+                HeaderConverter.fromNetty(requestHead.headers()),
+                requestBody.toByteArray());
+        requestHead = null;
+        requestBody = null;
+        discardsInput = !exchange.clientKeepsAlive;
         exchanges.add(exchange);
-        openCalls.incrementAndGet();
-        handleSafely(call, exchange.closed)
-                .whenComplete((reply, failure) -> context.executor().execute(() -> {
-                    exchange.reply = reply;
+        pendingResponses.incrementAndGet();
+        invokeHandler(request, exchange.connectionClosed)
+                .whenComplete((response, failure) -> context.executor().execute(() -> {
+                    exchange.response = response;
                     exchange.failure = failure;
-                    writeAnswered(context);
+                    writeReadyResponses(context);
                 }));
     }
 
-    /** Writes the answers that no unanswered request precedes. */
-    private void writeAnswered(ChannelHandlerContext context) {
-        while (!exchanges.isEmpty() && exchanges.peekFirst().isAnswered()) {
+    /** Writes the available responses up to the first request that has none yet. */
+    private void writeReadyResponses(ChannelHandlerContext context) {
+        while (!exchanges.isEmpty() && exchanges.peekFirst().hasResult()) {
             Exchange exchange = exchanges.pollFirst();
-            finish(context, exchange).addListener(done -> openCalls.decrementAndGet());
+            writeResponse(context, exchange).addListener(done -> pendingResponses.decrementAndGet());
         }
-        resume(context);
+        processDeferredInput(context);
     }
 
-    private ChannelFuture finish(ChannelHandlerContext context, Exchange exchange) {
-        if (exchange.failure != null && unwrap(exchange.failure) instanceof HttpAbortException abort) {
-            return abort(context, abort);
+    private ChannelFuture writeResponse(ChannelHandlerContext context, Exchange exchange) {
+        if (exchange.failure != null
+                && unwrapCompletionException(exchange.failure) instanceof HttpAbortException abort) {
+            return abortConnection(context, abort);
         }
-        HttpResponse reply = replyOrError(exchange.reply, exchange.failure);
+        HttpResponse response = responseOrInternalError(exchange.response, exchange.failure);
         boolean last = exchanges.isEmpty();
-        boolean keepAlive = !last || (exchange.callerKeepsAlive && !reply.asksForClose());
-        return write(context, reply, keepAlive, exchange.headOnly);
+        boolean keepAlive = !last || (exchange.clientKeepsAlive && !response.closesConnection());
+        return writeFullResponse(context, response, keepAlive, exchange.headOnly);
     }
 
-    private static Throwable unwrap(Throwable failure) {
+    private static Throwable unwrapCompletionException(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
 
-    /** The rest of a cut answer is missing, so the announced content length exceeds what is written. */
-    private ChannelFuture abort(ChannelHandlerContext context, HttpAbortException abort) {
-        stopped = true;
+    /**
+     * Closes the connection, after a part of the response if the exception has one. The announced content length then
+     * exceeds the bytes written, so that the client can see that the response is truncated.
+     */
+    private ChannelFuture abortConnection(ChannelHandlerContext context, HttpAbortException abort) {
+        discardsInput = true;
         if (abort.truncatedResponse().isEmpty()) {
             return context.close();
         }
-        HttpResponse reply = abort.truncatedResponse().get();
-        DefaultHttpResponse response =
-                new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()));
-        HttpHeadersSupport.toNetty(reply.headers(), response.headers());
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, reply.body().length + 1);
-        context.write(response);
+        HttpResponse response = abort.truncatedResponse().get();
+        DefaultHttpResponse nettyResponse =
+                new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()));
+        HeaderConverter.toNetty(response.headers(), nettyResponse.headers());
+        nettyResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length + 1);
+        context.write(nettyResponse);
         return context.writeAndFlush(new DefaultHttpContent(
-                        Unpooled.wrappedBuffer(Arrays.copyOf(reply.body(), reply.body().length / 2))))
+                        Unpooled.wrappedBuffer(Arrays.copyOf(response.body(), response.body().length / 2))))
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
-    private CompletableFuture<HttpResponse> handleSafely(HttpRequest call, CompletableFuture<Void> closed) {
+    private CompletableFuture<HttpResponse> invokeHandler(
+            HttpRequest request, CompletableFuture<Void> connectionClosed) {
         try {
-            return handler.handle(call, closed);
+            return handler.handle(request, connectionClosed);
         } catch (RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    private static HttpResponse replyOrError(HttpResponse reply, Throwable failure) {
+    private static HttpResponse responseOrInternalError(HttpResponse response, Throwable failure) {
         if (failure == null) {
-            return reply;
+            return response;
         }
         logger.atSevere().withCause(failure).log("event=http-handler-failed");
-        return HttpResponse.text(STATUS_INTERNAL, "internal error\n");
+        return HttpResponse.text(STATUS_INTERNAL_ERROR, "internal error\n");
     }
 
-    private ChannelFuture write(ChannelHandlerContext context, HttpResponse reply, boolean keepAlive, boolean headOnly) {
-        FullHttpResponse response = new DefaultFullHttpResponse(
+    private ChannelFuture writeFullResponse(
+            ChannelHandlerContext context, HttpResponse response, boolean keepAlive, boolean headOnly) {
+        FullHttpResponse nettyResponse = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()),
-                headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(reply.body()));
-        HttpHeadersSupport.toNetty(reply.headers(), response.headers());
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-        HttpUtil.setKeepAlive(response, keepAlive);
-        ChannelFuture written = context.writeAndFlush(response);
+                HttpResponseStatus.valueOf(response.status()),
+                headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(response.body()));
+        HeaderConverter.toNetty(response.headers(), nettyResponse.headers());
+        nettyResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        HttpUtil.setKeepAlive(nettyResponse, keepAlive);
+        ChannelFuture written = context.writeAndFlush(nettyResponse);
         if (!keepAlive) {
-            // A request that follows on a closing connection could run without its answer ever being written.
-            stopped = true;
-            written.addListener(done -> closeAfterCaller(context));
+            // The handler must not run later requests of this connection, because their responses cannot be written.
+            discardsInput = true;
+            written.addListener(done -> closeAfterClient(context));
         }
         return written;
     }
 
     /**
-     * Ends the output and discards further input until the caller closes, for a bounded time. Closing at once with
-     * unread input resets the connection, which can destroy the answer before the caller reads it.
+     * Shuts down the output and discards further input until the client closes the connection or a timeout passes.
+     * Closing immediately with unread input would reset the connection, and the reset can discard the response before
+     * the client has read it.
      */
-    private static void closeAfterCaller(ChannelHandlerContext context) {
+    private static void closeAfterClient(ChannelHandlerContext context) {
         if (context.channel() instanceof SocketChannel channel && channel.isActive()) {
             channel.config().setAutoRead(true);
             channel.shutdownOutput();
-            context.executor().schedule(() -> context.close(), CLOSE_WAIT_MS, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> context.close(), CLIENT_CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void resume(ChannelHandlerContext context) {
-        while (!unread.isEmpty() && !mustWait()) {
-            HttpObject part = unread.poll();
+    private void processDeferredInput(ChannelHandlerContext context) {
+        while (!deferredInput.isEmpty() && !isAtPipelineLimit()) {
+            HttpObject message = deferredInput.poll();
             try {
-                handle(context, part);
+                process(context, message);
             } finally {
-                ReferenceCountUtil.release(part);
+                ReferenceCountUtil.release(message);
             }
         }
-        if (unread.isEmpty()) {
+        if (deferredInput.isEmpty()) {
             context.channel().config().setAutoRead(true);
         }
     }
 
-    /** Answers a request that cannot be handled, after those before it, and ends the connection. */
+    /** Responds to a request that cannot be handled, after the earlier responses, and closes the connection. */
     private void reject(ChannelHandlerContext context, int status) {
-        stopped = true;
-        head = null;
+        discardsInput = true;
+        requestHead = null;
         Exchange exchange = new Exchange(false, false);
-        exchange.reply = options.rejectionResponse().apply(status);
+        exchange.response = options.rejectionResponse().apply(status);
         exchanges.add(exchange);
-        openCalls.incrementAndGet();
-        writeAnswered(context);
+        pendingResponses.incrementAndGet();
+        writeReadyResponses(context);
     }
 
-    private static int statusOf(Throwable cause) {
+    private static int rejectionStatus(Throwable cause) {
         boolean tooLong = cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
         return tooLong ? STATUS_HEADER_TOO_LARGE : STATUS_BAD_REQUEST;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        unread.forEach(ReferenceCountUtil::release);
-        unread.clear();
-        stopped = true;
-        exchanges.forEach(exchange -> exchange.closed.complete(null));
+        deferredInput.forEach(ReferenceCountUtil::release);
+        deferredInput.clear();
+        discardsInput = true;
+        exchanges.forEach(exchange -> exchange.connectionClosed.complete(null));
     }
 
     @Override
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/CallerProtocolTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/CallerProtocolTest.java
@@ -168,7 +168,8 @@
     void drainsByRefusingNewRequestsAndFinishingOthers() {
         CompletableFuture<CallerAnswer> held = new CompletableFuture<>();
         world.gate.answers = request -> held;
-        CompletableFuture<HttpResponse> first = CompletableFuture.supplyAsync(() -> world.call("GET", "/v1/cardfront/k1"));
+        CompletableFuture<HttpResponse> first =
+                CompletableFuture.supplyAsync(() -> world.call("GET", "/v1/cardfront/k1"));
         await(() -> world.ingress.inFlight() == 1);
 
         CompletableFuture<Void> drained = world.ingress.drain();
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -58,7 +58,8 @@
         this.metrics = new IngressMetrics(parts.meters());
         this.duty =
                 new RequestExecutor(parts.duties().create("ingress", RING_SLOTS_PER_REQUEST * options.maxInFlight()));
-        Balancer balancer = new Balancer(parts.region(), parts.failureDomain(), options.outlierDetection(), new Random());
+        Balancer balancer =
+                new Balancer(parts.region(), parts.failureDomain(), options.outlierDetection(), new Random());
         this.context =
                 new DispatchContext(parts, options, duty, balancer, new RetryBudgets(options.retryBudget()), metrics);
         metrics.registerGauges(inFlight::get, () -> excludedServers);
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
@@ -3,6 +3,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.channel.EventLoopGroup;
 import java.util.Optional;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.log.DecisionLog;
@@ -11,7 +12,6 @@
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
@@ -31,7 +31,19 @@
         long drainWriteTimeoutMs,
         OutlierDetectionOptions outlierDetection) {
     public static final IngressOptions DEFAULTS = new IngressOptions(
-            8_192, 24, 4, 1_500, 1_000, 5, 100, 1_000, 100, 1_000, RetryBudgetOptions.DEFAULTS, 5_000, OutlierDetectionOptions.DEFAULTS);
+            8_192,
+            24,
+            4,
+            1_500,
+            1_000,
+            5,
+            100,
+            1_000,
+            100,
+            1_000,
+            RetryBudgetOptions.DEFAULTS,
+            5_000,
+            OutlierDetectionOptions.DEFAULTS);
 
     public IngressOptions {
         if (maxInFlight < 1 || maxSendsPerRequest < 1 || maxAttemptIdsPerRequest < 1 || maxAttemptIdsPerRequest > 99) {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -16,8 +16,8 @@
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.ownership.GateLoad;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.placement.BalancingCandidate;
 import org.coriandercrank.kernel.placement.BalancingPolicy;
 import org.coriandercrank.kernel.table.BackendInfo;
@@ -53,7 +53,8 @@
         }
     }
 
-    public Balancer(Region region, FailureDomain failureDomain, OutlierDetectionOptions healthRules, RandomGenerator random) {
+    public Balancer(
+            Region region, FailureDomain failureDomain, OutlierDetectionOptions healthRules, RandomGenerator random) {
         this.region = region;
         this.failureDomain = failureDomain;
         this.healthRules = healthRules;
