--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ServerConnectionHandler.java
@@ -45,7 +45,7 @@
     private static final int STATUS_HEADER_TOO_LARGE = 431;
     private static final int STATUS_INTERNAL_ERROR = 500;
 
-    /** Time in which the client must close the connection after the server has shut down its output. */
+    /** Time after which the server closes a connection whose output it has shut down. */
     private static final long CLIENT_CLOSE_TIMEOUT_MS = 1_000;
 
     /** Largest number of requests of one connection that are handled concurrently. */
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
@@ -11,12 +11,13 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
 
-/** A gate that answers as a test says and fails on calls that are not ingress's to make. Thread safe. */
+/** A gate whose answers a test provides. Methods that ingress must not call throw. Thread safe. */
 final class FakeGate {
     final List<CallerRequest> submitted = new CopyOnWriteArrayList<>();
     final List<RequestId> cancelled = new CopyOnWriteArrayList<>();
-    volatile Function<CallerRequest, CompletableFuture<CallerAnswer>> answers = request ->
-            CompletableFuture.completedFuture(CallerAnswer.executed(200, List.of(), "local".getBytes(TestWorld.UTF8)));
+    volatile Function<CallerRequest, CompletableFuture<CallerAnswer>> answerFunction =
+            request -> CompletableFuture.completedFuture(
+                    CallerAnswer.executed(200, List.of(), "local".getBytes(IngressFixture.UTF8)));
 
     final OwnerGate gate = (OwnerGate) Proxy.newProxyInstance(
             FakeGate.class.getClassLoader(),
@@ -24,7 +25,7 @@
             (proxy, method, arguments) -> switch (method.getName()) {
                 case "submit" -> {
                     submitted.add((CallerRequest) arguments[0]);
-                    yield answers.apply((CallerRequest) arguments[0]);
+                    yield answerFunction.apply((CallerRequest) arguments[0]);
                 }
                 case "cancel" -> {
                     cancelled.add((RequestId) arguments[0]);
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakePeers.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakePeers.java
@@ -16,21 +16,22 @@
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
-/** Links to other daemons that answer as a test says. Thread safe. */
+/** A peer client that returns the answers that a test provides. Thread safe. */
 final class FakePeers implements PeerClient {
     final List<ForwardRequest> forwards = new CopyOnWriteArrayList<>();
     final List<PeerTarget> targets = new CopyOnWriteArrayList<>();
     final List<OutcomeQuery> queries = new CopyOnWriteArrayList<>();
     final List<Message> sent = new CopyOnWriteArrayList<>();
 
-    /** Called with the request and the number of the forward, from 1 on. */
+    /** Answers the n-th forwarded request. Arguments: the request and n, from 1 on. */
     volatile BiFunction<ForwardRequest, Integer, CompletableFuture<ForwardAnswer>> onForward = (r, n) -> executed();
 
+    /** Answers the n-th outcome query. Arguments: the query and n, from 1 on. */
     volatile BiFunction<OutcomeQuery, Integer, CompletableFuture<OutcomeAnswer>> onQuery =
             (q, n) -> failed(ResultCode.PEER_UNREACHABLE);
 
     static CompletableFuture<ForwardAnswer> executed() {
-        return answer(CallerAnswer.executed(200, List.of(), "remote".getBytes(TestWorld.UTF8)), 1);
+        return answer(CallerAnswer.executed(200, List.of(), "remote".getBytes(IngressFixture.UTF8)), 1);
     }
 
     static CompletableFuture<ForwardAnswer> answer(CallerAnswer answer, long generation) {
@@ -38,7 +39,7 @@
     }
 
     static <T> CompletableFuture<T> failed(ResultCode code) {
-        return CompletableFuture.failedFuture(new CrankException(code, "scripted"));
+        return CompletableFuture.failedFuture(new CrankException(code, "simulated failure"));
     }
 
     @Override
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeView.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeView.java
@@ -12,9 +12,9 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
 
-/** A view whose snapshot a test sets. Thread safe. */
+/** A routing view whose snapshot is set by a test. Thread safe. */
 final class FakeView implements RoutingView {
-    private final List<Map.Entry<Predicate<RoutingSnapshot>, CompletableFuture<RoutingSnapshot>>> waiting =
+    private final List<Map.Entry<Predicate<RoutingSnapshot>, CompletableFuture<RoutingSnapshot>>> pendingWaits =
             new CopyOnWriteArrayList<>();
     private volatile RoutingSnapshot current;
 
@@ -24,16 +24,17 @@
 
     synchronized void set(RoutingSnapshot snapshot) {
         current = snapshot;
-        for (var entry : List.copyOf(waiting)) {
+        for (var entry : List.copyOf(pendingWaits)) {
             if (entry.getKey().test(snapshot)) {
-                waiting.remove(entry);
+                pendingWaits.remove(entry);
                 entry.getValue().complete(snapshot);
             }
         }
     }
 
-    int waiting() {
-        return waiting.size();
+    /** Number of calls of {@link #await} whose condition has not been met, including those that timed out. */
+    int pendingWaits() {
+        return pendingWaits.size();
     }
 
     @Override
@@ -52,7 +53,7 @@
             return CompletableFuture.completedFuture(current);
         }
         CompletableFuture<RoutingSnapshot> result = new CompletableFuture<>();
-        waiting.add(Map.entry(condition, result));
+        pendingWaits.add(Map.entry(condition, result));
         CrankException timeout = new CrankException(ResultCode.CALL_TIMEOUT, "no such snapshot in " + waitMs + " ms");
         CompletableFuture.delayedExecutor(waitMs, TimeUnit.MILLISECONDS)
                 .execute(() -> result.completeExceptionally(timeout));
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/TestWorld.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/IngressFixture.java
@@ -41,19 +41,19 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 import org.coriandercrank.kernel.time.SystemTimerService;
 
-/** An ingress with fakes around it and an HTTP client that calls it over loopback. */
-final class TestWorld implements AutoCloseable {
+/** An {@link Ingress} with fake collaborators, and an HTTP client that is connected to it over loopback. */
+final class IngressFixture implements AutoCloseable {
     static final Charset UTF8 = StandardCharsets.UTF_8;
-    static final ServiceName KEYED = new ServiceName("cardfront");
-    static final ServiceName BALANCED = new ServiceName("shadebook");
+    static final ServiceName KEYED_SERVICE = new ServiceName("cardfront");
+    static final ServiceName UNKEYED_SERVICE = new ServiceName("shadebook");
     static final MemberId SELF = new MemberId("self");
     static final HostAddress LOOPBACK = new HostAddress("127.0.0.1", 0);
-    private static final long CALL_TIMEOUT_MS = 10_000;
+    private static final long RESPONSE_TIMEOUT_MS = 10_000;
 
-    final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     final SystemTimerService timers = new SystemTimerService();
     final SimpleMeterRegistry meters = new SimpleMeterRegistry();
-    final PeerHandlers handlers = new PeerHandlers();
+    final PeerHandlers peerHandlers = new PeerHandlers();
     final FakeGate gate = new FakeGate();
     final FakePeers peers = new FakePeers();
     final FakeView view;
@@ -61,15 +61,15 @@
     final HostAddress address;
     private final HttpClient client;
 
-    TestWorld(RoutingSnapshot snapshot, IngressOptions options) {
+    IngressFixture(RoutingSnapshot snapshot, IngressOptions options) {
         view = new FakeView(snapshot);
         ingress = new Ingress(
                 new IngressDependencies(
-                        group,
+                        eventLoopGroup,
                         view,
                         gate.gate,
                         peers,
-                        handlers,
+                        peerHandlers,
                         timers,
                         PluginRegistry.load(),
                         new DecisionLog(0, timers.clock()),
@@ -80,27 +80,27 @@
                         SingleThreadExecutor::new),
                 options);
         address = ingress.start(LOOPBACK);
-        client = new HttpClient(group, address, HttpClientOptions.DEFAULTS);
+        client = new HttpClient(eventLoopGroup, address, HttpClientOptions.DEFAULTS);
     }
 
-    /** Options with waits that are short enough for tests. */
-    static IngressOptions options(int budgetPercent, int budgetMinPerSecond) {
+    /** Options with short timeouts. */
+    static IngressOptions options(int retriesPercentOfRequests, int retriesPerSecond) {
         return new IngressOptions(
-                64,
-                24,
-                4,
-                300,
-                200,
-                5,
-                20,
-                100,
-                50,
-                1_500,
+                /* maxInFlight= */ 64,
+                /* maxSendsPerRequest= */ 24,
+                /* maxAttemptIdsPerRequest= */ 4,
+                /* rangeMoveWaitMs= */ 300,
+                /* ownerLostWaitMs= */ 200,
+                /* backoffStepMs= */ 5,
+                /* maxBackoffMs= */ 20,
+                /* outcomeQueryTimeoutMs= */ 100,
+                /* answerGracePeriodMs= */ 50,
+                /* defaultRetryAfterMs= */ 1_500,
                 new RetryBudgetOptions(
-                        budgetPercent / 100.0,
-                        budgetMinPerSecond,
-                        budgetMinPerSecond * 2 + (budgetPercent > 0 ? 100 : 0)),
-                5_000,
+                        retriesPercentOfRequests / 100.0,
+                        retriesPerSecond,
+                        retriesPerSecond * 2 + (retriesPercentOfRequests > 0 ? 100 : 0)),
+                /* drainWriteTimeoutMs= */ 5_000,
                 OutlierDetectionOptions.DEFAULTS);
     }
 
@@ -117,28 +117,39 @@
                 List.of());
     }
 
-    static RoutingSnapshot ownedBy(String owner, long generation, Member... members) {
-        Map<MemberId, VersionedMember> known = Arrays.stream(members)
+    /**
+     * A snapshot in which one member owns all keys of {@link #KEYED_SERVICE}.
+     *
+     * @param owner empty for a table without an owner
+     */
+    static RoutingSnapshot snapshotOwnedBy(String owner, long generation, Member... members) {
+        Map<MemberId, VersionedMember> versionedMembers = Arrays.stream(members)
                 .map(m -> new VersionedMember(m, new Revision(1)))
                 .collect(Collectors.toMap(k -> k.member().id(), Function.identity()));
-        Generation table = new Generation(generation);
+        Generation tableGeneration = new Generation(generation);
         List<RangeAssignment> ranges = owner.isEmpty()
                 ? List.of()
-                : List.of(new RangeAssignment(KeyRange.ALL, new MemberId(owner), table, List.of()));
+                : List.of(new RangeAssignment(KeyRange.ALL, new MemberId(owner), tableGeneration, List.of()));
         Configuration configuration = new Configuration(
-                List.of(ServiceConfig.withDefaults(KEYED, true), ServiceConfig.withDefaults(BALANCED, false)),
+                List.of(
+                        ServiceConfig.withDefaults(KEYED_SERVICE, true),
+                        ServiceConfig.withDefaults(UNKEYED_SERVICE, false)),
                 List.of(),
                 List.of());
         return new RoutingSnapshot(
-                SELF, new Revision(1), configuration, Map.of(KEYED, new AssignmentTable(KEYED, table, ranges)), known);
+                SELF,
+                new Revision(1),
+                configuration,
+                Map.of(KEYED_SERVICE, new AssignmentTable(KEYED_SERVICE, tableGeneration, ranges)),
+                versionedMembers);
     }
 
-    HttpResponse call(String method, String target, Header... headers) {
-        return client.send(new HttpRequest(method, target, List.of(headers), new byte[0]), CALL_TIMEOUT_MS)
+    HttpResponse send(String method, String target, Header... headers) {
+        return client.send(new HttpRequest(method, target, List.of(headers), new byte[0]), RESPONSE_TIMEOUT_MS)
                 .join();
     }
 
-    double count(String meter) {
+    double counterValue(String meter) {
         return meters.get(meter).counter().count();
     }
 
@@ -147,6 +158,6 @@
         client.close();
         ingress.close();
         timers.close();
-        group.shutdownGracefully();
+        eventLoopGroup.shutdownGracefully();
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
@@ -16,10 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each failure of a forward, for repeatable and other methods, with each answer to the outcome query. */
+/**
+ * Tests the outcome that a caller is told after each failure of a forwarded request, for repeatable and non-repeatable
+ * methods and each result of the outcome query.
+ */
 class OutcomeFaultTest {
-    /** Result of outcome queries. */
-    enum Query {
+    /** Results of the outcome queries of one request. {@code NONE} stands for a case without queries. */
+    enum QueryResult {
         NONE,
         FINISHED,
         RUNNING,
@@ -32,7 +35,7 @@
 
         CompletableFuture<OutcomeAnswer> answer(int number) {
             OutcomeAnswer finished =
-                    OutcomeAnswer.finished(CallerAnswer.executed(201, List.of(), "kept".getBytes(TestWorld.UTF8)));
+                    OutcomeAnswer.finished(CallerAnswer.executed(201, List.of(), "kept".getBytes(IngressFixture.UTF8)));
             return switch (this) {
                 case FINISHED -> CompletableFuture.completedFuture(finished);
                 case RUNNING -> CompletableFuture.completedFuture(OutcomeAnswer.of(State.RUNNING));
@@ -51,62 +54,84 @@
         }
     }
 
-    record Case(
+    record FaultCase(
             ResultCode failure,
             String method,
-            Query query,
-            ResultCode code,
-            String outcome,
-            int status,
-            int forwards,
-            boolean queried) {}
+            QueryResult queryResult,
+            ResultCode expectedCode,
+            String expectedOutcome,
+            int expectedStatus,
+            int expectedForwards,
+            boolean queryExpected) {}
 
-    static Stream<Case> cases() {
-        Stream<Case> notHandled = Stream.of(ResultCode.PEER_UNREACHABLE, ResultCode.WRONG_MEMBER)
+    static Stream<FaultCase> cases() {
+        Stream<FaultCase> notHandled = Stream.of(ResultCode.PEER_UNREACHABLE, ResultCode.WRONG_MEMBER)
                 .flatMap(f -> Stream.of("GET", "POST")
-                        .map(m -> new Case(f, m, Query.NONE, ResultCode.OK, "run", 200, 2, false)));
-        Stream<Case> lost = Stream.of(ResultCode.LINK_LOST, ResultCode.CALL_TIMEOUT, ResultCode.INTERNAL)
+                        .map(m -> new FaultCase(f, m, QueryResult.NONE, ResultCode.OK, "run", 200, 2, false)));
+        Stream<FaultCase> lost = Stream.of(ResultCode.LINK_LOST, ResultCode.CALL_TIMEOUT, ResultCode.INTERNAL)
                 .flatMap(f -> Stream.of(
-                        new Case(f, "GET", Query.NONE, ResultCode.OK, "run", 200, 2, false),
-                        new Case(f, "POST", Query.FINISHED, ResultCode.OK, "run", 201, 1, true),
-                        new Case(f, "POST", Query.RUNNING_THEN_FINISHED, ResultCode.OK, "run", 201, 1, true),
-                        new Case(f, "POST", Query.UNREACHABLE_THEN_FINISHED, ResultCode.OK, "run", 201, 1, true),
-                        new Case(f, "POST", Query.BARRED, ResultCode.OK, "run", 200, 2, true),
-                        new Case(f, "POST", Query.RUNNING, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true),
-                        new Case(f, "POST", Query.UNKNOWN, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true),
-                        new Case(f, "POST", Query.UNREACHABLE, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true),
-                        new Case(f, "POST", Query.WRONG_MEMBER, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true)));
+                        new FaultCase(f, "GET", QueryResult.NONE, ResultCode.OK, "run", 200, 2, false),
+                        new FaultCase(f, "POST", QueryResult.FINISHED, ResultCode.OK, "run", 201, 1, true),
+                        new FaultCase(f, "POST", QueryResult.RUNNING_THEN_FINISHED, ResultCode.OK, "run", 201, 1, true),
+                        new FaultCase(
+                                f, "POST", QueryResult.UNREACHABLE_THEN_FINISHED, ResultCode.OK, "run", 201, 1, true),
+                        new FaultCase(f, "POST", QueryResult.BARRED, ResultCode.OK, "run", 200, 2, true),
+                        new FaultCase(
+                                f, "POST", QueryResult.RUNNING, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true),
+                        new FaultCase(
+                                f, "POST", QueryResult.UNKNOWN, ResultCode.OUTCOME_UNKNOWN, "unknown", 504, 1, true),
+                        new FaultCase(
+                                f,
+                                "POST",
+                                QueryResult.UNREACHABLE,
+                                ResultCode.OUTCOME_UNKNOWN,
+                                "unknown",
+                                504,
+                                1,
+                                true),
+                        new FaultCase(
+                                f,
+                                "POST",
+                                QueryResult.WRONG_MEMBER,
+                                ResultCode.OUTCOME_UNKNOWN,
+                                "unknown",
+                                504,
+                                1,
+                                true)));
         return Stream.concat(notHandled, lost);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void tellsTheCallerWhatBecameOfTheRequest(Case fault) {
-        try (TestWorld world = new TestWorld(
-                TestWorld.ownedBy("b", 1, TestWorld.member("b", "east", TestWorld.KEYED, MemberState.ACTIVE)),
-                TestWorld.options(10, 10))) {
-            world.peers.onForward = (r, n) -> n == 1 ? FakePeers.failed(fault.failure) : FakePeers.executed();
-            world.peers.onQuery = (q, n) -> fault.query.answer(n);
+    void reportsTheOutcomeToTheCaller(FaultCase fault) {
+        try (IngressFixture fixture = new IngressFixture(
+                IngressFixture.snapshotOwnedBy(
+                        "b", 1, IngressFixture.member("b", "east", IngressFixture.KEYED_SERVICE, MemberState.ACTIVE)),
+                IngressFixture.options(10, 10))) {
+            fixture.peers.onForward = (r, n) -> n == 1 ? FakePeers.failed(fault.failure) : FakePeers.executed();
+            fixture.peers.onQuery = (q, n) -> fault.queryResult.answer(n);
 
-            HttpResponse reply = world.call(
+            HttpResponse response = fixture.send(
                     fault.method,
                     "/v1/cardfront/k1",
                     new Header("crank-deadline-ms", "400"),
                     new Header("crank-request-id", "r1"));
 
-            assertThat(reply.header("crank-result")).contains(Integer.toString(fault.code.number()));
-            assertThat(reply.header("crank-outcome")).contains(fault.outcome);
-            assertThat(reply.header("crank-request-id")).contains("r1");
-            assertThat(reply.status()).isEqualTo(fault.status);
-            assertThat(world.peers.forwards).hasSize(fault.forwards);
-            boolean certainlyNotHandled = fault.query == Query.NONE && fault.failure.outcome() == Outcome.NOT_RUN;
-            assertThat(world.peers.forwards.stream()
+            assertThat(response.header("crank-result")).contains(Integer.toString(fault.expectedCode.number()));
+            assertThat(response.header("crank-outcome")).contains(fault.expectedOutcome);
+            assertThat(response.header("crank-request-id")).contains("r1");
+            assertThat(response.status()).isEqualTo(fault.expectedStatus);
+            assertThat(fixture.peers.forwards).hasSize(fault.expectedForwards);
+            boolean certainlyNotHandled =
+                    fault.queryResult == QueryResult.NONE && fault.failure.outcome() == Outcome.NOT_RUN;
+            assertThat(fixture.peers.forwards.stream()
                             .map(f -> f.request().id().value())
                             .distinct())
                     .as("a barred or possibly running id is not sent again")
-                    .hasSize(certainlyNotHandled ? 1 : fault.forwards);
-            assertThat(world.peers.queries.isEmpty()).isEqualTo(!fault.queried);
-            assertThat(world.peers.queries).allMatch(q -> q.requestId().value().equals("r1"));
+                    .hasSize(certainlyNotHandled ? 1 : fault.expectedForwards);
+            assertThat(fixture.peers.queries.isEmpty()).isEqualTo(!fault.queryExpected);
+            assertThat(fixture.peers.queries)
+                    .allMatch(q -> q.requestId().value().equals("r1"));
         }
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RouteSelectorTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RouteSelectorTest.java
@@ -10,7 +10,10 @@
 import org.coriandercrank.kernel.id.ServiceName;
 import org.junit.jupiter.api.Test;
 
-/** Guards the shares of weighted services, which are checked over a few hundred requests of all daemons. */
+/**
+ * Tests the shares of weighted services. They are checked over a few hundred requests to all daemons together, so that
+ * each daemon must match the weights over few requests.
+ */
 class RouteSelectorTest {
     private static final ServiceName OLD = new ServiceName("old");
     private static final ServiceName NEW = new ServiceName("new");
@@ -31,7 +34,7 @@
         return new Configuration(List.of(), List.of(), List.of(), List.of(route));
     }
 
-    private Map<ServiceName, Integer> counts(Configuration configuration, int requests) {
+    private Map<ServiceName, Integer> countSelections(Configuration configuration, int requests) {
         Map<ServiceName, Integer> counts = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             counts.merge(
@@ -45,13 +48,15 @@
     }
 
     @Test
-    void sharesHoldOverFewRequests() {
-        assertThat(counts(configuration(90, 10), 20)).containsEntry(OLD, 18).containsEntry(NEW, 2);
+    void sharesMatchTheWeightsOverFewRequests() {
+        assertThat(countSelections(configuration(90, 10), 20))
+                .containsEntry(OLD, 18)
+                .containsEntry(NEW, 2);
     }
 
     @Test
-    void newWeightsCountAtOnce() {
-        counts(configuration(90, 10), 7);
-        assertThat(counts(configuration(0, 5), 10)).containsOnly(Map.entry(NEW, 10));
+    void newWeightsApplyImmediately() {
+        countSelections(configuration(90, 10), 7);
+        assertThat(countSelections(configuration(0, 5), 10)).containsOnly(Map.entry(NEW, 10));
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
@@ -22,161 +22,174 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests the choice of the target of a request, its retries and its final answer. */
 class RoutingTest {
-    private static final Member B = TestWorld.member("b", "east", TestWorld.KEYED, MemberState.ACTIVE);
-    private static final Member C = TestWorld.member("c", "east", TestWorld.KEYED, MemberState.ACTIVE);
+    private static final Member MEMBER_B =
+            IngressFixture.member("b", "east", IngressFixture.KEYED_SERVICE, MemberState.ACTIVE);
+    private static final Member MEMBER_C =
+            IngressFixture.member("c", "east", IngressFixture.KEYED_SERVICE, MemberState.ACTIVE);
     private static final String PATH = "/v1/cardfront/k1";
 
-    private static TestWorld world(RoutingSnapshot snapshot) {
-        return new TestWorld(snapshot, TestWorld.options(10, 10));
+    private static IngressFixture newFixture(RoutingSnapshot snapshot) {
+        return new IngressFixture(snapshot, IngressFixture.options(10, 10));
     }
 
-    private static void assertResult(HttpResponse reply, ResultCode code, String outcome) {
-        assertThat(reply.header("crank-result")).contains(Integer.toString(code.number()));
-        assertThat(reply.header("crank-outcome")).contains(outcome);
+    private static void assertResult(HttpResponse response, ResultCode code, String outcome) {
+        assertThat(response.header("crank-result")).contains(Integer.toString(code.number()));
+        assertThat(response.header("crank-outcome")).contains(outcome);
     }
 
     @Test
     void sendsToTheLocalGateIfThisDaemonOwnsTheKey() {
-        try (TestWorld world = world(TestWorld.ownedBy("self", 1))) {
-            HttpResponse reply = world.call("GET", PATH);
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("self", 1))) {
+            HttpResponse response = fixture.send("GET", PATH);
 
-            assertThat(reply.bodyText()).isEqualTo("local");
-            assertThat(reply.header("crank-owner")).contains("self");
-            assertThat(world.peers.forwards).isEmpty();
+            assertThat(response.bodyText()).isEqualTo("local");
+            assertThat(response.header("crank-owner")).contains("self");
+            assertThat(fixture.peers.forwards).isEmpty();
         }
     }
 
-    /** Guards against more than one extra hop, or a lost request, when the table is stale. */
+    /** Guards against more than one extra hop, and against a lost request, if the table of this daemon is stale. */
     @Test
     void waitsForTheNewerTableThatARefusalNames() {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B, C))) {
-            world.peers.onForward = (r, n) -> {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B, MEMBER_C))) {
+            fixture.peers.onForward = (r, n) -> {
                 if (n > 1) {
                     return FakePeers.executed();
                 }
-                world.timers.once(30, Runnable::run, () -> world.view.set(TestWorld.ownedBy("c", 2, B, C)));
+                fixture.timers.once(
+                        30,
+                        Runnable::run,
+                        () -> fixture.view.set(IngressFixture.snapshotOwnedBy("c", 2, MEMBER_B, MEMBER_C)));
                 return FakePeers.answer(CallerAnswer.of(ResultCode.NOT_OWNER, "moved"), 2);
             };
 
-            HttpResponse reply = world.call("POST", PATH);
+            HttpResponse response = fixture.send("POST", PATH);
 
-            assertResult(reply, ResultCode.OK, "run");
-            assertThat(reply.header("crank-owner")).contains("c");
-            assertThat(world.peers.targets.stream().map(t -> t.member().value()))
+            assertResult(response, ResultCode.OK, "run");
+            assertThat(response.header("crank-owner")).contains("c");
+            assertThat(fixture.peers.targets.stream().map(t -> t.member().value()))
                     .containsExactly("b", "c");
-            assertThat(world.count("crank.ingress.extra.hops")).isEqualTo(1);
+            assertThat(fixture.counterValue("crank.ingress.extra.hops")).isEqualTo(1);
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"RANGE_MOVING", "NOT_OWNER", "LEASE_LAPSED", "DRAINING"})
-    void holdsARequestWhileItsRangeMoves(ResultCode code) {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
-            world.peers.onForward =
+    void resendsARequestWhileItsRangeMoves(ResultCode code) {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B))) {
+            fixture.peers.onForward =
                     (r, n) -> n < 4 ? FakePeers.answer(CallerAnswer.of(code, "not now"), 1) : FakePeers.executed();
 
-            assertResult(world.call("POST", PATH), ResultCode.OK, "run");
-            assertThat(world.peers.forwards)
+            assertResult(fixture.send("POST", PATH), ResultCode.OK, "run");
+            assertThat(fixture.peers.forwards)
                     .hasSize(4)
                     .allMatch(f -> f.request()
                             .id()
-                            .equals(world.peers.forwards.get(0).request().id()));
+                            .equals(fixture.peers.forwards.get(0).request().id()));
         }
     }
 
     @ParameterizedTest
     @EnumSource(names = {"RANGE_MOVING", "NOT_OWNER", "LEASE_LAPSED", "DRAINING"})
-    void givesUpAfterTheHold(ResultCode code) {
-        assertGivesUp(code, FakePeers.answer(CallerAnswer.of(code, "not now"), 1));
+    void returnsTheRefusalAfterTheWaitLimit(ResultCode code) {
+        assertRefusedAfterWaitLimit(code, FakePeers.answer(CallerAnswer.of(code, "not now"), 1));
     }
 
     @Test
-    void givesUpOnAnUnreachableOwnerAfterTheHold() {
-        assertGivesUp(ResultCode.OWNER_UNREACHABLE, FakePeers.failed(ResultCode.PEER_UNREACHABLE));
+    void returnsARefusalAfterTheWaitLimitIfTheOwnerIsUnreachable() {
+        assertRefusedAfterWaitLimit(ResultCode.OWNER_UNREACHABLE, FakePeers.failed(ResultCode.PEER_UNREACHABLE));
     }
 
-    private static void assertGivesUp(ResultCode code, CompletableFuture<ForwardAnswer> forwarded) {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
-            world.peers.onForward = (r, n) -> forwarded;
+    private static void assertRefusedAfterWaitLimit(ResultCode code, CompletableFuture<ForwardAnswer> forwarded) {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B))) {
+            fixture.peers.onForward = (r, n) -> forwarded;
             long startedAtNanos = System.nanoTime();
 
-            HttpResponse reply = world.call("POST", PATH);
+            HttpResponse response = fixture.send("POST", PATH);
 
-            assertResult(reply, code, "not-run");
-            assertThat(reply.header("retry-after")).contains("2");
-            assertThat(reply.header("crank-retry-after-ms")).contains("1500");
+            assertResult(response, code, "not-run");
+            assertThat(response.header("retry-after")).contains("2");
+            assertThat(response.header("crank-retry-after-ms")).contains("1500");
             assertThat((System.nanoTime() - startedAtNanos) / 1_000_000).isLessThan(1_000);
-            assertThat(world.peers.queries).isEmpty();
+            assertThat(fixture.peers.queries).isEmpty();
         }
     }
 
-    static Stream<RoutingSnapshot> withoutOwner() {
+    static Stream<RoutingSnapshot> snapshotsWithoutOwner() {
         return Stream.of(
-                TestWorld.ownedBy("", 1, B),
-                TestWorld.ownedBy("gone", 1, B),
-                TestWorld.ownedBy("c", 1, B, C.withState(MemberState.SEALED)));
+                IngressFixture.snapshotOwnedBy("", 1, MEMBER_B),
+                IngressFixture.snapshotOwnedBy("gone", 1, MEMBER_B),
+                IngressFixture.snapshotOwnedBy("c", 1, MEMBER_B, MEMBER_C.withState(MemberState.SEALED)));
     }
 
     @ParameterizedTest
-    @MethodSource("withoutOwner")
-    void waitsABoundedTimeForANewOwner(RoutingSnapshot snapshot) {
-        try (TestWorld world = world(snapshot)) {
-            HttpResponse refused = world.call("GET", PATH);
-            world.timers.once(50, Runnable::run, () -> world.view.set(TestWorld.ownedBy("b", 2, B)));
-            HttpResponse served = world.call("GET", PATH);
+    @MethodSource("snapshotsWithoutOwner")
+    void waitsForANewOwnerUpToTheLimit(RoutingSnapshot snapshot) {
+        try (IngressFixture fixture = newFixture(snapshot)) {
+            HttpResponse refused = fixture.send("GET", PATH);
+            fixture.timers.once(
+                    50, Runnable::run, () -> fixture.view.set(IngressFixture.snapshotOwnedBy("b", 2, MEMBER_B)));
+            HttpResponse served = fixture.send("GET", PATH);
 
             assertResult(refused, ResultCode.NO_OWNER, "not-run");
             assertResult(served, ResultCode.OK, "run");
         }
     }
 
-    /** Guards against held requests that no table can help: an owner in the other region keeps its lease there. */
+    /**
+     * Guards against waiting for a new owner that cannot appear: an unreachable owner in the other region can still renew
+     * its lease there.
+     */
     @Test
-    void refusesAtOnceIfAnOwnerInTheOtherRegionIsUnreachable() {
-        Member remote = TestWorld.member("r", "west", TestWorld.KEYED, MemberState.ACTIVE);
-        try (TestWorld world = world(TestWorld.ownedBy("r", 1, remote))) {
-            world.peers.onForward = (r, n) -> FakePeers.failed(ResultCode.PEER_UNREACHABLE);
-            HttpResponse reply = world.call("GET", PATH);
-
-            assertResult(reply, ResultCode.OWNER_UNREACHABLE, "not-run");
-            assertThat(world.view.waiting()).isZero();
+    void refusesImmediatelyIfAnOwnerInTheOtherRegionIsUnreachable() {
+        Member remote = IngressFixture.member("r", "west", IngressFixture.KEYED_SERVICE, MemberState.ACTIVE);
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("r", 1, remote))) {
+            fixture.peers.onForward = (r, n) -> FakePeers.failed(ResultCode.PEER_UNREACHABLE);
+            HttpResponse response = fixture.send("GET", PATH);
+
+            assertResult(response, ResultCode.OWNER_UNREACHABLE, "not-run");
+            assertThat(fixture.view.pendingWaits()).isZero();
         }
     }
 
-    /** Guards against retries that multiply an overload, and against {@code not-run} for the lost first attempt. */
+    /** Guards against retries that amplify an overload, and against {@code not-run} after a lost first attempt. */
     @Test
     void stopsRetriesWhenTheBudgetIsEmpty() {
-        try (TestWorld world = new TestWorld(TestWorld.ownedBy("b", 1, B), TestWorld.options(0, 0))) {
-            world.peers.onForward = (r, n) -> FakePeers.failed(ResultCode.LINK_LOST);
-
-            assertResult(world.call("GET", PATH), ResultCode.OUTCOME_UNKNOWN, "unknown");
-            assertThat(world.peers.forwards).hasSize(1);
-            assertThat(world.count("crank.ingress.retry.budget.refusals")).isEqualTo(1);
+        try (IngressFixture fixture =
+                new IngressFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B), IngressFixture.options(0, 0))) {
+            fixture.peers.onForward = (r, n) -> FakePeers.failed(ResultCode.LINK_LOST);
+
+            assertResult(fixture.send("GET", PATH), ResultCode.OUTCOME_UNKNOWN, "unknown");
+            assertThat(fixture.peers.forwards).hasSize(1);
+            assertThat(fixture.counterValue("crank.ingress.retry.budget.refusals"))
+                    .isEqualTo(1);
         }
     }
 
-    /** Guards against repeats beyond the budget to a server that does not hold a range: each arrives there. */
+    /** Guards against unlimited resends to a server that does not hold a range, since each resend reaches the server. */
     @Test
-    void repeatsOfRejectedRequestsTakeFromTheBudget() {
-        try (TestWorld world = new TestWorld(TestWorld.ownedBy("b", 1, B), TestWorld.options(0, 1))) {
-            world.peers.onForward =
+    void resendsAfterFenceRejectionsUseTheRetryBudget() {
+        try (IngressFixture fixture =
+                new IngressFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B), IngressFixture.options(0, 1))) {
+            fixture.peers.onForward =
                     (r, n) -> FakePeers.answer(CallerAnswer.of(ResultCode.FENCE_REJECTED, "not held"), 1);
 
-            assertResult(world.call("GET", PATH), ResultCode.RETRY_BUDGET_EXHAUSTED, "not-run");
-            assertThat(world.peers.forwards).hasSize(3);
+            assertResult(fixture.send("GET", PATH), ResultCode.RETRY_BUDGET_EXHAUSTED, "not-run");
+            assertThat(fixture.peers.forwards).hasSize(3);
         }
     }
 
-    /** Guards against a second execution of a request that a caller repeats through another daemon. */
+    /** Guards against a second execution of a request that the caller repeats through another daemon. */
     @Test
-    void followsTheChainOfIdsWhenAnIdIsBarred() {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
-            world.peers.onForward = (r, n) ->
+    void usesTheNextAttemptIdWhenAnIdIsBarred() {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B))) {
+            fixture.peers.onForward = (r, n) ->
                     n == 1 ? FakePeers.answer(CallerAnswer.of(ResultCode.BARRED, "barred"), 1) : FakePeers.executed();
 
-            assertResult(world.call("POST", PATH, new Header("crank-request-id", "r1")), ResultCode.OK, "run");
-            assertThat(world.peers.forwards.stream().map(f -> f.request().id().value()))
+            assertResult(fixture.send("POST", PATH, new Header("crank-request-id", "r1")), ResultCode.OK, "run");
+            assertThat(fixture.peers.forwards.stream().map(f -> f.request().id().value()))
                     .containsExactly("r1", "r1..2");
         }
     }
@@ -192,58 +205,58 @@
                 "IDEMPOTENCY_KEY_REUSED",
                 "OUTCOME_UNKNOWN"
             })
-    void passesOtherAnswersOfTheOwnerOnAtOnce(ResultCode code) {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
-            world.peers.onForward = (r, n) -> FakePeers.answer(CallerAnswer.of(code, "final"), 1);
+    void returnsOtherAnswersOfTheOwnerWithoutResending(ResultCode code) {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B))) {
+            fixture.peers.onForward = (r, n) -> FakePeers.answer(CallerAnswer.of(code, "final"), 1);
 
-            assertResult(world.call("POST", PATH), code, code.outcome().headerValue());
-            assertThat(world.peers.forwards).hasSize(1);
+            assertResult(fixture.send("POST", PATH), code, code.outcome().headerValue());
+            assertThat(fixture.peers.forwards).hasSize(1);
         }
     }
 
     @Test
-    void answersAtTheDeadlineWhileAnAttemptIsOutstanding() {
-        try (TestWorld world = world(TestWorld.ownedBy("b", 1, B))) {
-            world.peers.onForward = (r, n) -> new CompletableFuture<>();
+    void answersAtTheDeadlineIfAnAttemptIsOutstanding() {
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("b", 1, MEMBER_B))) {
+            fixture.peers.onForward = (r, n) -> new CompletableFuture<>();
 
-            HttpResponse reply = world.call("POST", PATH, new Header("crank-deadline-ms", "50"));
+            HttpResponse response = fixture.send("POST", PATH, new Header("crank-deadline-ms", "50"));
 
-            assertResult(reply, ResultCode.DEADLINE_EXPIRED_RUNNING, "unknown");
-            assertThat(world.peers.forwards.get(0).request().remainingMs()).isBetween(1L, 50L);
+            assertResult(response, ResultCode.DEADLINE_EXPIRED_RUNNING, "unknown");
+            assertThat(fixture.peers.forwards.get(0).request().remainingMs()).isBetween(1L, 50L);
         }
     }
 
     @Test
     void triesAnotherServerOfABalancedServiceAfterARefusal() {
-        Member x = TestWorld.member("x", "east", TestWorld.BALANCED, MemberState.ACTIVE);
-        Member y = TestWorld.member("y", "east", TestWorld.BALANCED, MemberState.ACTIVE);
-        Member leaving = TestWorld.member("z", "east", TestWorld.BALANCED, MemberState.LEAVING);
-        try (TestWorld world = world(TestWorld.ownedBy("", 1, x, y, leaving))) {
-            world.peers.onForward = (r, n) ->
+        Member x = IngressFixture.member("x", "east", IngressFixture.UNKEYED_SERVICE, MemberState.ACTIVE);
+        Member y = IngressFixture.member("y", "east", IngressFixture.UNKEYED_SERVICE, MemberState.ACTIVE);
+        Member leaving = IngressFixture.member("z", "east", IngressFixture.UNKEYED_SERVICE, MemberState.LEAVING);
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("", 1, x, y, leaving))) {
+            fixture.peers.onForward = (r, n) ->
                     n == 1 ? FakePeers.answer(CallerAnswer.of(ResultCode.OVERLOADED, "full"), 1) : FakePeers.executed();
 
-            assertResult(world.call("POST", "/v1/shadebook/a"), ResultCode.OK, "run");
-            assertThat(world.peers.targets.stream().map(t -> t.member().value()))
+            assertResult(fixture.send("POST", "/v1/shadebook/a"), ResultCode.OK, "run");
+            assertThat(fixture.peers.targets.stream().map(t -> t.member().value()))
                     .containsExactlyInAnyOrder("x", "y");
         }
     }
 
     @Test
     void passesMessagesOfOtherDaemonsToTheLocalGate() {
-        try (TestWorld world = world(TestWorld.ownedBy("self", 7))) {
-            world.call("GET", PATH);
-            ForwardRequest forward = new ForwardRequest(world.gate.submitted.get(0), new Generation(3));
-            ForwardAnswer answer = (ForwardAnswer) world.handlers
+        try (IngressFixture fixture = newFixture(IngressFixture.snapshotOwnedBy("self", 7))) {
+            fixture.send("GET", PATH);
+            ForwardRequest forward = new ForwardRequest(fixture.gate.submitted.get(0), new Generation(3));
+            ForwardAnswer answer = (ForwardAnswer) fixture.peerHandlers
                     .find(forward)
                     .orElseThrow()
                     .handle(new MemberId("b"), forward)
                     .join();
             CancelRequest cancel = new CancelRequest(new RequestId("r9"));
-            world.handlers.find(cancel).orElseThrow().handle(new MemberId("b"), cancel);
+            fixture.peerHandlers.find(cancel).orElseThrow().handle(new MemberId("b"), cancel);
 
             assertThat(answer.tableGeneration()).isEqualTo(new Generation(7));
             assertThat(answer.answer().code()).isEqualTo(ResultCode.OK);
-            assertThat(world.gate.cancelled).containsExactly(new RequestId("r9"));
+            assertThat(fixture.gate.cancelled).containsExactly(new RequestId("r9"));
         }
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/BalancingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/BalancingTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests the load balancing policies, the locality filter and outlier detection. */
 class BalancingTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final HostAddress ADDRESS = new HostAddress("127.0.0.1", 0);
 
     private static BalancingCandidate candidate(
@@ -43,7 +44,7 @@
     }
 
     @Test
-    void offersThePoliciesByName() {
+    void registersThePoliciesByName() {
         assertThat(PluginRegistry.load().names(Kind.BALANCING))
                 .containsExactly("expected-time", "least-in-flight", "round-robin", "two-choices");
     }
@@ -57,9 +58,9 @@
         assertThat(new TwoChoicesPolicy().choose(candidates, new Random(1))).isEqualTo(1);
     }
 
-    /** Guards against a policy that always sends to one of several equal servers. */
+    /** Guards against a policy that always chooses the same one of several equal servers. */
     @Test
-    void spreadsOverEqualServers() {
+    void spreadsRequestsOverEqualServers() {
         List<BalancingCandidate> equal = Stream.of("a", "b", "c", "d")
                 .map(id -> candidate(id, 0, true, true, 100))
                 .toList();
@@ -75,69 +76,75 @@
         }
     }
 
-    record Spill(Locality locality, int own, int region, int remote, Set<String> expected) {}
+    /**
+     * Loads of three servers and the servers that must remain.
+     *
+     * @param sameDomainLoad requests in flight to the server in the failure domain of this daemon
+     */
+    record LocalityCase(
+            Locality locality, int sameDomainLoad, int sameRegionLoad, int otherRegionLoad, Set<String> expected) {}
 
-    static Stream<Spill> spills() {
+    static Stream<LocalityCase> localityCases() {
         return Stream.of(
-                new Spill(Locality.DOMAIN_FIRST, 0, 0, 0, Set.of("own")),
-                new Spill(Locality.DOMAIN_FIRST, 4, 0, 0, Set.of("own")),
-                new Spill(Locality.DOMAIN_FIRST, 5, 0, 0, Set.of("own", "region")),
-                new Spill(Locality.DOMAIN_FIRST, 13, 5, 0, Set.of("own")),
-                new Spill(Locality.DOMAIN_FIRST, 15, 5, 5, Set.of("own", "region")),
-                new Spill(Locality.DOMAIN_FIRST, 40, 13, 0, Set.of("own", "region", "remote")),
-                new Spill(Locality.REGION_FIRST, 0, 5, 0, Set.of("own", "region")),
-                new Spill(Locality.REGION_FIRST, 40, 13, 0, Set.of("own", "region", "remote")),
-                new Spill(Locality.ANY, 0, 5, 5, Set.of("own", "region", "remote")));
+                new LocalityCase(Locality.DOMAIN_FIRST, 0, 0, 0, Set.of("own")),
+                new LocalityCase(Locality.DOMAIN_FIRST, 4, 0, 0, Set.of("own")),
+                new LocalityCase(Locality.DOMAIN_FIRST, 5, 0, 0, Set.of("own", "region")),
+                new LocalityCase(Locality.DOMAIN_FIRST, 13, 5, 0, Set.of("own")),
+                new LocalityCase(Locality.DOMAIN_FIRST, 15, 5, 5, Set.of("own", "region")),
+                new LocalityCase(Locality.DOMAIN_FIRST, 40, 13, 0, Set.of("own", "region", "remote")),
+                new LocalityCase(Locality.REGION_FIRST, 0, 5, 0, Set.of("own", "region")),
+                new LocalityCase(Locality.REGION_FIRST, 40, 13, 0, Set.of("own", "region", "remote")),
+                new LocalityCase(Locality.ANY, 0, 5, 5, Set.of("own", "region", "remote")));
     }
 
     @ParameterizedTest
-    @MethodSource("spills")
-    void prefersNearServersUntilTheyAreClearlyBusier(Spill spill) {
+    @MethodSource("localityCases")
+    void prefersNearServersUntilTheyAreClearlyBusier(LocalityCase localityCase) {
         List<BalancingCandidate> chosen = LocalityFilter.apply(
                 List.of(
-                        candidate("own", spill.own, true, true, 100),
-                        candidate("region", spill.region, false, true, 100),
-                        candidate("remote", spill.remote, false, false, 100)),
-                spill.locality);
+                        candidate("own", localityCase.sameDomainLoad, true, true, 100),
+                        candidate("region", localityCase.sameRegionLoad, false, true, 100),
+                        candidate("remote", localityCase.otherRegionLoad, false, false, 100)),
+                localityCase.locality);
 
         assertThat(chosen.stream().map(c -> c.member().id().value()).collect(Collectors.toSet()))
-                .isEqualTo(spill.expected);
+                .isEqualTo(localityCase.expected);
     }
 
     @Test
-    void excludesABadServerAndReadmitsItAfterGoodProbes() {
-        HealthTracker tracker = new HealthTracker(OutlierDetectionOptions.DEFAULTS);
-        MemberId bad = new MemberId("a");
-        tracker.retain(Set.of(bad, new MemberId("b"), new MemberId("c")));
+    void excludesAFailingServerAndReadmitsItAfterSuccessfulProbes() {
+        OutlierDetector detector = new OutlierDetector(OutlierDetectionOptions.DEFAULTS);
+        MemberId failing = new MemberId("a");
+        detector.setServers(Set.of(failing, new MemberId("b"), new MemberId("c")));
         for (int i = 0; i < 10; i++) {
-            tracker.record(bad, false, 0);
+            detector.recordResult(failing, false, 0);
         }
-        assertThat(tracker.isExcluded(bad)).isTrue();
-        assertThat(tracker.tryProbe(bad, 249 * MS)).isFalse();
+        assertThat(detector.isExcluded(failing)).isTrue();
+        assertThat(detector.tryProbe(failing, 249 * NANOS_PER_MS)).isFalse();
 
         int probes = 0;
-        for (long nowMs = 250; tracker.isExcluded(bad); nowMs += 10) {
-            if (tracker.tryProbe(bad, nowMs * MS)) {
-                tracker.record(bad, true, nowMs * MS);
+        for (long nowMs = 250; detector.isExcluded(failing); nowMs += 10) {
+            if (detector.tryProbe(failing, nowMs * NANOS_PER_MS)) {
+                detector.recordResult(failing, true, nowMs * NANOS_PER_MS);
                 probes++;
             }
         }
         assertThat(probes).isBetween(10, 40);
     }
 
-    /** Guards against a common fault, such as a bad release, that excludes all servers of a service. */
+    /** Guards against excluding all servers of a service if all fail together, for example after a faulty release. */
     @Test
     void neverExcludesMoreThanTheAllowedShare() {
-        HealthTracker tracker = new HealthTracker(OutlierDetectionOptions.DEFAULTS);
+        OutlierDetector detector = new OutlierDetector(OutlierDetectionOptions.DEFAULTS);
         Set<MemberId> servers =
                 Stream.of("a", "b", "c", "d", "e", "f").map(MemberId::new).collect(Collectors.toSet());
-        tracker.retain(servers);
+        detector.setServers(servers);
         for (int i = 0; i < 100; i++) {
-            servers.forEach(server -> tracker.record(server, false, 0));
+            servers.forEach(server -> detector.recordResult(server, false, 0));
         }
-        assertThat(tracker.excludedCount()).isEqualTo(2);
+        assertThat(detector.excludedCount()).isEqualTo(2);
 
-        tracker.retain(Set.of(new MemberId("a"), new MemberId("b")));
-        assertThat(tracker.excludedCount()).isZero();
+        detector.setServers(Set.of(new MemberId("a"), new MemberId("b")));
+        assertThat(detector.excludedCount()).isZero();
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimeTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimeTest.java
@@ -16,15 +16,20 @@
 import org.coriandercrank.kernel.table.MemberState;
 import org.junit.jupiter.api.Test;
 
-/** Guards against requests that queue at a slow or full server while another could answer sooner. */
+/** Guards against requests that wait at a slow or full server although another server could answer sooner. */
 class ExpectedTimeTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    /** Speed of each server relative to {@link #SERVICE_TIME_MS}. */
     private static final double[] SPEEDS = {0.5, 1.0, 1.0, 1.5};
-    private static final double WORK_MS = 200;
-    private static final int SLOTS = 18;
 
-    /** Latency objective of the requests of the users' payments. */
-    private static final double OBJECTIVE_MS = 600;
+    /** Service time of a request at a server of speed 1. */
+    private static final double SERVICE_TIME_MS = 200;
+
+    private static final int SLOTS_PER_SERVER = 18;
+
+    /** Latency objective of payment requests. */
+    private static final double LATENCY_OBJECTIVE_MS = 600;
 
     private final Random random = new Random(5);
     private final ExpectedTimePolicy policy = new ExpectedTimePolicy();
@@ -44,61 +49,71 @@
     }
 
     /**
-     * A service whose servers differ in speed by three, at 90% of their capacity: replays the arrivals against servers
-     * that tell their load with each answer, as seen by four daemons of which each knows only its own requests.
+     * Simulates a service at 90% of its capacity whose servers differ in speed by a factor of three. Four daemons send the
+     * requests. Each knows its own requests and the load that a server reports with each answer.
      */
     @Test
-    void busyServersOfDifferentSpeedAnswerWithinTheObjective() {
+    void busyServersOfDifferentSpeedsMeetTheLatencyObjective() {
         int daemons = 4;
-        List<LoadBoard> boards = new ArrayList<>();
-        int[][] own = new int[daemons][SPEEDS.length];
-        for (int d = 0; d < daemons; d++) {
-            boards.add(new LoadBoard());
+        List<LoadEstimator> estimators = new ArrayList<>();
+        int[][] ownInFlight = new int[daemons][SPEEDS.length];
+        for (int daemon = 0; daemon < daemons; daemon++) {
+            estimators.add(new LoadEstimator());
         }
         int[] pending = new int[SPEEDS.length];
-        double[] credit = new double[SPEEDS.length];
+        double[] completedWork = new double[SPEEDS.length];
         List<int[]> running = new ArrayList<>();
-        double perMs = 0.9 * SLOTS * 4.0 / WORK_MS;
-        double arrivals = 0;
-        int late = 0;
-        int total = 0;
-        for (long ms = 0; ms < 20_000; ms++) {
-            for (arrivals += perMs; arrivals >= 1; arrivals--) {
-                int d = random.nextInt(daemons);
+        double arrivalsPerMs = 0.9 * SLOTS_PER_SERVER * 4.0 / SERVICE_TIME_MS;
+        double dueArrivals = 0;
+        int lateRequests = 0;
+        int totalRequests = 0;
+        for (long nowMs = 0; nowMs < 20_000; nowMs++) {
+            for (dueArrivals += arrivalsPerMs; dueArrivals >= 1; dueArrivals--) {
+                int daemon = random.nextInt(daemons);
                 List<BalancingCandidate> candidates = new ArrayList<>();
-                for (int s = 0; s < SPEEDS.length; s++) {
-                    double expectedMs = boards.get(d).expectedMs(member(s).id(), own[d][s], ms * MS);
-                    candidates.add(new BalancingCandidate(member(s), own[d][s], true, true, 100, expectedMs));
+                for (int server = 0; server < SPEEDS.length; server++) {
+                    double expectedMs = estimators
+                            .get(daemon)
+                            .expectedMs(member(server).id(), ownInFlight[daemon][server], nowMs * NANOS_PER_MS);
+                    candidates.add(new BalancingCandidate(
+                            member(server), ownInFlight[daemon][server], true, true, 100, expectedMs));
                 }
                 int chosen = policy.choose(candidates, random);
-                total++;
+                totalRequests++;
                 pending[chosen]++;
-                double rounds = Math.max(1, (double) pending[chosen] / SLOTS);
-                late += rounds * WORK_MS / SPEEDS[chosen] > OBJECTIVE_MS ? 1 : 0;
-                own[d][chosen]++;
-                running.add(new int[] {chosen, d});
+                double serviceRounds = Math.max(1, (double) pending[chosen] / SLOTS_PER_SERVER);
+                lateRequests += serviceRounds * SERVICE_TIME_MS / SPEEDS[chosen] > LATENCY_OBJECTIVE_MS ? 1 : 0;
+                ownInFlight[daemon][chosen]++;
+                running.add(new int[] {chosen, daemon});
             }
-            for (int s = 0; s < SPEEDS.length; s++) {
-                credit[s] += Math.min(SLOTS, pending[s]) * SPEEDS[s] / WORK_MS;
-                while (credit[s] >= 1 && pending[s] > 0) {
-                    credit[s]--;
-                    finish(s, running, own, pending, boards, ms);
+            for (int server = 0; server < SPEEDS.length; server++) {
+                completedWork[server] += Math.min(SLOTS_PER_SERVER, pending[server]) * SPEEDS[server] / SERVICE_TIME_MS;
+                while (completedWork[server] >= 1 && pending[server] > 0) {
+                    completedWork[server]--;
+                    completeOne(server, running, ownInFlight, pending, estimators, nowMs);
                 }
             }
         }
-        assertThat(total).isGreaterThan(6_000);
-        assertThat((double) late / total).isLessThan(0.02);
+        assertThat(totalRequests).isGreaterThan(6_000);
+        assertThat((double) lateRequests / totalRequests).isLessThan(0.02);
     }
 
-    private static void finish(
-            int server, List<int[]> running, int[][] own, int[] pending, List<LoadBoard> boards, long ms) {
+    private static void completeOne(
+            int server,
+            List<int[]> running,
+            int[][] ownInFlight,
+            int[] pending,
+            List<LoadEstimator> estimators,
+            long nowMs) {
         for (int i = 0; i < running.size(); i++) {
             if (running.get(i)[0] == server) {
-                int d = running.remove(i)[1];
+                int daemon = running.remove(i)[1];
                 pending[server]--;
-                GateLoad load = new GateLoad(pending[server], SLOTS, WORK_MS / SPEEDS[server]);
-                boards.get(d).learn(member(server).id(), load, own[d][server], ms * MS);
-                own[d][server]--;
+                GateLoad load = new GateLoad(pending[server], SLOTS_PER_SERVER, SERVICE_TIME_MS / SPEEDS[server]);
+                estimators
+                        .get(daemon)
+                        .recordReport(member(server).id(), load, ownInFlight[daemon][server], nowMs * NANOS_PER_MS);
+                ownInFlight[daemon][server]--;
                 return;
             }
         }
@@ -118,13 +133,14 @@
         }
     }
 
-    /** A server that was full once must not be avoided for ever on an old report. */
+    /** Guards against avoiding a server forever because of an old report that it was full. */
     @Test
-    void oldReportFades() {
-        LoadBoard board = new LoadBoard();
-        board.learn(member(0).id(), new GateLoad(90, SLOTS, 200), 0, 0);
-        assertThat(board.expectedMs(member(0).id(), 0, 0)).isGreaterThan(1_000);
-        assertThat(board.expectedMs(member(0).id(), 0, 2_000 * MS)).isEqualTo(200);
-        assertThat(board.expectedMs(member(1).id(), 0, 0)).isZero();
+    void oldReportDecays() {
+        LoadEstimator estimator = new LoadEstimator();
+        estimator.recordReport(member(0).id(), new GateLoad(90, SLOTS_PER_SERVER, 200), 0, 0);
+        assertThat(estimator.expectedMs(member(0).id(), 0, 0)).isGreaterThan(1_000);
+        assertThat(estimator.expectedMs(member(0).id(), 0, 2_000 * NANOS_PER_MS))
+                .isEqualTo(200);
+        assertThat(estimator.expectedMs(member(1).id(), 0, 0)).isZero();
     }
 }
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A deterministic trial of exclusion with two thresholds against a single one: four servers get 200 requests/s in turn
- * for ten minutes; one of them alternates between 2 s with 20% and 2 s with 95% success.
+ * Compares outlier detection with two thresholds to a single threshold, deterministically. Four servers receive 200
+ * requests/s in turn for ten minutes. One of them alternates between 2 s with 20% and 2 s with 95% successful requests.
  */
 class FlappingServerTrialTest {
     private static final int MINUTES = 10;
@@ -23,27 +23,27 @@
 
     record Result(double exclusionsPerMinute, int failed, int requests) {}
 
-    private static Result run(OutlierDetectionOptions rules) {
-        HealthTracker tracker = new HealthTracker(rules);
-        tracker.retain(Set.copyOf(SERVERS));
+    private static Result run(OutlierDetectionOptions options) {
+        OutlierDetector detector = new OutlierDetector(options);
+        detector.setServers(Set.copyOf(SERVERS));
         Random random = new Random(20);
         int failed = 0;
         int requests = 0;
-        int turn = 0;
+        int nextServerIndex = 0;
         for (int nowMs = 0; nowMs < MINUTES * 60_000; nowMs += REQUEST_INTERVAL_MS) {
             long nowNanos = nowMs * 1_000_000L;
-            boolean probe = tracker.tryProbe(FLAPPING, nowNanos);
-            MemberId server = probe ? FLAPPING : SERVERS.get(turn++ % SERVERS.size());
-            if (!probe && tracker.isExcluded(server)) {
-                server = SERVERS.get(1 + turn % (SERVERS.size() - 1));
+            boolean probe = detector.tryProbe(FLAPPING, nowNanos);
+            MemberId server = probe ? FLAPPING : SERVERS.get(nextServerIndex++ % SERVERS.size());
+            if (!probe && detector.isExcluded(server)) {
+                server = SERVERS.get(1 + nextServerIndex % (SERVERS.size() - 1));
             }
             double successRate = nowMs / PHASE_MS % 2 == 0 ? 0.2 : 0.95;
             boolean success = !server.equals(FLAPPING) || random.nextDouble() < successRate;
-            tracker.record(server, success, nowNanos);
+            detector.recordResult(server, success, nowNanos);
             requests++;
             failed += success ? 0 : 1;
         }
-        return new Result((double) tracker.exclusions() / MINUTES, failed, requests);
+        return new Result((double) detector.exclusionCount() / MINUTES, failed, requests);
     }
 
     @Test
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/routing/AttemptHistoryTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/routing/AttemptHistoryTest.java
@@ -14,10 +14,11 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
+/** Tests that the history permits no second execution and no unproven claim that a request did not run. */
 class AttemptHistoryTest {
-    /** What happens to an attempt. */
-    enum Event {
-        NO_NEWS(true),
+    /** What becomes known about an attempt, and whether it may have run. */
+    enum AttemptResult {
+        PENDING(true),
         NOT_HANDLED(false),
         REFUSED(false),
         EXECUTED(true),
@@ -27,61 +28,64 @@
         LOST_THEN_EXECUTED(true),
         LOST_THEN_REFUSED(false);
 
-        private final boolean mayRun;
+        private final boolean mayHaveRun;
 
-        Event(boolean mayRun) {
-            this.mayRun = mayRun;
+        AttemptResult(boolean mayHaveRun) {
+            this.mayHaveRun = mayHaveRun;
         }
 
         void apply(AttemptHistory history) {
             if (name().startsWith("LOST")) {
-                history.lost();
+                history.recordLostAnswer();
             }
             switch (this) {
-                case NOT_HANDLED, LOST_THEN_BARRED -> history.notRun();
-                case REFUSED, LOST_THEN_REFUSED -> history.answered(CallerAnswer.of(ResultCode.OVERLOADED, ""));
+                case NOT_HANDLED, LOST_THEN_BARRED -> history.recordNotRun();
+                case REFUSED, LOST_THEN_REFUSED -> history.recordAnswer(CallerAnswer.of(ResultCode.OVERLOADED, ""));
                 case EXECUTED, LOST_THEN_EXECUTED ->
-                    history.answered(CallerAnswer.executed(200, List.of(), new byte[0]));
-                case ANSWERED_UNKNOWN -> history.answered(CallerAnswer.of(ResultCode.OUTCOME_UNKNOWN, ""));
-                case NO_NEWS, LOST -> {}
+                    history.recordAnswer(CallerAnswer.executed(200, List.of(), new byte[0]));
+                case ANSWERED_UNKNOWN -> history.recordAnswer(CallerAnswer.of(ResultCode.OUTCOME_UNKNOWN, ""));
+                case PENDING, LOST -> {}
             }
         }
     }
 
     @Provide
-    Arbitrary<CallerAnswer> proposals() {
+    Arbitrary<CallerAnswer> proposedAnswers() {
         return Arbitraries.of(ResultCode.values())
                 .filter(code -> code != ResultCode.OK)
                 .map(code -> CallerAnswer.of(code, "detail"));
     }
 
-    /** Guards against {@code not-run} for an attempt that may have run, and against a second execution. */
+    /** Guards against {@code not-run} for a request that may have run, and against a second execution. */
     @Property
     void neverClaimsNotRunWithoutProofAndNeverRepeatsWithoutProof(
-            @ForAll boolean repeatable, @ForAll List<Event> events, @ForAll("proposals") CallerAnswer proposed) {
+            @ForAll boolean repeatable,
+            @ForAll List<AttemptResult> results,
+            @ForAll("proposedAnswers") CallerAnswer proposed) {
         AttemptHistory history = new AttemptHistory(repeatable);
-        List<Event> sent = new ArrayList<>();
-        for (Event event : events) {
+        List<AttemptResult> sentAttempts = new ArrayList<>();
+        for (AttemptResult result : results) {
             if (!history.canSend()) {
-                assertThatThrownBy(history::begin).isInstanceOf(IllegalStateException.class);
+                assertThatThrownBy(history::recordSend).isInstanceOf(IllegalStateException.class);
                 break;
             }
-            history.begin();
-            event.apply(history);
-            sent.add(event);
+            history.recordSend();
+            result.apply(history);
+            sentAttempts.add(result);
         }
 
         CallerAnswer answer = history.finalAnswer(proposed);
 
-        boolean mayRun = sent.stream().anyMatch(e -> e.mayRun);
-        if (mayRun) {
+        boolean mayHaveRun = sentAttempts.stream().anyMatch(e -> e.mayHaveRun);
+        if (mayHaveRun) {
             assertThat(answer.outcome()).isNotEqualTo(Outcome.NOT_RUN);
         } else {
             assertThat(answer).isEqualTo(proposed);
         }
         if (!repeatable) {
-            assertThat(sent.stream().filter(e -> e.mayRun).count()).isLessThanOrEqualTo(1);
-            assertThat(sent.subList(0, Math.max(0, sent.size() - 1))).noneMatch(e -> e.mayRun);
+            assertThat(sentAttempts.stream().filter(e -> e.mayHaveRun).count()).isLessThanOrEqualTo(1);
+            assertThat(sentAttempts.subList(0, Math.max(0, sentAttempts.size() - 1)))
+                    .noneMatch(e -> e.mayHaveRun);
         }
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/CallerProtocol.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/CallerProtocol.java
@@ -8,16 +8,21 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
-/** How callers write requests and read answers. Implementations are thread safe and do not block. */
+/** The HTTP protocol between callers and a daemon. Implementations must be thread safe and must not block. */
 public interface CallerProtocol {
-    /** Reads a request, or says why it cannot be taken. */
-    ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot);
+    /**
+     * Parses a request.
+     *
+     * @param snapshot the configuration and routing state that the request is checked against
+     * @return the request, or a refusal with the reason
+     */
+    ParsedRequest parse(HttpRequest request, RoutingSnapshot snapshot);
 
     /**
-     * Writes an answer.
+     * Renders an answer as an HTTP response.
      *
-     * @param owner the member that answered, if the request reached one
-     * @param closeConnection whether the caller should open a new connection
+     * @param owner the member to which the request was sent last; empty if it was sent to none
+     * @param closeConnection whether the response must ask the caller to close its connection
      */
     HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection);
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -13,10 +13,10 @@
 import org.coriandercrank.ingress.internal.protocol.NativeProtocol;
 import org.coriandercrank.ingress.internal.routing.DispatchContext;
 import org.coriandercrank.ingress.internal.routing.DispatchResult;
-import org.coriandercrank.ingress.internal.routing.ForwardHandlers;
+import org.coriandercrank.ingress.internal.routing.IngressExecutor;
 import org.coriandercrank.ingress.internal.routing.IngressMetrics;
+import org.coriandercrank.ingress.internal.routing.PeerMessageHandlers;
 import org.coriandercrank.ingress.internal.routing.RequestDispatch;
-import org.coriandercrank.ingress.internal.routing.RequestExecutor;
 import org.coriandercrank.ingress.internal.routing.RetryBudgets;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -25,68 +25,80 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 
 /**
- * The caller side of a daemon: takes callers' HTTP requests, routes each to the gate of its owner and answers it.
+ * The caller side of a daemon: receives HTTP requests of callers, routes each to the gate of a backend server and
+ * returns the answer to the caller.
  *
- * <p>Thread safe. Requests are parsed on I/O threads; all further state of requests belongs to one duty thread. A
- * planned stop calls {@link #stopAccepting()}, waits for {@link #drain()} and then calls {@link #close()}.
+ * <p>Thread safe. Requests are parsed on I/O threads; all further state of a request is confined to the ingress
+ * executor. A graceful shutdown calls {@link #stopAccepting()}, waits for {@link #drain()} and calls {@link #close()}.
  */
 public final class Ingress implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_SLOTS_PER_REQUEST = 4;
-    private static final long WRITTEN_POLL_MS = 10;
+    private static final int QUEUED_TASKS_PER_REQUEST = 4;
+
+    /** Interval at which a drain checks whether all responses are written. */
+    private static final long WRITE_POLL_INTERVAL_MS = 10;
+
+    /** Service name in metrics and log lines for a request without a known service. */
     private static final String NO_SERVICE = "none";
 
-    private final IngressDependencies parts;
+    private static final int STATUS_BODY_TOO_LARGE = 413;
+    private static final int STATUS_HEADER_TOO_LARGE = 431;
+
+    private final IngressDependencies dependencies;
     private final IngressOptions options;
-    private final RequestIds ids = new RequestIds();
+    private final RequestIds requestIds = new RequestIds();
     private final CallerProtocol protocol;
     private final IngressMetrics metrics;
-    private final RequestExecutor duty;
+    private final IngressExecutor executor;
     private final DispatchContext context;
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final CompletableFuture<Void> idleWhileDraining = new CompletableFuture<>();
-    private volatile boolean closing;
+
+    /** Completed when no request is in flight after the start of a drain. */
+    private final CompletableFuture<Void> allAnswered = new CompletableFuture<>();
+
+    private volatile boolean keepAliveDisabled;
     private volatile boolean draining;
     private volatile int excludedServers;
     private volatile HttpServer server;
 
-    /** Registers the handlers for requests, cancellations and outcome queries of other daemons. */
-    public Ingress(IngressDependencies parts, IngressOptions options) {
-        this.parts = parts;
+    /** Creates an ingress and registers its handlers for forwarded requests, cancellations and outcome queries. */
+    public Ingress(IngressDependencies dependencies, IngressOptions options) {
+        this.dependencies = dependencies;
         this.options = options;
-        this.protocol = parts.protocol().orElseGet(() -> new NativeProtocol(ids, options.defaultRetryAfterMs()));
-        this.metrics = new IngressMetrics(parts.meters());
-        this.duty =
-                new RequestExecutor(parts.duties().create("ingress", RING_SLOTS_PER_REQUEST * options.maxInFlight()));
-        Balancer balancer =
-                new Balancer(parts.region(), parts.failureDomain(), options.outlierDetection(), new Random());
-        this.context =
-                new DispatchContext(parts, options, duty, balancer, new RetryBudgets(options.retryBudget()), metrics);
+        this.protocol =
+                dependencies.protocol().orElseGet(() -> new NativeProtocol(requestIds, options.defaultRetryAfterMs()));
+        this.metrics = new IngressMetrics(dependencies.meterRegistry());
+        this.executor = new IngressExecutor(
+                dependencies.executorFactory().create("ingress", QUEUED_TASKS_PER_REQUEST * options.maxInFlight()));
+        Balancer balancer = new Balancer(
+                dependencies.region(), dependencies.failureDomain(), options.outlierDetection(), new Random());
+        this.context = new DispatchContext(
+                dependencies, options, executor, balancer, new RetryBudgets(options.retryBudget()), metrics);
         metrics.registerGauges(inFlight::get, () -> excludedServers);
-        ForwardHandlers.register(parts.handlers(), parts.gate(), parts.view());
+        PeerMessageHandlers.register(dependencies.peerHandlers(), dependencies.ownerGate(), dependencies.routingView());
     }
 
-    /** Listens for callers; port 0 takes a free port. Blocks until the port is bound and returns it. */
-    public HostAddress start(HostAddress listen) {
+    /** Starts to listen for callers. Port 0 selects a free port. Blocks until the port is bound; returns its address. */
+    public HostAddress start(HostAddress listenAddress) {
         HttpServerOptions limits = HttpServerOptions.DEFAULTS;
         server = HttpServer.listen(
-                parts.ioGroup(),
-                listen,
+                dependencies.ioGroup(),
+                listenAddress,
                 new HttpServerOptions(
                         limits.maxInitialLineBytes(),
                         limits.maxHeaderBytes(),
                         limits.maxBodyBytes(),
-                        status -> rejection(status, limits)),
+                        status -> httpRejection(status, limits)),
                 this::handle);
         return server.address();
     }
 
-    /** Serves on, and asks callers to close their connections with the next answer. */
+    /** Makes each further response ask the caller to close its connection. Requests are still served. */
     public void disableKeepAlive() {
-        closing = true;
+        keepAliveDisabled = true;
     }
 
-    /** Accepts no further connections; requests on open ones are still served. */
+    /** Stops accepting connections. Requests on open connections are still served. */
     public void stopAccepting() {
         if (server != null) {
             server.stopAccepting();
@@ -94,76 +106,82 @@
     }
 
     /**
-     * Refuses new requests with {@code DRAINING} and asks callers to close their connections. Completes when all
-     * earlier requests are answered and the answers are written, or the time for writing them has passed.
+     * Refuses new requests with {@code DRAINING} and asks callers to close their connections.
+     *
+     * @return completes when all earlier requests are answered and their responses are written, or at the latest
+     *     {@link IngressOptions#drainWriteTimeoutMs()} after the last answer
      */
     public CompletableFuture<Void> drain() {
-        closing = true;
+        keepAliveDisabled = true;
         draining = true;
-        completeIfIdle();
+        completeDrainIfIdle();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        idleWhileDraining.thenRun(
-                () -> awaitWritten(drained, parts.timers().clock().nowMs() + options.drainWriteTimeoutMs()));
+        allAnswered.thenRun(() -> awaitResponsesWritten(
+                drained, dependencies.timerService().clock().nowMs() + options.drainWriteTimeoutMs()));
         return drained;
     }
 
-    /** A caller that does not read its answer must not block a planned stop, so the wait is bounded. */
-    private void awaitWritten(CompletableFuture<Void> drained, long untilMs) {
+    /** The wait is bounded, because a caller that does not read its response must not block a shutdown. */
+    private void awaitResponsesWritten(CompletableFuture<Void> drained, long deadlineMs) {
         boolean written = server == null || server.pendingResponses() == 0;
-        if (written || parts.timers().clock().nowMs() >= untilMs) {
+        if (written || dependencies.timerService().clock().nowMs() >= deadlineMs) {
             drained.complete(null);
         } else {
-            parts.timers().once(WRITTEN_POLL_MS, Runnable::run, () -> awaitWritten(drained, untilMs));
+            dependencies
+                    .timerService()
+                    .once(WRITE_POLL_INTERVAL_MS, Runnable::run, () -> awaitResponsesWritten(drained, deadlineMs));
         }
     }
 
-    /** Callers' requests that have no answer yet. */
+    /** Number of callers' requests that have no answer yet. */
     public int inFlight() {
         return inFlight.get();
     }
 
+    /** Closes all connections of callers and stops the ingress executor. */
     @Override
     public void close() {
         if (server != null) {
             server.close();
         }
-        duty.close();
+        executor.close();
     }
 
-    private CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
-        long receivedAtNanos = parts.timers().clock().nowNanos();
-        ParsedRequest parsed = protocol.parse(call, parts.view().current());
+    private CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> connectionClosed) {
+        long receivedAtNanos = dependencies.timerService().clock().nowNanos();
+        ParsedRequest parsed =
+                protocol.parse(request, dependencies.routingView().current());
         if (parsed.refusal().isPresent()) {
             return refuse(parsed, parsed.refusal().get(), receivedAtNanos);
         }
-        int now = inFlight.incrementAndGet();
-        if (draining || now > options.maxInFlight()) {
-            release();
+        int inFlightNow = inFlight.incrementAndGet();
+        if (draining || inFlightNow > options.maxInFlight()) {
+            onRequestFinished();
             CallerAnswer refusal = draining
                     ? CallerAnswer.of(ResultCode.DRAINING, "this daemon is leaving; use another one")
-                    : CallerAnswer.of(ResultCode.OVERLOADED, "this daemon holds too many requests");
+                    : CallerAnswer.of(ResultCode.OVERLOADED, "this daemon has too many requests in flight");
             return refuse(parsed, refusal, receivedAtNanos);
         }
         CompletableFuture<DispatchResult> result = new CompletableFuture<>();
         RequestDispatch dispatch =
                 new RequestDispatch(context, parsed.accepted().orElseThrow(), receivedAtNanos, result);
-        if (!duty.offer(() -> start(dispatch, result))) {
-            release();
+        if (!executor.offer(() -> startDispatch(dispatch, result))) {
+            onRequestFinished();
             return refuse(
                     parsed,
-                    CallerAnswer.of(ResultCode.OVERLOADED, "this daemon cannot take the request"),
+                    CallerAnswer.of(ResultCode.OVERLOADED, "the task queue of this daemon is full"),
                     receivedAtNanos);
         }
-        closed.thenRun(dispatch::cancel);
+        connectionClosed.thenRun(dispatch::cancel);
         return result.handle((answer, failure) -> {
-            release();
+            onRequestFinished();
             return failure == null
-                    ? reply(parsed.id(), answer)
-                    : reply(parsed.id(), new DispatchResult(internal(failure), Optional.empty()));
+                    ? toHttpResponse(parsed.id(), answer)
+                    : toHttpResponse(parsed.id(), new DispatchResult(internalErrorAnswer(failure), Optional.empty()));
         });
     }
 
-    private void start(RequestDispatch dispatch, CompletableFuture<DispatchResult> result) {
+    private void startDispatch(RequestDispatch dispatch, CompletableFuture<DispatchResult> result) {
         try {
             dispatch.start();
             excludedServers = context.balancer().excludedCount();
@@ -172,11 +190,11 @@
         }
     }
 
-    private HttpResponse reply(RequestId id, DispatchResult result) {
-        return protocol.render(id, result.answer(), result.owner(), closing);
+    private HttpResponse toHttpResponse(RequestId id, DispatchResult result) {
+        return protocol.render(id, result.answer(), result.owner(), keepAliveDisabled);
     }
 
-    private static CallerAnswer internal(Throwable failure) {
+    private static CallerAnswer internalErrorAnswer(Throwable failure) {
         CrankException cause = CrankException.of(failure);
         logger.atSevere().withCause(cause).log("event=dispatch-failed");
         return CallerAnswer.of(ResultCode.INTERNAL, "unexpected error");
@@ -184,36 +202,40 @@
 
     private CompletableFuture<HttpResponse> refuse(ParsedRequest parsed, CallerAnswer refusal, long receivedAtNanos) {
         String service = parsed.accepted().map(a -> a.service().name().value()).orElse(NO_SERVICE);
-        metrics.finished(service, refusal.code(), parts.timers().clock().nowNanos() - receivedAtNanos);
-        parts.decisions()
+        metrics.recordRequest(
+                service, refusal.code(), dependencies.timerService().clock().nowNanos() - receivedAtNanos);
+        dependencies
+                .decisionLog()
                 .log(() -> "event=refuse service=" + service + " request=" + parsed.id() + " result=" + refusal.code());
-        return CompletableFuture.completedFuture(protocol.render(parsed.id(), refusal, Optional.empty(), closing));
+        return CompletableFuture.completedFuture(
+                protocol.render(parsed.id(), refusal, Optional.empty(), keepAliveDisabled));
     }
 
-    private HttpResponse rejection(int status, HttpServerOptions limits) {
+    /** Renders the response to a request that the HTTP server rejected with a status. */
+    private HttpResponse httpRejection(int status, HttpServerOptions limits) {
         CallerAnswer answer = switch (status) {
-            case 413 ->
+            case STATUS_BODY_TOO_LARGE ->
                 CallerAnswer.of(
                         ResultCode.BODY_TOO_LARGE, "body: at most " + limits.maxBodyBytes() + " bytes are allowed");
-            case 431 ->
+            case STATUS_HEADER_TOO_LARGE ->
                 CallerAnswer.of(
                         ResultCode.HEADER_TOO_LARGE,
-                        "header: the request line may have " + limits.maxInitialLineBytes() + " bytes, all fields "
-                                + limits.maxHeaderBytes());
+                        "header: at most " + limits.maxInitialLineBytes() + " bytes are allowed in the request line, "
+                                + limits.maxHeaderBytes() + " in all header fields");
             default -> CallerAnswer.of(ResultCode.BAD_REQUEST, "request: is not valid HTTP/1.1");
         };
-        metrics.finished(NO_SERVICE, answer.code(), 0);
-        return protocol.render(ids.generate(), answer, Optional.empty(), true);
+        metrics.recordRequest(NO_SERVICE, answer.code(), 0);
+        return protocol.render(requestIds.generate(), answer, Optional.empty(), true);
     }
 
-    private void release() {
+    private void onRequestFinished() {
         inFlight.decrementAndGet();
-        completeIfIdle();
+        completeDrainIfIdle();
     }
 
-    private void completeIfIdle() {
+    private void completeDrainIfIdle() {
         if (draining && inFlight.get() == 0) {
-            idleWhileDraining.complete(null);
+            allAnswered.complete(null);
         }
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
@@ -15,23 +15,26 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Parts that the caller side uses; all stay the property of the creator. Immutable. The member id of this daemon is
- * read from the routing snapshot, because it changes when a sealed daemon joins again.
+ * Collaborators of {@link Ingress}, which does not close them. Immutable.
  *
- * @param protocol how callers write requests; empty for the product's own protocol
- * @param duties makes the duty that requests run on
+ * <p>The member id of this daemon is not among them. It is read from the routing snapshot, because it changes when a
+ * sealed daemon joins again.
+ *
+ * @param ownerGate the gate of the backend server beside this daemon
+ * @param protocol the caller protocol; empty for the native protocol of this project
+ * @param executorFactory creates the executor that routes requests
  */
 public record IngressDependencies(
         EventLoopGroup ioGroup,
-        RoutingView view,
-        OwnerGate gate,
-        PeerClient peers,
-        PeerHandlers handlers,
-        TimerService timers,
-        PluginRegistry plugins,
-        DecisionLog decisions,
-        MeterRegistry meters,
+        RoutingView routingView,
+        OwnerGate ownerGate,
+        PeerClient peerClient,
+        PeerHandlers peerHandlers,
+        TimerService timerService,
+        PluginRegistry pluginRegistry,
+        DecisionLog decisionLog,
+        MeterRegistry meterRegistry,
         Region region,
         FailureDomain failureDomain,
         Optional<CallerProtocol> protocol,
-        SerialExecutor.Factory duties) {}
+        SerialExecutor.Factory executorFactory) {}
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/OutlierDetectionOptions.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/OutlierDetectionOptions.java
@@ -1,14 +1,14 @@
 package org.coriandercrank.ingress;
 
 /**
- * Rules for the exclusion of servers by observed results. Immutable.
+ * Options of outlier detection, which excludes failing servers from load balancing. Immutable.
  *
- * @param excludeBelow a server whose smoothed success rate falls below this mark is excluded
- * @param readmitAbove an excluded server whose smoothed success rate rises above this mark is readmitted
- * @param smoothingFactor weight of one result in the success rate, above 0 and at most 1
- * @param minSamples results of a server before it may be excluded
- * @param probeIntervalMs time between real requests sent to an excluded server
- * @param maxExcludedShare largest share of the servers of a service that may be excluded
+ * @param excludeBelow a server is excluded when its smoothed success rate falls below this threshold
+ * @param readmitAbove an excluded server is readmitted when its smoothed success rate rises above this threshold
+ * @param smoothingFactor weight of one result in the smoothed success rate, above 0 and at most 1
+ * @param minSamples number of results required before a server can be excluded
+ * @param probeIntervalMs interval between probes of an excluded server; a probe is a real request of a caller
+ * @param maxExcludedShare largest share of the servers of a service that can be excluded, from 0 to 0.5
  */
 public record OutlierDetectionOptions(
         double excludeBelow,
@@ -17,14 +17,21 @@
         int minSamples,
         long probeIntervalMs,
         double maxExcludedShare) {
-    public static final OutlierDetectionOptions DEFAULTS = new OutlierDetectionOptions(0.6, 0.9, 0.1, 10, 250, 0.34);
+    public static final OutlierDetectionOptions DEFAULTS = new OutlierDetectionOptions(
+            /* excludeBelow= */ 0.6,
+            /* readmitAbove= */ 0.9,
+            /* smoothingFactor= */ 0.1,
+            /* minSamples= */ 10,
+            /* probeIntervalMs= */ 250,
+            /* maxExcludedShare= */ 0.34);
 
     public OutlierDetectionOptions {
         if (!(0 <= excludeBelow && excludeBelow <= readmitAbove && readmitAbove < 1)) {
-            throw new IllegalArgumentException("need 0 <= excludeBelow <= readmitAbove < 1");
+            throw new IllegalArgumentException(
+                    "excludeBelow and readmitAbove must satisfy 0 <= excludeBelow <= readmitAbove < 1");
         }
         if (!(smoothingFactor > 0 && smoothingFactor <= 1)) {
-            throw new IllegalArgumentException("smoothing must be above 0 and at most 1");
+            throw new IllegalArgumentException("smoothingFactor must be above 0 and at most 1");
         }
         if (minSamples < 1 || probeIntervalMs < 1) {
             throw new IllegalArgumentException("minSamples and probeIntervalMs must be at least 1");
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/ParsedRequest.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/ParsedRequest.java
@@ -7,17 +7,17 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Result of parsing: either a request with the rules of its service, or a refusal. Immutable.
+ * Result of parsing: either a request with the configuration of its service, or a refusal. Immutable.
  *
- * @param id the caller's request id, or a generated one if the caller gave none or a malformed one
+ * @param id the request id of the caller, or a generated one if the caller sent none or a malformed one
  */
 public record ParsedRequest(RequestId id, Optional<Accepted> accepted, Optional<CallerAnswer> refusal) {
-    /** A well-formed request and the rules of its service. Immutable. */
+    /** A well-formed request and the configuration of its service. Immutable. */
     public record Accepted(CallerRequest request, ServiceConfig service) {}
 
     public ParsedRequest {
         if (accepted.isPresent() == refusal.isPresent()) {
-            throw new IllegalArgumentException("need exactly one of request and refusal");
+            throw new IllegalArgumentException("a parsed request must be either accepted or refused");
         }
     }
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RequestIds.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RequestIds.java
@@ -7,26 +7,30 @@
 import org.coriandercrank.kernel.id.RequestId;
 
 /**
- * Request ids: those of callers, generated ones, and the ids of further attempts.
+ * Generates request ids, validates those of callers and derives the ids of further attempts. Thread safe.
  *
- * <p>The id of attempt n is a function of the caller's id, so that each daemon derives the same one and the records of
- * the gate recognise a copy sent through another daemon. Callers' ids must not contain the separator; so a derived id
- * never equals the id of another request. Thread safe.
+ * <p>The id of attempt n is derived from the request id alone. All daemons therefore derive the same id, and the gate
+ * recognizes a copy of the request that arrives through another daemon. Ids of callers must not contain the separator,
+ * so that a derived id never equals the id of another request.
  */
 public final class RequestIds {
     private static final String ATTEMPT_SEPARATOR = "..";
     private static final int MAX_CALLER_ID_LENGTH = 112;
     private static final int RADIX = 36;
 
-    private final String prefix = "g" + Long.toString(new SecureRandom().nextLong() >>> 1, RADIX) + "-";
-    private final AtomicLong next = new AtomicLong();
+    private final String processPrefix = "g" + Long.toString(new SecureRandom().nextLong() >>> 1, RADIX) + "-";
+    private final AtomicLong nextNumber = new AtomicLong();
 
-    /** An id that no other daemon generates: 63 random bits for the process and a counter. */
+    /** Generates an id that no other daemon generates: 63 random bits of this process, then a counter. */
     public RequestId generate() {
-        return new RequestId(prefix + Long.toString(next.getAndIncrement(), RADIX));
+        return new RequestId(processPrefix + Long.toString(nextNumber.getAndIncrement(), RADIX));
     }
 
-    /** Fails with {@code BAD_REQUEST_ID}. */
+    /**
+     * Parses the id that a caller sent.
+     *
+     * @throws CrankException with {@code BAD_REQUEST_ID} if the id is malformed, too long or contains the separator
+     */
     public static RequestId parse(String text) {
         if (text.length() > MAX_CALLER_ID_LENGTH || text.contains(ATTEMPT_SEPARATOR)) {
             throw new CrankException(
@@ -41,7 +45,7 @@
         }
     }
 
-    /** The id of an attempt; attempt 1 has the id of the request. */
+    /** Derives the id of an attempt. Attempt 1 has the id of the request. */
     public static RequestId forAttempt(RequestId id, int attempt) {
         return attempt == 1 ? id : new RequestId(id.value() + ATTEMPT_SEPARATOR + attempt);
     }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RetryBudgetOptions.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RetryBudgetOptions.java
@@ -1,19 +1,20 @@
 package org.coriandercrank.ingress;
 
 /**
- * Bounds of retries to a service. Immutable.
+ * Limits on the retries to one service. Immutable.
  *
- * @param retriesPerRequest retries allowed per request
- * @param retriesPerSecond retries allowed per second in addition
- * @param maxSavedRetries retries that may be saved up
+ * @param retriesPerRequest retries that each request adds to the budget
+ * @param retriesPerSecond retries that each second adds to the budget
+ * @param maxSavedRetries largest number of unused retries that the budget keeps
  */
 public record RetryBudgetOptions(double retriesPerRequest, double retriesPerSecond, double maxSavedRetries) {
-    /** A tenth of the requests and ten per second; saves ten seconds' worth at 100 requests per second. */
-    public static final RetryBudgetOptions DEFAULTS = new RetryBudgetOptions(0.1, 10, 120);
+    /** At 100 requests per second the budget gains 20 retries per second, so an empty budget is full after 6 s. */
+    public static final RetryBudgetOptions DEFAULTS = new RetryBudgetOptions(
+            /* retriesPerRequest= */ 0.1, /* retriesPerSecond= */ 10, /* maxSavedRetries= */ 120);
 
     public RetryBudgetOptions {
         if (!(retriesPerRequest >= 0 && retriesPerSecond >= 0 && maxSavedRetries >= 0)) {
-            throw new IllegalArgumentException("a retry budget must not be negative");
+            throw new IllegalArgumentException("the limits of a retry budget must not be negative");
         }
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RouteSelector.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/RouteSelector.java
@@ -9,51 +9,56 @@
 import org.coriandercrank.kernel.id.ServiceName;
 
 /**
- * Finds the route of a request and the service that takes it. Thread safe.
+ * Finds the route of a request and selects one of the services of the route. Thread safe.
  *
- * <p>The services of a route take turns in proportion to their weights, so that the shares also hold over few requests.
+ * <p>Services are selected by smooth weighted round robin, so that the shares match the weights even over few requests.
  */
 public final class RouteSelector {
-    /** A route and the service that takes the request. Immutable. */
+    /** A route and the service that was selected for the request. Immutable. */
     public record Selection(Route route, ServiceName service) {}
 
     private Configuration configuration = Configuration.EMPTY;
     private RouteIndex index = new RouteIndex(configuration.routes());
 
-    /** Credit of each target by route name; the target with most credit is next. */
-    private final Map<String, int[]> credits = new HashMap<>();
+    /** Current weight of each target, by route name. The target with the largest current weight is selected next. */
+    private final Map<String, int[]> currentWeights = new HashMap<>();
 
-    /** The route for a host name and path, or empty if the configuration has none. */
-    public synchronized Optional<Selection> select(Configuration current, String host, String path) {
-        use(current);
-        return index.find(host, path).map(route -> new Selection(route, next(route)));
+    /**
+     * Selects the route and the service of a request.
+     *
+     * @param host host name from the request
+     * @return empty if the configuration has no route for the host name and path
+     */
+    public synchronized Optional<Selection> select(Configuration newConfiguration, String host, String path) {
+        updateIndex(newConfiguration);
+        return index.find(host, path).map(route -> new Selection(route, nextTarget(route)));
     }
 
-    /** Compares configurations by identity, because a comparison by content costs more than a new index. */
+    /** Compares configurations by identity, because comparing their content costs more than building a new index. */
     @SuppressWarnings("ReferenceEquality")
-    private void use(Configuration current) {
-        if (current != configuration) {
-            configuration = current;
-            index = new RouteIndex(current.routes());
-            credits.clear();
+    private void updateIndex(Configuration newConfiguration) {
+        if (newConfiguration != configuration) {
+            configuration = newConfiguration;
+            index = new RouteIndex(newConfiguration.routes());
+            currentWeights.clear();
         }
     }
 
-    private ServiceName next(Route route) {
+    private ServiceName nextTarget(Route route) {
         if (route.targets().size() == 1) {
             return route.targets().get(0).service();
         }
-        int[] credit = credits.computeIfAbsent(
+        int[] weights = currentWeights.computeIfAbsent(
                 route.name(), name -> new int[route.targets().size()]);
         int total = 0;
         int best = 0;
-        for (int i = 0; i < credit.length; i++) {
+        for (int i = 0; i < weights.length; i++) {
             int weight = route.targets().get(i).weight();
-            credit[i] += weight;
+            weights[i] += weight;
             total += weight;
-            best = credit[i] > credit[best] ? i : best;
+            best = weights[i] > weights[best] ? i : best;
         }
-        credit[best] -= total;
+        weights[best] -= total;
         return route.targets().get(best).service();
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -25,46 +25,51 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Chooses the member for a request of a service not divided by key. Not thread safe; confined to the ingress duty.
+ * Chooses a member for each request to an unkeyed service. Not thread safe; confined to the ingress executor.
  *
- * <p>Candidates are the active members of the service whose backend server is not draining and has weight. Excluded
- * servers get only probes, and only with repeatable requests, because a probe is likely to fail.
+ * <p>Eligible are the active members whose backend server belongs to the service, is not draining and has a positive
+ * weight. A server that outlier detection excluded receives only probes while other servers are available. Only
+ * repeatable requests are used as probes, because a probe is likely to fail.
  */
 public final class Balancer {
     private final Region region;
     private final FailureDomain failureDomain;
-    private final OutlierDetectionOptions healthRules;
+    private final OutlierDetectionOptions outlierOptions;
     private final RandomGenerator random;
     private final Map<MemberId, Integer> inFlight = new HashMap<>();
-    private final LoadBoard loads = new LoadBoard();
+    private final LoadEstimator loadEstimator = new LoadEstimator();
     private final Map<ServiceName, ServiceState> services = new HashMap<>();
 
-    /** A server that may get requests, with its weight. */
-    private record Eligible(Member member, int weightPercent) {}
+    /** A member that can receive requests, with the weight of its backend server. */
+    private record EligibleServer(Member member, int weightPercent) {}
 
-    /** Candidates of a service as of one snapshot, and the health of its servers. */
+    /** Eligible members of a service in one snapshot, and the outlier detection of its servers. */
     private static final class ServiceState {
-        private final HealthTracker health;
+        private final OutlierDetector outlierDetector;
         private RoutingSnapshot snapshot;
-        private List<Eligible> eligible = List.of();
+        private List<EligibleServer> eligible = List.of();
 
-        private ServiceState(HealthTracker health) {
-            this.health = health;
+        private ServiceState(OutlierDetector health) {
+            this.outlierDetector = health;
         }
     }
 
     public Balancer(
-            Region region, FailureDomain failureDomain, OutlierDetectionOptions healthRules, RandomGenerator random) {
+            Region region,
+            FailureDomain failureDomain,
+            OutlierDetectionOptions outlierOptions,
+            RandomGenerator random) {
         this.region = region;
         this.failureDomain = failureDomain;
-        this.healthRules = healthRules;
+        this.outlierOptions = outlierOptions;
         this.random = random;
     }
 
     /**
-     * The member to send to; empty if there is none besides those already tried.
+     * Chooses the member to which a request is sent; empty if none is eligible except those tried before.
      *
-     * @param tried members that the request was sent to before
+     * @param tried members to which the request was sent before
+     * @param repeatable whether the request can be used as a probe
      */
     public Optional<Member> choose(
             RoutingSnapshot snapshot,
@@ -73,17 +78,17 @@
             Set<MemberId> tried,
             boolean repeatable,
             long nowNanos) {
-        ServiceState state = state(snapshot, service.name());
+        ServiceState state = serviceState(snapshot, service.name());
         List<BalancingCandidate> healthy = new ArrayList<>();
         List<BalancingCandidate> excluded = new ArrayList<>();
-        for (Eligible eligible : state.eligible) {
+        for (EligibleServer eligible : state.eligible) {
             MemberId id = eligible.member().id();
             if (tried.contains(id)) {
                 continue;
             }
-            if (!state.health.isExcluded(id)) {
+            if (!state.outlierDetector.isExcluded(id)) {
                 healthy.add(candidate(eligible, nowNanos));
-            } else if (repeatable && state.health.tryProbe(id, nowNanos)) {
+            } else if (repeatable && state.outlierDetector.tryProbe(id, nowNanos)) {
                 return Optional.of(eligible.member());
             } else {
                 excluded.add(candidate(eligible, nowNanos));
@@ -97,63 +102,68 @@
         return Optional.of(candidates.get(policy.choose(candidates, random)).member());
     }
 
-    public void sent(MemberId member) {
+    /** Counts a request as in flight to a member. */
+    public void recordSend(MemberId member) {
         inFlight.merge(member, 1, Integer::sum);
     }
 
-    public void finished(MemberId member) {
+    /** Counts a request as no longer in flight to a member. */
+    public void recordFinish(MemberId member) {
         inFlight.computeIfPresent(member, (id, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** Takes over what the gate of a server told of its load. */
-    public void learnLoad(MemberId member, GateLoad load, long nowNanos) {
-        loads.learn(member, load, inFlight.getOrDefault(member, 0), nowNanos);
+    /** Records the load that the gate of a server reported. */
+    public void recordLoad(MemberId member, GateLoad load, long nowNanos) {
+        loadEstimator.recordReport(member, load, inFlight.getOrDefault(member, 0), nowNanos);
     }
 
-    /** Records whether a server handled a request well. */
-    public void result(ServiceName service, MemberId member, boolean success, long nowNanos) {
+    /** Records for outlier detection whether a server handled a request well. */
+    public void recordResult(ServiceName service, MemberId member, boolean success, long nowNanos) {
         ServiceState state = services.get(service);
         if (state != null) {
-            state.health.record(member, success, nowNanos);
+            state.outlierDetector.recordResult(member, success, nowNanos);
         }
     }
 
-    /** Excluded servers over all services. */
+    /** Number of excluded servers of all services. */
     public int excludedCount() {
         return services.values().stream()
-                .mapToInt(state -> state.health.excludedCount())
+                .mapToInt(state -> state.outlierDetector.excludedCount())
                 .sum();
     }
 
-    private BalancingCandidate candidate(Eligible eligible, long nowNanos) {
+    private BalancingCandidate candidate(EligibleServer eligible, long nowNanos) {
         Member member = eligible.member();
-        int own = inFlight.getOrDefault(member.id(), 0);
+        int ownInFlight = inFlight.getOrDefault(member.id(), 0);
         return new BalancingCandidate(
                 member,
-                own,
+                ownInFlight,
                 member.failureDomain().equals(failureDomain),
                 member.region().equals(region),
                 eligible.weightPercent(),
-                loads.expectedMs(member.id(), own, nowNanos));
+                loadEstimator.expectedMs(member.id(), ownInFlight, nowNanos));
     }
 
-    /** Compares snapshots by identity, because a comparison by content costs more than a new list. */
+    /**
+     * The state of a service, updated to the given snapshot. Compares snapshots by identity, because comparing their
+     * content costs more than building a new list.
+     */
     @SuppressWarnings("ReferenceEquality")
-    private ServiceState state(RoutingSnapshot snapshot, ServiceName service) {
+    private ServiceState serviceState(RoutingSnapshot snapshot, ServiceName service) {
         ServiceState state =
-                services.computeIfAbsent(service, name -> new ServiceState(new HealthTracker(healthRules)));
+                services.computeIfAbsent(service, name -> new ServiceState(new OutlierDetector(outlierOptions)));
         if (state.snapshot != snapshot) {
             state.snapshot = snapshot;
-            loads.retain(snapshot.members().keySet());
-            state.eligible = eligible(snapshot, service);
-            state.health.retain(
+            loadEstimator.retainMembers(snapshot.members().keySet());
+            state.eligible = findEligible(snapshot, service);
+            state.outlierDetector.setServers(
                     state.eligible.stream().map(e -> e.member().id()).collect(Collectors.toSet()));
         }
         return state;
     }
 
-    private static List<Eligible> eligible(RoutingSnapshot snapshot, ServiceName service) {
-        List<Eligible> result = new ArrayList<>();
+    private static List<EligibleServer> findEligible(RoutingSnapshot snapshot, ServiceName service) {
+        List<EligibleServer> result = new ArrayList<>();
         for (VersionedMember known : snapshot.members().values()) {
             Member member = known.member();
             Optional<BackendInfo> backend =
@@ -164,7 +174,7 @@
             String name = backend.get().name();
             int weightPercent = snapshot.configuration().weightPercent(name);
             if (weightPercent > 0 && !snapshot.configuration().isDraining(name)) {
-                result.add(new Eligible(member, weightPercent));
+                result.add(new EligibleServer(member, weightPercent));
             }
         }
         result.sort(Comparator.comparing(e -> e.member().id()));
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/BalancingPlugin.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/BalancingPlugin.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
 
-/** Registers the balancing policies of this module. Stateless. */
+/** Registers the load balancing policies of this module. Stateless. */
 public final class BalancingPlugin implements Plugin {
     @Override
     public void register(PluginRegistry registry) {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimePolicy.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimePolicy.java
@@ -6,42 +6,46 @@
 import org.coriandercrank.kernel.placement.BalancingPolicy;
 
 /**
- * Chooses the server with the least expected time to an answer. Stateless.
+ * Chooses the server with the shortest expected time until its answer. Stateless.
  *
- * <p>The way to another failure domain or region counts more than it takes, because bytes on it have a price. Servers of
- * which nothing is known yet count as the best known one, and a small random part spreads the requests of daemons that
- * know the same.
+ * <p>The penalty for another failure domain or region is larger than the network latency, because traffic between them
+ * is billed. A server without a load report is assumed to be as fast as the fastest reported one. Random jitter spreads
+ * the requests of daemons that have received the same reports.
  */
 public final class ExpectedTimePolicy implements BalancingPolicy {
-    private static final double OTHER_DOMAIN_MS = 8;
-    private static final double OTHER_REGION_MS = 120;
-    private static final double SPREAD = 0.1;
+    private static final double OTHER_DOMAIN_PENALTY_MS = 8;
+    private static final double OTHER_REGION_PENALTY_MS = 120;
 
-    /** Part that an idle server's queue position has, so that equals take turns. */
-    private static final double IN_FLIGHT_MS = 2;
+    /** Largest random increase of a cost, as a share of the cost. */
+    private static final double JITTER_FRACTION = 0.1;
+
+    /** Cost of each own request in flight, so that requests alternate between idle servers that are equally fast. */
+    private static final double IN_FLIGHT_PENALTY_MS = 2;
 
     @Override
     public int choose(List<BalancingCandidate> candidates, RandomGenerator random) {
-        double leastKnownMs = candidates.stream()
+        double shortestReportedMs = candidates.stream()
                 .mapToDouble(BalancingCandidate::expectedMs)
-                .filter(ms -> ms > 0)
+                .filter(costMs -> costMs > 0)
                 .min()
                 .orElse(0);
         int best = 0;
-        double bestMs = Double.POSITIVE_INFINITY;
+        double lowestCostMs = Double.POSITIVE_INFINITY;
         for (int i = 0; i < candidates.size(); i++) {
-            double ms = costMs(candidates.get(i), leastKnownMs) * (1 + SPREAD * random.nextDouble());
-            if (ms < bestMs) {
+            double costMs = costMs(candidates.get(i), shortestReportedMs) * (1 + JITTER_FRACTION * random.nextDouble());
+            if (costMs < lowestCostMs) {
                 best = i;
-                bestMs = ms;
+                lowestCostMs = costMs;
             }
         }
         return best;
     }
 
-    private static double costMs(BalancingCandidate candidate, double leastKnownMs) {
-        double expectedMs = candidate.expectedMs() > 0 ? candidate.expectedMs() : leastKnownMs;
-        double wayMs = candidate.sameFailureDomain() ? 0 : candidate.sameRegion() ? OTHER_DOMAIN_MS : OTHER_REGION_MS;
-        return expectedMs + wayMs + IN_FLIGHT_MS * candidate.inFlight();
+    private static double costMs(BalancingCandidate candidate, double shortestReportedMs) {
+        double expectedMs = candidate.expectedMs() > 0 ? candidate.expectedMs() : shortestReportedMs;
+        double distancePenaltyMs = candidate.sameFailureDomain()
+                ? 0
+                : candidate.sameRegion() ? OTHER_DOMAIN_PENALTY_MS : OTHER_REGION_PENALTY_MS;
+        return expectedMs + distancePenaltyMs + IN_FLIGHT_PENALTY_MS * candidate.inFlight();
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/RoundRobinPolicy.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/RoundRobinPolicy.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.placement.BalancingCandidate;
 import org.coriandercrank.kernel.placement.BalancingPolicy;
 
-/** Chooses the servers in turn, without regard to load and weight; a baseline. Thread safe. */
+/** Chooses the servers in turn and ignores load and weight. A baseline for comparisons. Thread safe. */
 public final class RoundRobinPolicy implements BalancingPolicy {
     private final AtomicInteger next = new AtomicInteger();
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/TwoChoicesPolicy.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/TwoChoicesPolicy.java
@@ -5,29 +5,32 @@
 import org.coriandercrank.kernel.placement.BalancingCandidate;
 import org.coriandercrank.kernel.placement.BalancingPolicy;
 
-/** Chooses the less loaded of two different servers drawn at random, each with a chance by weight. Stateless. */
+/**
+ * Draws two different servers at random, with probabilities proportional to their weights, and chooses the less loaded
+ * one. Stateless.
+ */
 public final class TwoChoicesPolicy implements BalancingPolicy {
-    private static final int NONE = -1;
+    private static final int NO_EXCLUDED_INDEX = -1;
 
     @Override
     public int choose(List<BalancingCandidate> candidates, RandomGenerator random) {
         if (candidates.size() == 1) {
             return 0;
         }
-        int first = draw(candidates, NONE, random);
-        int second = draw(candidates, first, random);
-        return LoadOrder.compare(candidates.get(second), candidates.get(first)) < 0 ? second : first;
+        int first = drawWeighted(candidates, NO_EXCLUDED_INDEX, random);
+        int second = drawWeighted(candidates, first, random);
+        return WeightedLoad.compare(candidates.get(second), candidates.get(first)) < 0 ? second : first;
     }
 
-    private static int draw(List<BalancingCandidate> candidates, int excluded, RandomGenerator random) {
-        int total = 0;
+    private static int drawWeighted(List<BalancingCandidate> candidates, int excludedIndex, RandomGenerator random) {
+        int totalWeight = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            total += i == excluded ? 0 : candidates.get(i).weightPercent();
+            totalWeight += i == excludedIndex ? 0 : candidates.get(i).weightPercent();
         }
-        int left = random.nextInt(total);
+        int remainingWeight = random.nextInt(totalWeight);
         for (int i = 0; i < candidates.size(); i++) {
-            left -= i == excluded ? 0 : candidates.get(i).weightPercent();
-            if (left < 0) {
+            remainingWeight -= i == excludedIndex ? 0 : candidates.get(i).weightPercent();
+            if (remainingWeight < 0) {
                 return i;
             }
         }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/package-info.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of servers for services not divided by key. */
+/** Load balancing for unkeyed services. */
 package org.coriandercrank.ingress.internal.balancing;
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/AnswerRenderer.java
@@ -15,20 +15,20 @@
 import org.coriandercrank.kernel.request.Header;
 
 /**
- * Renders answers for callers. Thread safe.
+ * Renders answers to callers as HTTP responses. Thread safe.
  *
- * <p>Header fields of a backend server whose name starts with {@code crank-} are dropped, so that only the system
- * states codes and outcomes.
+ * <p>Header fields of a backend server whose name starts with {@code crank-} are dropped, so that result codes and
+ * outcomes always come from a daemon.
  */
 public final class AnswerRenderer {
     private static final String RESERVED_PREFIX = "crank-";
-    private static final String RETRY_AFTER = "retry-after";
+    private static final String RETRY_AFTER_HEADER = "retry-after";
     private static final long MS_PER_SECOND = 1_000;
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final ObjectMapper OBJECT_MAPPER = new ObjectMapper();
 
     private final long defaultRetryAfterMs;
 
-    /** Body of an answer that the system itself gives. */
+    /** JSON body of an answer that a daemon gives itself. */
     private record ErrorBody(int code, String name, String outcome, String detail, String requestId) {}
 
     public AnswerRenderer(long defaultRetryAfterMs) {
@@ -36,8 +36,10 @@
     }
 
     /**
-     * @param owner the member that answered, if the request reached one
-     * @param closeConnection whether the caller should open a new connection, to another daemon
+     * Renders an answer.
+     *
+     * @param owner the member to which the request was sent last; empty if it was sent to none
+     * @param closeConnection whether the response must ask the caller to close its connection and use another daemon
      */
     public HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
         boolean executed = answer.code() == ResultCode.OK;
@@ -61,8 +63,8 @@
         }
         retryAfterMs(answer).ifPresent(ms -> {
             long seconds = Math.max(1, (ms + MS_PER_SECOND - 1) / MS_PER_SECOND);
-            headers.removeIf(h -> h.name().equals(RETRY_AFTER));
-            headers.add(new Header(RETRY_AFTER, Long.toString(seconds)));
+            headers.removeIf(h -> h.name().equals(RETRY_AFTER_HEADER));
+            headers.add(new Header(RETRY_AFTER_HEADER, Long.toString(seconds)));
             headers.add(new Header("crank-retry-after-ms", Long.toString(ms)));
         });
         return new HttpResponse(answer.status(), headers, executed ? answer.body() : errorBody(id, answer));
@@ -83,9 +85,9 @@
                 new String(answer.body(), StandardCharsets.UTF_8),
                 id.value());
         try {
-            return MAPPER.writeValueAsBytes(body);
+            return OBJECT_MAPPER.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an error body of plain strings must be writable", e);
+            throw new IllegalStateException("cannot serialize an error body", e);
         }
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
@@ -11,20 +11,20 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
-/** The product's own protocol, as {@code docs/PROTOCOL_CALLERS.md} has it. Thread safe. */
+/** The native caller protocol of this project, specified in {@code docs/PROTOCOL_CALLERS.md}. Thread safe. */
 public final class NativeProtocol implements CallerProtocol {
     private final RequestParser parser;
     private final AnswerRenderer renderer;
 
-    /** @param defaultRetryAfterMs {@code Retry-After} of refusals that name none */
-    public NativeProtocol(RequestIds ids, long defaultRetryAfterMs) {
-        parser = new RequestParser(ids);
+    /** @param defaultRetryAfterMs {@code Retry-After} of refusals that state none */
+    public NativeProtocol(RequestIds requestIds, long defaultRetryAfterMs) {
+        parser = new RequestParser(requestIds);
         renderer = new AnswerRenderer(defaultRetryAfterMs);
     }
 
     @Override
-    public ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot) {
-        return parser.parse(call, snapshot);
+    public ParsedRequest parse(HttpRequest request, RoutingSnapshot snapshot) {
+        return parser.parse(request, snapshot);
     }
 
     @Override
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/PercentDecoder.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/PercentDecoder.java
@@ -5,17 +5,18 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Percent-decoding of URL parts; a plus sign stays a plus sign. Stateless. */
+/** Decodes percent-encoded URL parts. A plus sign is not decoded as a space. Stateless. */
 final class PercentDecoder {
     private static final int ESCAPE_LENGTH = 3;
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private PercentDecoder() {}
 
     /**
-     * Decodes UTF-8 octets.
+     * Decodes a text whose escaped octets are UTF-8.
      *
-     * @throws IllegalArgumentException on a truncated or malformed escape, and if the octets are not UTF-8
+     * @throws IllegalArgumentException if an escape is truncated or malformed, the octets are not valid UTF-8, or the
+     *     text contains a non-ASCII character
      */
     static String decode(String text) {
         ByteArrayOutputStream octets = new ByteArrayOutputStream(text.length());
@@ -42,12 +43,13 @@
         }
     }
 
+    /** Parses the escape that starts at a position. */
     private static int escapedOctet(String text, int at) {
-        int high = at + 1 < text.length() ? Character.digit(text.charAt(at + 1), HEX) : -1;
-        int low = at + 2 < text.length() ? Character.digit(text.charAt(at + 2), HEX) : -1;
+        int high = at + 1 < text.length() ? Character.digit(text.charAt(at + 1), HEX_RADIX) : -1;
+        int low = at + 2 < text.length() ? Character.digit(text.charAt(at + 2), HEX_RADIX) : -1;
         if (high < 0 || low < 0) {
             throw new IllegalArgumentException("malformed percent escape at position " + at);
         }
-        return high * HEX + low;
+        return high * HEX_RADIX + low;
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
@@ -21,83 +21,87 @@
 import org.coriandercrank.kernel.request.Header;
 
 /**
- * Turns an HTTP request into a {@link CallerRequest}. Thread safe.
+ * Parses an HTTP request into a {@link CallerRequest}. Thread safe.
  *
- * <p>Each refusal names the offending field. Header fields whose name starts with {@code crank-} are not passed on, so
- * that a caller cannot set fields that are reserved for the backend protocol, such as a fence.
+ * <p>The detail of each refusal starts with the name of the invalid field. Header fields whose name starts with
+ * {@code crank-} are not forwarded, so that a caller cannot set fields that are reserved for the backend protocol, such
+ * as the fencing token.
  */
 public final class RequestParser {
     private static final Set<String> METHODS = Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE");
     private static final String PATH_PREFIX = "/v1/";
     private static final String RESERVED_PREFIX = "crank-";
-    private static final String SERVICE = "crank-service";
-    private static final String KEY = "crank-key";
-    private static final String DEADLINE = "crank-deadline-ms";
-    private static final String REQUEST_ID = "crank-request-id";
-    private static final String IDEMPOTENCY_KEY = "idempotency-key";
-    private static final String KEY_AGE = "crank-key-age-ms";
+    private static final String SERVICE_HEADER = "crank-service";
+    private static final String KEY_HEADER = "crank-key";
+    private static final String DEADLINE_HEADER = "crank-deadline-ms";
+    private static final String REQUEST_ID_HEADER = "crank-request-id";
+    private static final String IDEMPOTENCY_KEY_HEADER = "idempotency-key";
+    private static final String KEY_AGE_HEADER = "crank-key-age-ms";
 
-    private final RequestIds ids;
+    private final RequestIds requestIds;
 
-    public RequestParser(RequestIds ids) {
-        this.ids = ids;
+    public RequestParser(RequestIds requestIds) {
+        this.requestIds = requestIds;
     }
 
-    /** Where the request goes, still encoded. */
+    /** Service and key of a request as the caller wrote them; the key is still percent-encoded. */
     private record Address(String service, Optional<String> key) {}
 
-    public ParsedRequest parse(HttpRequest call, RoutingSnapshot snapshot) {
+    /** Parses a request and checks it against the configuration. */
+    public ParsedRequest parse(HttpRequest httpRequest, RoutingSnapshot snapshot) {
         RequestId id;
         try {
-            id = single(call, REQUEST_ID, ResultCode.BAD_REQUEST_ID)
+            id = singleHeader(httpRequest, REQUEST_ID_HEADER, ResultCode.BAD_REQUEST_ID)
                     .map(RequestIds::parse)
-                    .orElseGet(ids::generate);
+                    .orElseGet(requestIds::generate);
         } catch (CrankException e) {
-            return ParsedRequest.refused(ids.generate(), CallerAnswer.of(e.code(), e.getMessage()));
+            return ParsedRequest.refused(requestIds.generate(), CallerAnswer.of(e.code(), e.getMessage()));
         }
         if (snapshot.configurationRevision().equals(Revision.NONE)) {
             return ParsedRequest.refused(
                     id, CallerAnswer.of(ResultCode.STARTING, "this daemon has no configuration yet"));
         }
         try {
-            return parse(id, call, snapshot);
+            return parse(id, httpRequest, snapshot);
         } catch (CrankException e) {
             return ParsedRequest.refused(id, CallerAnswer.of(e.code(), e.getMessage()));
         }
     }
 
-    private static ParsedRequest parse(RequestId id, HttpRequest call, RoutingSnapshot snapshot) {
-        Address address = address(call);
-        ServiceConfig service = service(address.service(), snapshot);
-        if (!METHODS.contains(call.method())) {
+    private static ParsedRequest parse(RequestId id, HttpRequest httpRequest, RoutingSnapshot snapshot) {
+        Address address = parseAddress(httpRequest);
+        ServiceConfig service = findService(address.service(), snapshot);
+        if (!METHODS.contains(httpRequest.method())) {
             throw new CrankException(
-                    ResultCode.METHOD_NOT_ALLOWED, "method: " + printable(call.method()) + " is not allowed");
+                    ResultCode.METHOD_NOT_ALLOWED, "method: " + printable(httpRequest.method()) + " is not allowed");
         }
-        Optional<Key> key = service.keyed() ? Optional.of(key(address)) : Optional.empty();
-        if (!service.keyed() && call.header(KEY).isPresent()) {
-            throw new CrankException(ResultCode.BAD_REQUEST, "Crank-Key: the service is not divided by key");
+        Optional<Key> key = service.keyed() ? Optional.of(parseKey(address)) : Optional.empty();
+        if (!service.keyed() && httpRequest.header(KEY_HEADER).isPresent()) {
+            throw new CrankException(ResultCode.BAD_REQUEST, "Crank-Key: the service is not keyed");
         }
-        if (call.body().length > service.maxBodyBytes()) {
+        if (httpRequest.body().length > service.maxBodyBytes()) {
             throw new CrankException(
                     ResultCode.BODY_TOO_LARGE,
-                    "body: has " + call.body().length + " bytes, at most " + service.maxBodyBytes() + " are allowed");
+                    "body: has " + httpRequest.body().length + " bytes, at most " + service.maxBodyBytes()
+                            + " are allowed");
         }
-        long deadlineMs = single(call, DEADLINE, ResultCode.BAD_DEADLINE)
-                .map(text -> number(ResultCode.BAD_DEADLINE, "Crank-Deadline-Ms", text, 1, service.maxDeadlineMs()))
+        long deadlineMs = singleHeader(httpRequest, DEADLINE_HEADER, ResultCode.BAD_DEADLINE)
+                .map(text ->
+                        parseNumber(ResultCode.BAD_DEADLINE, "Crank-Deadline-Ms", text, 1, service.maxDeadlineMs()))
                 .orElse((long) service.defaultDeadlineMs());
-        Optional<IdempotencyKey> idempotencyKey = idempotencyKey(call);
-        OptionalLong keyAgeMs = keyAgeMs(call, idempotencyKey.isPresent());
-        List<Header> passedOn = call.headers().stream()
+        Optional<IdempotencyKey> idempotencyKey = parseIdempotencyKey(httpRequest);
+        OptionalLong keyAgeMs = parseKeyAgeMs(httpRequest, idempotencyKey.isPresent());
+        List<Header> forwardedHeaders = httpRequest.headers().stream()
                 .filter(h -> !h.name().startsWith(RESERVED_PREFIX))
                 .toList();
         CallerRequest request = new CallerRequest(
                 id,
                 service.name(),
                 key,
-                call.method(),
-                call.target(),
-                passedOn,
-                call.body(),
+                httpRequest.method(),
+                httpRequest.target(),
+                forwardedHeaders,
+                httpRequest.body(),
                 deadlineMs,
                 idempotencyKey,
                 keyAgeMs,
@@ -105,24 +109,25 @@
         return ParsedRequest.accepted(request, service);
     }
 
-    private static Address address(HttpRequest call) {
-        if (!call.target().startsWith("/")) {
+    private static Address parseAddress(HttpRequest httpRequest) {
+        if (!httpRequest.target().startsWith("/")) {
             throw new CrankException(ResultCode.BAD_REQUEST, "path: must start with a slash");
         }
-        Optional<String> service = single(call, SERVICE, ResultCode.BAD_REQUEST);
+        Optional<String> service = singleHeader(httpRequest, SERVICE_HEADER, ResultCode.BAD_REQUEST);
         if (service.isPresent()) {
-            return new Address(service.get(), single(call, KEY, ResultCode.MALFORMED_KEY));
+            return new Address(service.get(), singleHeader(httpRequest, KEY_HEADER, ResultCode.MALFORMED_KEY));
         }
-        String path = call.path();
+        String path = httpRequest.path();
         if (!path.startsWith(PATH_PREFIX)) {
             throw new CrankException(
-                    ResultCode.BAD_REQUEST, "path: must be /v1/<service>/<key>, or give the header Crank-Service");
+                    ResultCode.BAD_REQUEST,
+                    "path: must be /v1/<service>/<key>, unless the header Crank-Service is given");
         }
         String[] parts = path.substring(PATH_PREFIX.length()).split("/", 3);
         return new Address(parts[0], parts.length > 1 ? Optional.of(parts[1]) : Optional.empty());
     }
 
-    private static ServiceConfig service(String text, RoutingSnapshot snapshot) {
+    private static ServiceConfig findService(String text, RoutingSnapshot snapshot) {
         Optional<ServiceConfig> found;
         try {
             found = snapshot.configuration().service(new ServiceName(text));
@@ -133,7 +138,7 @@
                 () -> new CrankException(ResultCode.UNKNOWN_SERVICE, "service: there is no service " + text));
     }
 
-    private static Key key(Address address) {
+    private static Key parseKey(Address address) {
         String encoded =
                 address.key().orElseThrow(() -> new CrankException(ResultCode.MALFORMED_KEY, "key: is missing"));
         try {
@@ -143,16 +148,17 @@
         }
     }
 
-    private static Optional<IdempotencyKey> idempotencyKey(HttpRequest call) {
+    private static Optional<IdempotencyKey> parseIdempotencyKey(HttpRequest httpRequest) {
         try {
-            return single(call, IDEMPOTENCY_KEY, ResultCode.BAD_IDEMPOTENCY_KEY).map(IdempotencyKey::new);
+            return singleHeader(httpRequest, IDEMPOTENCY_KEY_HEADER, ResultCode.BAD_IDEMPOTENCY_KEY)
+                    .map(IdempotencyKey::new);
         } catch (IllegalArgumentException e) {
             throw new CrankException(ResultCode.BAD_IDEMPOTENCY_KEY, "Idempotency-Key: " + e.getMessage(), e);
         }
     }
 
-    private static OptionalLong keyAgeMs(HttpRequest call, boolean hasKey) {
-        Optional<String> text = single(call, KEY_AGE, ResultCode.BAD_IDEMPOTENCY_KEY);
+    private static OptionalLong parseKeyAgeMs(HttpRequest httpRequest, boolean hasKey) {
+        Optional<String> text = singleHeader(httpRequest, KEY_AGE_HEADER, ResultCode.BAD_IDEMPOTENCY_KEY);
         if (text.isEmpty()) {
             return OptionalLong.empty();
         }
@@ -161,10 +167,10 @@
                     ResultCode.BAD_IDEMPOTENCY_KEY, "Crank-Key-Age-Ms: is given without Idempotency-Key");
         }
         return OptionalLong.of(
-                number(ResultCode.BAD_IDEMPOTENCY_KEY, "Crank-Key-Age-Ms", text.get(), 0, Long.MAX_VALUE));
+                parseNumber(ResultCode.BAD_IDEMPOTENCY_KEY, "Crank-Key-Age-Ms", text.get(), 0, Long.MAX_VALUE));
     }
 
-    private static long number(ResultCode code, String field, String text, long min, long max) {
+    private static long parseNumber(ResultCode code, String field, String text, long min, long max) {
         try {
             long value = Long.parseLong(text);
             if (value >= min && value <= max) {
@@ -176,15 +182,18 @@
         throw new CrankException(code, field + ": must be between " + min + " and " + max);
     }
 
-    private static Optional<String> single(HttpRequest call, String name, ResultCode code) {
-        List<Header> fields =
-                call.headers().stream().filter(h -> h.name().equals(name)).toList();
+    /** The value of a header that must not be repeated. */
+    private static Optional<String> singleHeader(HttpRequest httpRequest, String name, ResultCode code) {
+        List<Header> fields = httpRequest.headers().stream()
+                .filter(h -> h.name().equals(name))
+                .toList();
         if (fields.size() > 1) {
             throw new CrankException(code, name + ": is given more than once");
         }
         return fields.stream().map(Header::value).findFirst();
     }
 
+    /** Replaces all characters except letters, digits, underscore and hyphen. */
     private static String printable(String text) {
         return text.replaceAll("[^A-Za-z0-9_-]", "?");
     }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
@@ -7,17 +7,18 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 
 /**
- * The attempts of one request and what is known of each; decides what the caller may be told. Not thread safe.
+ * The attempts of one request and the state of each. Decides whether a further attempt is allowed and which outcome the
+ * caller is told. Not thread safe.
  *
- * <p>Invariants: a final answer says {@code not-run} only if every attempt is proved not to have run and not to run
- * later; a request that is not repeatable has at most one attempt that is not proved so.
+ * <p>Invariants: the outcome of the final answer is {@code not-run} only if every attempt provably did not run and will
+ * not run. A request that is not repeatable has at most one attempt without that proof.
  */
 public final class AttemptHistory {
-    /** What is known of an attempt. */
-    public enum Knowledge {
-        /** Sent; nothing heard yet. */
+    /** What is known about an attempt. */
+    public enum AttemptState {
+        /** Sent, without any result yet. */
         PENDING,
-        /** Proved that it neither ran nor will run. */
+        /** It provably did not run and will not run. */
         NOT_RUN,
         /** The backend server executed it and its answer is known. */
         RAN,
@@ -26,73 +27,77 @@
     }
 
     private final boolean repeatable;
-    private final List<Knowledge> attempts = new ArrayList<>();
+    private final List<AttemptState> attempts = new ArrayList<>();
 
     public AttemptHistory(boolean repeatable) {
         this.repeatable = repeatable;
     }
 
-    /** Whether the request may be sent (again). */
+    /** Whether the request may be sent, for the first time or again. */
     public boolean canSend() {
-        return repeatable ? !isPending() : attempts.stream().allMatch(Knowledge.NOT_RUN::equals);
+        return repeatable ? !isLastAttemptPending() : attempts.stream().allMatch(AttemptState.NOT_RUN::equals);
     }
 
-    /** Records that an attempt is about to be sent; fails if {@link #canSend()} is false. */
-    public void begin() {
+    /**
+     * Adds an attempt, which is about to be sent.
+     *
+     * @throws IllegalStateException if {@link #canSend()} is false
+     */
+    public void recordSend() {
         if (!canSend()) {
             throw new IllegalStateException("an earlier attempt may have run: " + attempts);
         }
-        attempts.add(Knowledge.PENDING);
+        attempts.add(AttemptState.PENDING);
     }
 
-    /** Records the answer of a gate to the last attempt, also one that an outcome query returned. */
-    public void answered(CallerAnswer answer) {
-        learn(
+    /** Records the answer of a gate to the last attempt, received directly or from an outcome query. */
+    public void recordAnswer(CallerAnswer answer) {
+        updateLastAttempt(
                 switch (answer.outcome()) {
-                    case RUN -> Knowledge.RAN;
-                    case NOT_RUN -> Knowledge.NOT_RUN;
-                    case UNKNOWN -> Knowledge.MAY_HAVE_RUN;
+                    case RUN -> AttemptState.RAN;
+                    case NOT_RUN -> AttemptState.NOT_RUN;
+                    case UNKNOWN -> AttemptState.MAY_HAVE_RUN;
                 });
     }
 
-    /** Records that the last attempt was certainly not handled, or was barred by an outcome query. */
-    public void notRun() {
-        learn(Knowledge.NOT_RUN);
+    /** Records that the last attempt provably was not handled, or was barred by an outcome query. */
+    public void recordNotRun() {
+        updateLastAttempt(AttemptState.NOT_RUN);
     }
 
     /** Records that the answer to the last attempt was lost. */
-    public void lost() {
-        learn(Knowledge.MAY_HAVE_RUN);
+    public void recordLostAnswer() {
+        updateLastAttempt(AttemptState.MAY_HAVE_RUN);
     }
 
-    private void learn(Knowledge knowledge) {
+    private void updateLastAttempt(AttemptState newState) {
         int last = attempts.size() - 1;
-        Knowledge known = attempts.get(last);
-        if (known == Knowledge.PENDING || known == Knowledge.MAY_HAVE_RUN) {
-            attempts.set(last, knowledge);
+        AttemptState state = attempts.get(last);
+        if (state == AttemptState.PENDING || state == AttemptState.MAY_HAVE_RUN) {
+            attempts.set(last, newState);
         }
     }
 
-    public boolean isPending() {
-        return !attempts.isEmpty() && attempts.get(attempts.size() - 1) == Knowledge.PENDING;
+    public boolean isLastAttemptPending() {
+        return !attempts.isEmpty() && attempts.get(attempts.size() - 1) == AttemptState.PENDING;
     }
 
-    public boolean mayHaveRun() {
-        return attempts.stream().anyMatch(k -> k != Knowledge.NOT_RUN);
+    public boolean mayAnyHaveRun() {
+        return attempts.stream().anyMatch(k -> k != AttemptState.NOT_RUN);
     }
 
-    /** Attempts that are not proved to have reached no server. */
-    public int mayHaveRunTimes() {
-        return (int) attempts.stream().filter(k -> k != Knowledge.NOT_RUN).count();
+    /** Number of attempts that ran, may have run or may still run. */
+    public int possiblyRunCount() {
+        return (int) attempts.stream().filter(k -> k != AttemptState.NOT_RUN).count();
     }
 
-    public int sends() {
+    public int sendCount() {
         return attempts.size();
     }
 
-    /** The answer for the caller; the proposed one unless that says {@code not-run} without proof. */
+    /** The proposed answer, but with outcome {@code unknown} if it claims {@code not-run} without proof. */
     public CallerAnswer finalAnswer(CallerAnswer proposed) {
-        if (proposed.outcome() != Outcome.NOT_RUN || !mayHaveRun()) {
+        if (proposed.outcome() != Outcome.NOT_RUN || !mayAnyHaveRun()) {
             return proposed;
         }
         ResultCode code = codeIfMayHaveRun(proposed.code());
@@ -104,8 +109,8 @@
         if (proposed == ResultCode.CANCELLED) {
             return ResultCode.CANCELLED_RUNNING;
         }
-        boolean lost = attempts.stream().anyMatch(k -> k == Knowledge.MAY_HAVE_RUN);
-        return proposed == ResultCode.DEADLINE_EXPIRED && !lost
+        boolean answerLost = attempts.stream().anyMatch(k -> k == AttemptState.MAY_HAVE_RUN);
+        return proposed == ResultCode.DEADLINE_EXPIRED && !answerLost
                 ? ResultCode.DEADLINE_EXPIRED_RUNNING
                 : ResultCode.OUTCOME_UNKNOWN;
     }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
@@ -15,9 +15,10 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Sends the attempts of one request and decides what follows from the result of each. Confined to the ingress duty.
+ * Sends the attempts of one request and decides how to continue after the result of each. Confined to the ingress
+ * executor.
  *
- * <p>A late result of an attempt whose request already has its final answer changes only counters.
+ * <p>If the request already has its final answer, a late result only updates the balancer and the log.
  */
 final class AttemptSender {
     private static final int SERVER_ERROR_STATUS = 500;
@@ -25,10 +26,19 @@
     private final DispatchContext context;
     private final RequestDispatch dispatch;
     private final AttemptHistory history;
-    /** The attempt that may still run; a lost one stays here while its outcome is asked for. */
+
+    /** The attempt that may still run. After a lost answer it stays set while its outcome is queried. */
     private Optional<Attempt> outstanding = Optional.empty();
 
-    /** One send. Immutable. */
+    /**
+     * One send of the request. Immutable.
+     *
+     * @param id request id of the attempt
+     * @param snapshot routing state on which the choice of the target is based
+     * @param generation generation of the service's table in that snapshot
+     * @param number number of the send, from 1 on
+     * @param reason why the request was sent, for the decision log
+     */
     record Attempt(
             Target target, RequestId id, RoutingSnapshot snapshot, Generation generation, int number, String reason) {}
 
@@ -38,55 +48,57 @@
         this.history = history;
     }
 
+    /** Sends an attempt to the local gate, or forwards it to the daemon of the target. */
     void send(Target target, CallerRequest request, RoutingSnapshot snapshot, String reason) {
-        history.begin();
+        history.recordSend();
         Generation generation = dispatch.generationIn(snapshot);
-        Attempt attempt = new Attempt(target, request.id(), snapshot, generation, history.sends(), reason);
+        Attempt attempt = new Attempt(target, request.id(), snapshot, generation, history.sendCount(), reason);
         outstanding = Optional.of(attempt);
         if (isBalanced()) {
-            context.balancer().sent(target.member());
+            context.balancer().recordSend(target.member());
         }
         long remainingMs = dispatch.remainingMs();
-        CallerRequest timed = request.withRemainingMs(remainingMs);
+        CallerRequest requestWithRemainingTime = request.withRemainingMs(remainingMs);
         if (target.peer().isEmpty()) {
-            context.parts()
-                    .gate()
-                    .submit(timed)
-                    .whenComplete((answer, failure) -> dispatch.post(() -> {
+            context.dependencies()
+                    .ownerGate()
+                    .submit(requestWithRemainingTime)
+                    .whenComplete((answer, failure) -> dispatch.execute(() -> {
                         if (failure == null) {
-                            learnLoad(attempt, context.parts().gate().load());
-                            onAnswer(attempt, answer, generation);
+                            recordLoad(
+                                    attempt, context.dependencies().ownerGate().load());
+                            onGateAnswer(attempt, answer, generation);
                         } else {
                             onFailure(attempt, CrankException.of(failure));
                         }
                     }));
             return;
         }
-        context.metrics().forwarded();
-        context.parts()
-                .peers()
+        context.metrics().countForward();
+        context.dependencies()
+                .peerClient()
                 .call(
                         target.peer().get(),
-                        new ForwardRequest(timed, generation),
+                        new ForwardRequest(requestWithRemainingTime, generation),
                         ForwardAnswer.class,
                         remainingMs + context.options().answerGracePeriodMs())
-                .whenComplete((forwarded, failure) -> dispatch.post(() -> {
+                .whenComplete((forwardAnswer, failure) -> dispatch.execute(() -> {
                     if (failure == null) {
-                        learnLoad(attempt, forwarded.load());
-                        onAnswer(attempt, forwarded.answer(), forwarded.tableGeneration());
+                        recordLoad(attempt, forwardAnswer.load());
+                        onGateAnswer(attempt, forwardAnswer.answer(), forwardAnswer.tableGeneration());
                     } else {
                         onFailure(attempt, CrankException.of(failure));
                     }
                 }));
     }
 
-    private void learnLoad(Attempt attempt, GateLoad load) {
+    private void recordLoad(Attempt attempt, GateLoad load) {
         if (isBalanced()) {
-            context.balancer().learnLoad(attempt.target().member(), load, context.nowNanos());
+            context.balancer().recordLoad(attempt.target().member(), load, context.nowNanos());
         }
     }
 
-    /** Asks the gate that has the outstanding attempt, if there is one, to stop it. */
+    /** Asks the gate that received the outstanding attempt, if there is one, to cancel it. */
     void cancelOutstanding() {
         if (outstanding.isEmpty()) {
             return;
@@ -94,21 +106,21 @@
         Attempt attempt = outstanding.get();
         Optional<PeerTarget> peer = attempt.target().peer();
         if (peer.isPresent()) {
-            context.parts().peers().send(peer.get(), new CancelRequest(attempt.id()));
+            context.dependencies().peerClient().send(peer.get(), new CancelRequest(attempt.id()));
         } else {
-            context.parts().gate().cancel(attempt.id());
+            context.dependencies().ownerGate().cancel(attempt.id());
         }
     }
 
-    private void onAnswer(Attempt attempt, CallerAnswer answer, Generation gateGeneration) {
-        settle(attempt, answer.code(), didWell(answer));
+    private void onGateAnswer(Attempt attempt, CallerAnswer answer, Generation gateGeneration) {
+        recordResult(attempt, answer.code(), serverSuccess(answer));
         if (!dispatch.isDone()) {
-            resolved(attempt, answer, gateGeneration);
+            handleAnswer(attempt, answer, gateGeneration);
         }
     }
 
-    /** Whether the server did well; empty if the answer says nothing about it, as a refusal because of load. */
-    private static Optional<Boolean> didWell(CallerAnswer answer) {
+    /** Whether the server handled the attempt well; empty if the answer does not show it, such as an overload refusal. */
+    private static Optional<Boolean> serverSuccess(CallerAnswer answer) {
         return switch (answer.code()) {
             case OK -> Optional.of(answer.status() < SERVER_ERROR_STATUS);
             case BACKEND_UNAVAILABLE, OUTCOME_UNKNOWN, DEADLINE_EXPIRED_RUNNING, INTERNAL -> Optional.of(false);
@@ -116,9 +128,9 @@
         };
     }
 
-    /** Acts on an answer of a gate, given directly or by an outcome query. */
-    void resolved(Attempt attempt, CallerAnswer answer, Generation gateGeneration) {
-        history.answered(answer);
+    /** Continues after the answer of a gate, received directly or from an outcome query. */
+    void handleAnswer(Attempt attempt, CallerAnswer answer, Generation gateGeneration) {
+        history.recordAnswer(answer);
         if (answer.code() == ResultCode.BARRED) {
             dispatch.retry(true, "barred", answer);
         } else if (answer.code() == ResultCode.OK && answer.status() >= SERVER_ERROR_STATUS && history.canSend()) {
@@ -144,47 +156,50 @@
         switch (answer.code()) {
             case NOT_OWNER -> {
                 if (attempt.target().peer().isPresent()) {
-                    context.metrics().extraHop();
+                    context.metrics().countExtraHop();
                 }
                 if (gateGeneration.isNewerThan(attempt.generation())) {
-                    dispatch.holdFor(snapshot -> !gateGeneration.isNewerThan(dispatch.generationIn(snapshot)), answer);
+                    dispatch.routeWhen(
+                            snapshot -> !gateGeneration.isNewerThan(dispatch.generationIn(snapshot)), answer);
                 } else {
-                    dispatch.holdAndRepeat(answer, attempt.snapshot());
+                    dispatch.resendLater(answer, attempt.snapshot());
                 }
             }
-            case FENCE_REJECTED -> dispatch.holdAndRetry(answer, attempt.snapshot());
+            case FENCE_REJECTED -> dispatch.resendLaterWithinBudget(answer, attempt.snapshot());
             case RANGE_MOVING, LEASE_LAPSED, STARTING, DRAINING, NO_OWNER ->
-                dispatch.holdAndRepeat(answer, attempt.snapshot());
+                dispatch.resendLater(answer, attempt.snapshot());
             default -> dispatch.finish(answer);
         }
     }
 
     private void onFailure(Attempt attempt, CrankException failure) {
-        settle(attempt, failure.code(), Optional.of(false));
+        recordResult(attempt, failure.code(), Optional.of(false));
         if (dispatch.isDone()) {
             return;
         }
         switch (failure.code()) {
             case PEER_UNREACHABLE, WRONG_MEMBER, UNSUPPORTED_MESSAGE -> onNotHandled(attempt, failure);
-            default -> onLost(attempt, failure);
+            default -> onAnswerLost(attempt, failure);
         }
     }
 
     private void onNotHandled(Attempt attempt, CrankException failure) {
-        history.notRun();
-        CallerAnswer refusal = dispatch.retryLater(
+        history.recordNotRun();
+        CallerAnswer refusal = dispatch.retryLaterAnswer(
                 ResultCode.OWNER_UNREACHABLE, attempt.target().member() + " cannot be reached: " + failure.code());
         if (isBalanced()) {
             dispatch.retry(false, "unreachable", refusal);
-        } else if (attempt.target().region().equals(Optional.of(context.parts().region()))) {
-            dispatch.holdAndRepeat(refusal, attempt.snapshot());
+        } else if (attempt.target()
+                .region()
+                .equals(Optional.of(context.dependencies().region()))) {
+            dispatch.resendLater(refusal, attempt.snapshot());
         } else {
             dispatch.finish(refusal);
         }
     }
 
-    private void onLost(Attempt attempt, CrankException failure) {
-        history.lost();
+    private void onAnswerLost(Attempt attempt, CrankException failure) {
+        history.recordLostAnswer();
         if (dispatch.isRepeatable()) {
             dispatch.retry(
                     true,
@@ -198,22 +213,23 @@
         }
     }
 
-    /** @param success whether the server did well; empty if the result says nothing about it */
-    private void settle(Attempt attempt, ResultCode code, Optional<Boolean> success) {
+    /** @param success whether the server handled the attempt well; empty if the result does not show it */
+    private void recordResult(Attempt attempt, ResultCode code, Optional<Boolean> success) {
         outstanding = Optional.empty();
         if (isBalanced()) {
-            context.balancer().finished(attempt.target().member());
-            success.ifPresent(ok -> context.balancer()
-                    .result(dispatch.request().service(), attempt.target().member(), ok, context.nowNanos()));
+            context.balancer().recordFinish(attempt.target().member());
+            success.ifPresent(successful -> context.balancer()
+                    .recordResult(
+                            dispatch.request().service(), attempt.target().member(), successful, context.nowNanos()));
         }
-        log(attempt, code.name());
+        logAttempt(attempt, code.name());
     }
 
-    /** Writes the decision line of an attempt. */
-    void log(Attempt attempt, String result) {
+    /** Writes the result of an attempt to the decision log. */
+    void logAttempt(Attempt attempt, String result) {
         long latencyMs = dispatch.elapsedMs();
-        context.parts()
-                .decisions()
+        context.dependencies()
+                .decisionLog()
                 .log(() -> "event=route service=" + dispatch.request().service()
                         + " keyHash=" + dispatch.keyHash().map(Object::toString).orElse("-")
                         + " owner=" + attempt.target().member()
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
@@ -6,31 +6,39 @@
 import org.coriandercrank.ingress.internal.balancing.Balancer;
 import org.coriandercrank.kernel.time.TimerService.Subscription;
 
-/** What all requests of a daemon share. The balancer and the budget are touched only on the duty. */
+/**
+ * State and collaborators shared by all requests of a daemon. Thread safe, except that the balancer and the retry
+ * budgets are confined to the executor.
+ */
 public record DispatchContext(
-        IngressDependencies parts,
+        IngressDependencies dependencies,
         IngressOptions options,
-        RequestExecutor duty,
+        IngressExecutor executor,
         Balancer balancer,
-        RetryBudgets budgets,
+        RetryBudgets retryBudgets,
         IngressMetrics metrics) {
-    private static final long FULL_RING_RETRY_MS = 1;
+    private static final long FULL_QUEUE_RETRY_MS = 1;
 
-    /** Runs a task on the duty; never drops it, since a dropped answer would leave its request without one. */
-    void post(Runnable task) {
-        if (!duty.offer(task)) {
-            parts.timers().once(FULL_RING_RETRY_MS, duty, task);
+    /**
+     * Runs a task on the executor. If the task queue is full, the task is retried by a timer, because a dropped task could
+     * leave a request without an answer.
+     */
+    void execute(Runnable task) {
+        if (!executor.offer(task)) {
+            dependencies.timerService().once(FULL_QUEUE_RETRY_MS, executor, task);
         }
     }
 
-    Subscription after(long delayMs, Runnable task) {
-        return parts.timers().once(Math.max(0, delayMs), duty, task);
+    /** Runs a task on the executor after a delay; a negative delay counts as 0. */
+    Subscription schedule(long delayMs, Runnable task) {
+        return dependencies.timerService().once(Math.max(0, delayMs), executor, task);
     }
 
     long nowNanos() {
-        return parts.timers().clock().nowNanos();
+        return dependencies.timerService().clock().nowNanos();
     }
 
+    /** Time until a deadline, rounded down to milliseconds; 0 if it has passed. */
     long msUntil(long deadlineNanos) {
         return Math.max(0, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos()));
     }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchResult.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchResult.java
@@ -7,6 +7,6 @@
 /**
  * Final answer of a dispatched request. Immutable.
  *
- * @param owner the member that the last attempt was sent to
+ * @param owner the member to which the last attempt was sent; empty if none was sent
  */
 public record DispatchResult(CallerAnswer answer, Optional<MemberId> owner) {}
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/IngressMetrics.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/IngressMetrics.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.coriandercrank.kernel.code.ResultCode;
 
-/** Meters of the caller side. Thread safe. */
+/** Metrics of the caller side. Thread safe. */
 public final class IngressMetrics {
     private final MeterRegistry meters;
     private final Map<ServiceAndCode, Counter> requests = new ConcurrentHashMap<>();
@@ -19,7 +19,7 @@
     private final Counter extraHops;
     private final Counter outcomeQueries;
     private final Counter retries;
-    private final Counter budgetRefusals;
+    private final Counter retryBudgetRefusals;
 
     /** Tags of the request counter. */
     private record ServiceAndCode(String service, ResultCode code) {}
@@ -30,7 +30,7 @@
         extraHops = meters.counter("crank.ingress.extra.hops");
         outcomeQueries = meters.counter("crank.ingress.outcome.queries");
         retries = meters.counter("crank.ingress.retries");
-        budgetRefusals = meters.counter("crank.ingress.retry.budget.refusals");
+        retryBudgetRefusals = meters.counter("crank.ingress.retry.budget.refusals");
     }
 
     public void registerGauges(Supplier<Number> inFlight, Supplier<Number> excludedServers) {
@@ -38,8 +38,12 @@
         Gauge.builder("crank.ingress.excluded.servers", excludedServers).register(meters);
     }
 
-    /** @param service name of a configured service, or {@code none} for a request without one */
-    public void finished(String service, ResultCode code, long latencyNanos) {
+    /**
+     * Counts an answered request and records its latency.
+     *
+     * @param service name of a configured service, or {@code none} for a request without one
+     */
+    public void recordRequest(String service, ResultCode code, long latencyNanos) {
         requests.computeIfAbsent(
                         new ServiceAndCode(service, code),
                         key -> meters.counter(
@@ -54,23 +58,23 @@
                 .record(latencyNanos, TimeUnit.NANOSECONDS);
     }
 
-    public void forwarded() {
+    public void countForward() {
         forwards.increment();
     }
 
-    public void extraHop() {
+    public void countExtraHop() {
         extraHops.increment();
     }
 
-    public void outcomeQuery() {
+    public void countOutcomeQuery() {
         outcomeQueries.increment();
     }
 
-    public void retried() {
+    public void countRetry() {
         retries.increment();
     }
 
-    public void budgetRefusal() {
-        budgetRefusals.increment();
+    public void countRetryBudgetRefusal() {
+        retryBudgetRefusals.increment();
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
@@ -10,10 +10,10 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Finds out what became of an attempt of a non-repeatable request whose answer was lost. Confined to the ingress duty.
+ * Queries the outcome of an attempt of a non-repeatable request whose answer was lost. Confined to the ingress executor.
  *
- * <p>Only the member that the attempt was sent to is asked: no other gate can tell. The request gets the answer
- * {@code OUTCOME_UNKNOWN} as soon as that member can no longer answer, and at the deadline at the latest.
+ * <p>Queries go only to the member to which the attempt was sent, because no other gate has a record of it. The caller
+ * gets {@code OUTCOME_UNKNOWN} as soon as that member can no longer answer, and at the deadline at the latest.
  */
 final class OutcomeResolver {
     private final DispatchContext context;
@@ -22,7 +22,7 @@
     private final AttemptSender sender;
     private final Attempt attempt;
     private final PeerTarget peer;
-    private long pauseMs;
+    private long backoffMs;
 
     OutcomeResolver(
             DispatchContext context,
@@ -36,67 +36,69 @@
         this.sender = sender;
         this.attempt = attempt;
         this.peer = attempt.target().peer().orElseThrow();
-        this.pauseMs = context.options().backoffStepMs();
+        this.backoffMs = context.options().backoffStepMs();
     }
 
+    /** Sends one query. Further ones follow until the outcome is known or the request has its final answer. */
     void query() {
         long remainingMs = dispatch.remainingMs();
         if (dispatch.isDone() || remainingMs == 0) {
             return;
         }
-        context.metrics().outcomeQuery();
+        context.metrics().countOutcomeQuery();
         OutcomeQuery query = new OutcomeQuery(attempt.id(), dispatch.request().service(), dispatch.keyHash());
-        context.parts()
-                .peers()
+        context.dependencies()
+                .peerClient()
                 .call(
                         peer,
                         query,
                         OutcomeAnswer.class,
                         Math.min(remainingMs, context.options().outcomeQueryTimeoutMs()))
-                .whenComplete((answer, failure) -> dispatch.post(() -> {
+                .whenComplete((answer, failure) -> dispatch.execute(() -> {
                     if (failure == null) {
-                        onAnswer(answer);
+                        onQueryAnswer(answer);
                     } else {
-                        onFailure(CrankException.of(failure));
+                        onQueryFailure(CrankException.of(failure));
                     }
                 }));
     }
 
-    private void onAnswer(OutcomeAnswer answer) {
-        sender.log(attempt, "OUTCOME_" + answer.state());
+    private void onQueryAnswer(OutcomeAnswer answer) {
+        sender.logAttempt(attempt, "OUTCOME_" + answer.state());
         if (dispatch.isDone()) {
             return;
         }
         switch (answer.state()) {
-            case FINISHED -> sender.resolved(attempt, answer.answer().orElseThrow(), attempt.generation());
+            case FINISHED -> sender.handleAnswer(attempt, answer.answer().orElseThrow(), attempt.generation());
             case RUNNING -> queryLater();
             case BARRED -> {
-                history.notRun();
+                history.recordNotRun();
                 dispatch.retry(
                         true,
                         "barred",
-                        dispatch.retryLater(ResultCode.OWNER_UNREACHABLE, "the owner did not get the request"));
+                        dispatch.retryLaterAnswer(
+                                ResultCode.OWNER_UNREACHABLE, "the owner did not receive the request"));
             }
-            case UNKNOWN -> finishUnknown("the owner has no record of the request");
+            case UNKNOWN -> finishWithUnknownOutcome("the owner has no record of the request");
         }
     }
 
-    private void onFailure(CrankException failure) {
-        sender.log(attempt, "OUTCOME_QUERY_" + failure.code());
+    private void onQueryFailure(CrankException failure) {
+        sender.logAttempt(attempt, "OUTCOME_QUERY_" + failure.code());
         if (dispatch.isDone()) {
             return;
         }
-        if (failure.code() == ResultCode.WRONG_MEMBER || isGone()) {
-            finishUnknown("the owner " + peer.member() + " is lost");
+        if (failure.code() == ResultCode.WRONG_MEMBER || isMemberRemoved()) {
+            finishWithUnknownOutcome("the owner " + peer.member() + " is lost");
         } else {
             queryLater();
         }
     }
 
-    /** A sealed or forgotten incarnation never answers again. */
-    private boolean isGone() {
-        return context.parts()
-                .view()
+    /** Whether the member is sealed or no longer in the snapshot; such an incarnation never answers again. */
+    private boolean isMemberRemoved() {
+        return context.dependencies()
+                .routingView()
                 .current()
                 .member(peer.member())
                 .map(member -> member.state() == MemberState.SEALED)
@@ -104,11 +106,11 @@
     }
 
     private void queryLater() {
-        dispatch.after(pauseMs, this::query);
-        pauseMs = Math.min(context.options().maxBackoffMs(), 2 * pauseMs);
+        dispatch.schedule(backoffMs, this::query);
+        backoffMs = Math.min(context.options().maxBackoffMs(), 2 * backoffMs);
     }
 
-    private void finishUnknown(String detail) {
+    private void finishWithUnknownOutcome(String detail) {
         dispatch.finish(CallerAnswer.of(ResultCode.OUTCOME_UNKNOWN, detail));
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/ForwardHandlers.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/PeerMessageHandlers.java
@@ -11,16 +11,16 @@
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.table.AssignmentTable;
 
-/** Passes messages of other daemons to the local owner gate. Stateless. */
-public final class ForwardHandlers {
-    private ForwardHandlers() {}
+/** Passes forwarded requests, cancellations and outcome queries of other daemons to the local gate. Stateless. */
+public final class PeerMessageHandlers {
+    private PeerMessageHandlers() {}
 
     public static void register(PeerHandlers handlers, OwnerGate gate, RoutingView view) {
         handlers.register(
                 ForwardRequest.class,
                 (sender, message) -> gate.submit(message.request())
                         .thenApply(answer -> new ForwardAnswer(
-                                answer, generation(view, message.request().service()), gate.load())));
+                                answer, tableGeneration(view, message.request().service()), gate.load())));
         handlers.register(CancelRequest.class, (sender, message) -> {
             gate.cancel(message.requestId());
             return null;
@@ -28,8 +28,11 @@
         handlers.register(OutcomeQuery.class, (sender, message) -> gate.resolve(message));
     }
 
-    /** Read after the answer, so that a refusal never comes with a generation that the gate did not know yet. */
-    private static Generation generation(RoutingView view, ServiceName service) {
+    /**
+     * The table generation of this daemon. Must be read after the gate has answered, so that a refusal never carries a
+     * generation that the gate had not seen.
+     */
+    private static Generation tableGeneration(RoutingView view, ServiceName service) {
         return view.current().table(service).map(AssignmentTable::generation).orElse(Generation.NONE);
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -28,11 +28,11 @@
 import org.coriandercrank.kernel.time.TimerService.Subscription;
 
 /**
- * Routes one request until it has a final answer. Confined to the ingress duty.
+ * Routes one request until it has a final answer. Confined to the ingress executor, except for {@link #cancel()}.
  *
- * <p>Invariants: there is at most one outstanding attempt; the result completes exactly once; a send happens only if
- * {@link AttemptHistory#canSend()} allows it; nothing is done for the caller after the result is complete, apart from
- * accounting for late answers.
+ * <p>Invariants: there is at most one outstanding attempt. The result completes exactly once. An attempt is sent only
+ * if {@link AttemptHistory#canSend()} allows it. After the result is complete, late answers are only recorded in the
+ * balancer and the log.
  */
 public final class RequestDispatch {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -44,19 +44,21 @@
     private final int maxServers;
     private final Optional<KeyHash> keyHash;
     private final AttemptHistory history;
-    private final Hold hold;
-    private final AttemptSender sender;
+    private final OwnerWait ownerWait;
+    private final AttemptSender attemptSender;
     private final long startedAtNanos;
     private final long deadlineNanos;
     private final CompletableFuture<DispatchResult> result;
-    private final Set<MemberId> tried = new HashSet<>();
+    private final Set<MemberId> triedMembers = new HashSet<>();
 
+    /** Number in the current attempt id. Unlike the number of sends, it stays the same when an id is sent again. */
     private int attemptNumber = 1;
+
     private Optional<MemberId> lastTarget = Optional.empty();
     private Optional<CallerAnswer> lastAnswer = Optional.empty();
     private Subscription deadlineTimer;
 
-    /** @param receivedAtNanos when the request was parsed; its deadline counts from then */
+    /** @param receivedAtNanos clock time when the request was received, from which its deadline counts */
     public RequestDispatch(
             DispatchContext context,
             ParsedRequest.Accepted accepted,
@@ -69,7 +71,7 @@
         this.maxServers = request.rules().map(RequestRules::maxServers).orElse(Integer.MAX_VALUE);
         this.keyHash = request.key().map(key -> key.hash());
         this.history = new AttemptHistory(repeatable);
-        this.hold = new Hold(
+        this.ownerWait = new OwnerWait(
                 context.options().rangeMoveWaitMs(),
                 context.options().ownerLostWaitMs(),
                 context.options().backoffStepMs(),
@@ -77,41 +79,45 @@
         this.startedAtNanos = receivedAtNanos;
         this.deadlineNanos = receivedAtNanos + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
         this.result = result;
-        this.sender = new AttemptSender(context, this, history);
+        this.attemptSender = new AttemptSender(context, this, history);
     }
 
+    /** Starts routing. Must be called once, on the ingress executor. */
     public void start() {
-        guarded(this::begin);
+        runGuarded(this::begin);
     }
 
     private void begin() {
-        budget().request();
-        deadlineTimer = after(context.msUntil(deadlineNanos), this::deadlinePassed);
+        retryBudget().recordRequest();
+        deadlineTimer = schedule(context.msUntil(deadlineNanos), this::onDeadline);
         route("first");
     }
 
-    /** The caller closed its connection. May be called on any thread. */
+    /** Cancels the request, because the caller closed its connection. Can be called on any thread. */
     public void cancel() {
-        post(this::callerGone);
+        execute(this::onCallerDisconnected);
     }
 
-    private void callerGone() {
+    private void onCallerDisconnected() {
         if (!isDone()) {
-            sender.cancelOutstanding();
+            attemptSender.cancelOutstanding();
             finish(CallerAnswer.of(ResultCode.CANCELLED, "the caller closed its connection"));
         }
     }
 
-    /** Runs a step on the duty; a step that throws ends the request, which would otherwise wait for its deadline. */
-    void post(Runnable step) {
-        context.post(() -> guarded(step));
+    /**
+     * Runs a step on the ingress executor. A step that throws finishes the request, which would otherwise stay unanswered
+     * until its deadline.
+     */
+    void execute(Runnable step) {
+        context.execute(() -> runGuarded(step));
     }
 
-    Subscription after(long delayMs, Runnable step) {
-        return context.after(delayMs, () -> guarded(step));
+    Subscription schedule(long delayMs, Runnable step) {
+        return context.schedule(delayMs, () -> runGuarded(step));
     }
 
-    private void guarded(Runnable step) {
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -120,26 +126,31 @@
         }
     }
 
+    /**
+     * Chooses a target in the current snapshot and sends the next attempt, or finishes the request.
+     *
+     * @param reason why the request is routed, for the decision log
+     */
     void route(String reason) {
         if (isDone()) {
             return;
         }
         if (context.msUntil(deadlineNanos) == 0) {
-            finishExpired();
-        } else if (history.sends() >= context.options().maxSendsPerRequest()) {
-            finish(lastAnswer.orElseGet(() ->
-                    retryLater(ResultCode.NO_OWNER, "no server took the request in " + history.sends() + " sends")));
+            finishDeadlineExpired();
+        } else if (history.sendCount() >= context.options().maxSendsPerRequest()) {
+            finish(lastAnswer.orElseGet(() -> retryLaterAnswer(
+                    ResultCode.NO_OWNER, "no server accepted the request in " + history.sendCount() + " sends")));
         } else if (keyHash.isPresent()) {
-            routeToOwner(context.parts().view().current(), keyHash.get(), reason);
+            routeToOwner(context.dependencies().routingView().current(), keyHash.get(), reason);
         } else {
-            routeBalanced(context.parts().view().current(), reason);
+            routeBalanced(context.dependencies().routingView().current(), reason);
         }
     }
 
     private void routeToOwner(RoutingSnapshot snapshot, KeyHash hash, String reason) {
         Optional<RangeAssignment> assignment = snapshot.table(service.name()).flatMap(table -> table.find(hash));
         if (assignment.isEmpty()) {
-            holdForTable(retryLater(ResultCode.NO_OWNER, "the key is assigned to no server"), snapshot);
+            routeAfterOwnerChange(retryLaterAnswer(ResultCode.NO_OWNER, "the key is assigned to no server"), snapshot);
             return;
         }
         MemberId owner = assignment.get().owner();
@@ -149,23 +160,23 @@
         }
         Optional<Member> member = snapshot.member(owner).filter(m -> m.state() != MemberState.SEALED);
         if (member.isEmpty()) {
-            holdForTable(retryLater(ResultCode.NO_OWNER, "the owner " + owner + " is lost"), snapshot);
+            routeAfterOwnerChange(retryLaterAnswer(ResultCode.NO_OWNER, "the owner " + owner + " is lost"), snapshot);
         } else {
             send(Target.remote(member.get()), snapshot, reason);
         }
     }
 
     private void routeBalanced(RoutingSnapshot snapshot, String reason) {
-        BalancingPolicy policy = context.parts().plugins().get(Kind.BALANCING, service.balancingPolicy());
+        BalancingPolicy policy = context.dependencies().pluginRegistry().get(Kind.BALANCING, service.balancingPolicy());
         Optional<Member> chosen =
-                context.balancer().choose(snapshot, service, policy, tried, repeatable, context.nowNanos());
+                context.balancer().choose(snapshot, service, policy, triedMembers, repeatable, context.nowNanos());
         if (chosen.isEmpty()) {
             finish(lastAnswer.orElseGet(
-                    () -> retryLater(ResultCode.NO_OWNER, "no server of the service takes requests")));
+                    () -> retryLaterAnswer(ResultCode.NO_OWNER, "no server of the service accepts requests")));
             return;
         }
         Member member = chosen.get();
-        tried.add(member.id());
+        triedMembers.add(member.id());
         boolean local = member.id().equals(snapshot.self());
         send(local ? Target.local(member.id()) : Target.remote(member), snapshot, reason);
     }
@@ -173,28 +184,32 @@
     private void send(Target target, RoutingSnapshot snapshot, String reason) {
         lastTarget = Optional.of(target.member());
         RequestId attemptId = RequestIds.forAttempt(request.id(), attemptNumber);
-        sender.send(target, request.withId(attemptId), snapshot, reason);
+        attemptSender.send(target, request.withId(attemptId), snapshot, reason);
     }
 
-    private RetryBudget budget() {
-        return context.budgets().of(service.name(), context.nowNanos());
+    private RetryBudget retryBudget() {
+        return context.retryBudgets().forService(service.name(), context.nowNanos());
     }
 
     Generation generationIn(RoutingSnapshot snapshot) {
         return snapshot.table(service.name()).map(AssignmentTable::generation).orElse(Generation.NONE);
     }
 
-    /** Waits for a snapshot that satisfies a condition, then routes again; gives the refusal when the wait is over. */
-    void holdFor(Predicate<RoutingSnapshot> condition, CallerAnswer refusal) {
-        long waitMs = Math.min(hold.remainingMs(refusal.code(), context.nowNanos()), context.msUntil(deadlineNanos));
+    /**
+     * Waits for a snapshot that satisfies a condition and routes the request again. If the wait times out, the request
+     * finishes with the refusal.
+     */
+    void routeWhen(Predicate<RoutingSnapshot> condition, CallerAnswer refusal) {
+        long waitMs =
+                Math.min(ownerWait.remainingMs(refusal.code(), context.nowNanos()), context.msUntil(deadlineNanos));
         if (waitMs == 0) {
             finish(refusal);
             return;
         }
-        context.parts()
-                .view()
+        context.dependencies()
+                .routingView()
                 .await(condition, waitMs)
-                .whenComplete((snapshot, failure) -> post(() -> {
+                .whenComplete((snapshot, failure) -> execute(() -> {
                     if (failure == null) {
                         route("newer-table");
                     } else {
@@ -203,11 +218,14 @@
                 }));
     }
 
-    private void holdForTable(CallerAnswer refusal, RoutingSnapshot seen) {
-        holdFor(ownerChangedSince(seen), refusal);
+    private void routeAfterOwnerChange(CallerAnswer refusal, RoutingSnapshot seen) {
+        routeWhen(ownerChangedSince(seen), refusal);
     }
 
-    /** Whether the table of the service, or what is known of the owner of the key, differs from a snapshot. */
+    /**
+     * A condition that is true if the service has a newer table than in the given snapshot, or if the owner of the key
+     * or its member record is different.
+     */
     private Predicate<RoutingSnapshot> ownerChangedSince(RoutingSnapshot seen) {
         Generation generation = generationIn(seen);
         Optional<Member> owner = ownerIn(seen);
@@ -221,82 +239,86 @@
     }
 
     /**
-     * Repeats a refused send after a short pause, or as soon as the owner changes; gives the refusal when the hold is
-     * over.
+     * Repeats a refused send after a backoff, or as soon as the owner changes. If the request must not wait any longer,
+     * it finishes with the refusal.
      *
-     * @param seen the snapshot that the refused send was based on
+     * @param seen the snapshot on which the refused send was based
      */
-    void holdAndRepeat(CallerAnswer refusal, RoutingSnapshot seen) {
+    void resendLater(CallerAnswer refusal, RoutingSnapshot seen) {
         lastAnswer = Optional.of(refusal);
-        if (hold.remainingMs(refusal.code(), context.nowNanos()) == 0) {
+        if (ownerWait.remainingMs(refusal.code(), context.nowNanos()) == 0) {
             finish(refusal);
             return;
         }
-        context.parts()
-                .view()
-                .await(ownerChangedSince(seen), hold.takeBackoffMs())
-                .whenComplete((snapshot, failure) -> post(() -> route(failure == null ? "newer-table" : "repeat")));
+        context.dependencies()
+                .routingView()
+                .await(ownerChangedSince(seen), ownerWait.takeNextBackoffMs())
+                .whenComplete((snapshot, failure) -> execute(() -> route(failure == null ? "newer-table" : "repeat")));
     }
 
-    /** As {@link #holdAndRepeat}, within the retry budget, because the refused send reached the backend server. */
-    void holdAndRetry(CallerAnswer refusal, RoutingSnapshot seen) {
-        if (budget().tryRetry(context.nowNanos())) {
-            holdAndRepeat(refusal, seen);
+    /**
+     * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused send reached the backend
+     * server.
+     */
+    void resendLaterWithinBudget(CallerAnswer refusal, RoutingSnapshot seen) {
+        if (retryBudget().tryRetry(context.nowNanos())) {
+            resendLater(refusal, seen);
         } else {
-            context.metrics().budgetRefusal();
-            finish(retryLater(ResultCode.RETRY_BUDGET_EXHAUSTED, "last failure: " + refusal.code()));
+            context.metrics().countRetryBudgetRefusal();
+            finish(retryLaterAnswer(ResultCode.RETRY_BUDGET_EXHAUSTED, "last failure: " + refusal.code()));
         }
     }
 
     /**
-     * Sends a further attempt if the history, the ids and the budget allow it. An attempt that reached no server and was
-     * not refused for load costs nothing of the budget.
+     * Sends a further attempt if the history, the limit on attempt ids and the retry budget allow it. The retry does not
+     * count against the budget if the last attempt reached no server and was not refused because of overload.
      *
-     * @param newId whether a server may have got the last attempt, so that its id must not be used again
-     * @param otherwise the answer if there is no further attempt
+     * @param newId whether a server may have received the last attempt, so that its id must not be used again
+     * @param fallback the answer to finish with if there is no further attempt
      */
-    void retry(boolean newId, String reason, CallerAnswer otherwise) {
+    void retry(boolean newId, String reason, CallerAnswer fallback) {
         if (isDone()) {
             return;
         }
-        lastAnswer = Optional.of(otherwise);
+        lastAnswer = Optional.of(fallback);
         boolean idsLeft = !newId || attemptNumber < context.options().maxAttemptIdsPerRequest();
-        if (!history.canSend() || !idsLeft || history.mayHaveRunTimes() >= maxServers) {
-            finish(otherwise);
-        } else if ((newId || isLoad(otherwise.code())) && !budget().tryRetry(context.nowNanos())) {
-            context.metrics().budgetRefusal();
+        if (!history.canSend() || !idsLeft || history.possiblyRunCount() >= maxServers) {
+            finish(fallback);
+        } else if ((newId || isOverloadCode(fallback.code())) && !retryBudget().tryRetry(context.nowNanos())) {
+            context.metrics().countRetryBudgetRefusal();
             finish(
-                    otherwise.code() == ResultCode.OK
-                            ? otherwise
-                            : retryLater(ResultCode.RETRY_BUDGET_EXHAUSTED, "last failure: " + otherwise.code()));
+                    fallback.code() == ResultCode.OK
+                            ? fallback
+                            : retryLaterAnswer(ResultCode.RETRY_BUDGET_EXHAUSTED, "last failure: " + fallback.code()));
         } else {
             attemptNumber += newId ? 1 : 0;
-            context.metrics().retried();
+            context.metrics().countRetry();
             route(reason);
         }
     }
 
-    private static boolean isLoad(ResultCode code) {
+    private static boolean isOverloadCode(ResultCode code) {
         return code == ResultCode.OVERLOADED
                 || code == ResultCode.KEY_SHARE_EXCEEDED
                 || code == ResultCode.FENCE_REJECTED;
     }
 
-    private void deadlinePassed() {
+    private void onDeadline() {
         if (isDone()) {
             return;
         }
-        if (history.isPending()) {
-            deadlineTimer = after(context.options().answerGracePeriodMs(), this::finishExpired);
+        if (history.isLastAttemptPending()) {
+            deadlineTimer = schedule(context.options().answerGracePeriodMs(), this::finishDeadlineExpired);
         } else {
-            finishExpired();
+            finishDeadlineExpired();
         }
     }
 
-    private void finishExpired() {
+    private void finishDeadlineExpired() {
         finish(CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline of " + request.remainingMs() + " ms passed"));
     }
 
+    /** Finishes the request, unless it is finished already. The history can change the outcome of the answer. */
     void finish(CallerAnswer proposed) {
         if (isDone()) {
             return;
@@ -305,28 +327,28 @@
             deadlineTimer.cancel();
         }
         CallerAnswer answer = history.finalAnswer(proposed);
-        context.metrics().finished(service.name().value(), answer.code(), context.nowNanos() - startedAtNanos);
+        context.metrics().recordRequest(service.name().value(), answer.code(), context.nowNanos() - startedAtNanos);
         logAnswer(answer.code());
         result.complete(new DispatchResult(answer, lastTarget));
     }
 
-    /** An executed request is told by the line of its attempt alone. */
+    /** Logs the final answer, except that of an executed request, for which the line of its last attempt is enough. */
     private void logAnswer(ResultCode code) {
         if (code != ResultCode.OK) {
             long latencyMs = elapsedMs();
-            context.parts()
-                    .decisions()
+            context.dependencies()
+                    .decisionLog()
                     .log(() -> "event=answer service=" + service.name()
                             + " keyHash=" + keyHash.map(Object::toString).orElse("-")
                             + " owner=" + lastTarget.map(Object::toString).orElse("-")
                             + " request=" + request.id()
-                            + " attempt=" + history.sends()
+                            + " attempt=" + history.sendCount()
                             + " result=" + code
                             + " latencyMs=" + latencyMs);
         }
     }
 
-    CallerAnswer retryLater(ResultCode code, String detail) {
+    CallerAnswer retryLaterAnswer(ResultCode code, String detail) {
         return CallerAnswer.retryLater(code, detail, context.options().defaultRetryAfterMs());
     }
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RetryBudgets.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RetryBudgets.java
@@ -5,16 +5,17 @@
 import org.coriandercrank.ingress.RetryBudgetOptions;
 import org.coriandercrank.kernel.id.ServiceName;
 
-/** Retry budgets by service, so that failures of one service take nothing from others. Not thread safe. */
+/** One retry budget per service, so that failures of a service do not use up the retries of others. Not thread safe. */
 public final class RetryBudgets {
-    private final RetryBudgetOptions rules;
+    private final RetryBudgetOptions options;
     private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
 
-    public RetryBudgets(RetryBudgetOptions rules) {
-        this.rules = rules;
+    public RetryBudgets(RetryBudgetOptions options) {
+        this.options = options;
     }
 
-    RetryBudget of(ServiceName service, long nowNanos) {
-        return budgets.computeIfAbsent(service, name -> new RetryBudget(rules, nowNanos));
+    /** The budget of a service, created on first use. */
+    RetryBudget forService(ServiceName service, long nowNanos) {
+        return budgets.computeIfAbsent(service, name -> new RetryBudget(options, nowNanos));
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/Target.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/Target.java
@@ -7,9 +7,10 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * Where an attempt goes. Immutable.
+ * The member to which an attempt is sent. Immutable.
  *
- * @param peer empty for the gate of this daemon
+ * @param peer address of the member's daemon; empty for the gate of this daemon
+ * @param region region of the member; empty for this daemon
  */
 record Target(MemberId member, Optional<PeerTarget> peer, Optional<Region> region) {
     static Target local(MemberId self) {
