--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
@@ -3,6 +3,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.channel.EventLoopGroup;
 import java.util.Optional;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.Region;
 import org.coriandercrank.kernel.log.DecisionLog;
@@ -11,27 +12,29 @@
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Parts that the caller side uses; all stay the property of the creator. Immutable. The member id of this daemon is
- * read from the routing snapshot, because it changes when a sealed daemon joins again.
+ * Collaborators of {@link Ingress}, which does not close them. Immutable.
+ *
+ * <p>The member id of this daemon is not among them. It is read from the routing snapshot, because it changes when a
+ * sealed daemon joins again.
  *
- * @param protocol how callers write requests; empty for the product's own protocol
- * @param duties makes the duty that requests run on
+ * @param ownerGate the gate of the backend server beside this daemon
+ * @param protocol the caller protocol; empty for the native protocol of this project
+ * @param executorFactory creates the executor that routes requests
  */
 public record IngressDependencies(
         EventLoopGroup ioGroup,
-        RoutingView view,
-        OwnerGate gate,
-        PeerClient peers,
-        PeerHandlers handlers,
-        TimerService timers,
-        PluginRegistry plugins,
-        DecisionLog decisions,
-        MeterRegistry meters,
+        RoutingView routingView,
+        OwnerGate ownerGate,
+        PeerClient peerClient,
+        PeerHandlers peerHandlers,
+        TimerService timerService,
+        PluginRegistry pluginRegistry,
+        DecisionLog decisionLog,
+        MeterRegistry meterRegistry,
         Region region,
         FailureDomain failureDomain,
         Optional<CallerProtocol> protocol,
-        SerialExecutor.Factory duties) {}
+        SerialExecutor.Factory executorFactory) {}
