--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -19,7 +19,7 @@
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.junit.jupiter.api.Test;
 
-/** Guards against work that depends on the virtual time of the other tests: runs on the real thread and timers. */
+/** Guards against code that works only in the virtual time of the other tests: uses the real thread and timers. */
 class ControlThreadTest {
     private static final HostAddress ADDRESS = new HostAddress("127.0.0.1", 1);
 
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -21,23 +21,23 @@
 import org.coriandercrank.kernel.table.MemberState;
 import org.junit.jupiter.api.Test;
 
-/** Guards against changes that arrive late, nowhere or are undone by an older copy. */
+/** Guards against changes that reach hosts late or not at all, and against changes that an older copy overwrites. */
 class DisseminationTest {
-    /** The design's limit for a change to be in force everywhere. */
+    /** Time within which the design requires a change to be in force on all hosts. */
     private static final long IN_FORCE_LIMIT_MS = 4_000;
 
-    /** A tenth of the time in which keys must be served again. */
+    /** A tenth of the time within which keys must be served again. */
     private static final long RESTART_LIMIT_MS = 500;
 
-    /** Time after which restarted hosts have joined and seal the members that ended. */
-    private static final long JOINED_MS = 1_000;
+    /** Time after which restarted hosts have joined and seal the members that failed. */
+    private static final long JOIN_TIME_MS = 1_000;
 
-    private static final int LARGE = 60;
+    private static final int HOST_COUNT = 60;
 
-    private final FakeCluster cluster = new FakeCluster(places());
+    private final FakeCluster cluster = new FakeCluster(locations());
 
     @Test
-    void changeReachesAllThroughOneRelayPerRegion() {
+    void changeReachesAllHostsThroughOneRelayPerRegion() {
         assertThat(cluster.hosts().stream()
                         .filter(host -> host.control().status().relay()))
                 .hasSize(2);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void changeReachesAllAfterTheLossOfBothRelays() {
+    void changeReachesAllHostsAfterBothRelaysFail() {
         List<FakeHost> relays = cluster.hosts().stream()
                 .filter(host -> host.control().status().relay())
                 .toList();
@@ -60,23 +60,24 @@
     }
 
     /**
-     * After a loss of all hosts the daemons know only members that ended with them, the relays among them. On the users'
-     * platform they sent requests to these for two seconds after all had been sealed.
+     * After a failure of all hosts, restarted daemons know only the members that failed, including the relays. On the
+     * users' platform they therefore sent requests to these members for two seconds after all of them had been sealed.
      */
     @Test
-    void restartedHostsLearnOfEachOtherAtOnce() {
+    void restartedHostsSeeSealedMembersPromptly() {
         List<MemberId> former =
                 cluster.hosts().stream().map(host -> host.control().self()).toList();
         cluster.restartAll(
-                ControlOptions.DEFAULT.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000), places());
-        cluster.time().runFor(JOINED_MS);
+                ControlOptions.DEFAULT.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000),
+                locations());
+        cluster.time().runFor(JOIN_TIME_MS);
         former.forEach(cluster::seal);
         assertThat(cluster.time()
-                        .runUntil(() -> cluster.hosts().stream().allMatch(host -> knowsSealed(host, former)), 10_000))
+                        .runUntil(() -> cluster.hosts().stream().allMatch(host -> seesAllSealed(host, former)), 10_000))
                 .isBetween(0L, RESTART_LIMIT_MS);
     }
 
-    private static boolean knowsSealed(FakeHost host, List<MemberId> members) {
+    private static boolean seesAllSealed(FakeHost host, List<MemberId> members) {
         RoutingSnapshot snapshot = host.control().routing().current();
         return members.stream()
                 .allMatch(
@@ -84,9 +85,9 @@
     }
 
     @Test
-    void changeReachesAHostThatIsCutOffFromPeers() {
+    void changeReachesAHostDisconnectedFromPeers() {
         FakeHost host = cluster.host(5);
-        host.setCut(true);
+        host.setDisconnected(true);
         assertThat(changeAndWait(List.of(host))).isBetween(0L, 25_000L);
     }
 
@@ -95,7 +96,8 @@
         FakeHost victim = cluster.host(7);
         victim.kill();
         cluster.time().runUntil(() -> cluster.isSealed(victim.control().self()), 10_000);
-        cluster.store().forceDelete(ObjectNames.member(victim.control().self()));
+        cluster.store()
+                .deleteUnconditionally(ObjectNames.member(victim.control().self()));
         cluster.time().runFor(IN_FORCE_LIMIT_MS);
         cluster.hosts().stream()
                 .filter(host -> host != victim)
@@ -103,20 +105,23 @@
                         .doesNotContainKey(victim.control().self()));
     }
 
-    /** Measured after the witnesses are spread, because the first of 60 daemons that start at once serve more others. */
+    /**
+     * Measures only after the witnesses are balanced, because the first of 60 daemons that start together are witnesses of
+     * more members than the others.
+     */
     @Test
-    void controlTrafficOfADaemonStaysBelowItsLimit() {
+    void controlTrafficPerDaemonStaysBelowItsLimit() {
         cluster.time().runFor(120_000);
         List<Long> before = cluster.hosts().stream().map(FakeHost::controlBytes).toList();
         cluster.time().runFor(60_000);
-        for (int i = 0; i < LARGE; i++) {
+        for (int i = 0; i < HOST_COUNT; i++) {
             assertThat((cluster.host(i).controlBytes() - before.get(i)) / 60).isLessThan(3_000);
         }
     }
 
-    /** A cache that is fed any parts of a history in any order ends like the history and never goes back. */
+    /** A cache that receives parts of a history in any order ends with the state of the history and reverts no object. */
     @Test
-    void cacheNeverGoesBack() {
+    void cacheNeverRevertsToAnOlderRevision() {
         for (long seed = 0; seed < 500; seed++) {
             Random random = new Random(seed);
             ObjectCache source = new ObjectCache(FetchObject.Kind.MEMBERS);
@@ -155,7 +160,7 @@
     private long changeAndWait(List<FakeHost> hosts) {
         Configuration changed = new Configuration(
                 List.of(), List.of(), List.of(new AcceptedNote(new NoteId("note"), Revision.NONE, List.of())));
-        Revision revision = cluster.store().force(ObjectNames.CONFIGURATION, JsonCodec.encode(changed));
+        Revision revision = cluster.store().putUnconditionally(ObjectNames.CONFIGURATION, JsonCodec.encode(changed));
         return cluster.time()
                 .runUntil(
                         () -> hosts.stream()
@@ -167,11 +172,11 @@
                         30_000);
     }
 
-    private static String[] places() {
-        String[] places = new String[LARGE];
-        for (int i = 0; i < LARGE; i++) {
-            places[i] = "r" + i % 2 + "/d" + i / 2 % 3;
+    private static String[] locations() {
+        String[] locations = new String[HOST_COUNT];
+        for (int i = 0; i < HOST_COUNT; i++) {
+            locations[i] = "r" + i % 2 + "/d" + i / 2 % 3;
         }
-        return places;
+        return locations;
     }
 }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
@@ -20,7 +20,7 @@
 final class FakeCluster {
     private static final long PLANNER_RENEWAL_MS = 500;
     private static final long JOIN_SPACING_MS = 20;
-    private static final long SETTLE_MS = 5_000;
+    private static final long STABILIZATION_MS = 5_000;
     private static final int RESTART_SEED = 1_000;
 
     private final VirtualTime time = new VirtualTime();
@@ -28,31 +28,31 @@
     private final Map<HostAddress, FakeHost> network = new HashMap<>();
     private final List<FakeHost> hosts = new ArrayList<>();
 
-    /** Starts one daemon per place, of the form region/domain, and lets them settle. */
-    FakeCluster(String... places) {
-        renewPlanner();
-        for (String place : places) {
-            add(place);
+    /** Starts one daemon per location, of the form {@code region/domain}, and waits until the cluster is stable. */
+    FakeCluster(String... locations) {
+        schedulePlannerRenewals();
+        for (String location : locations) {
+            add(location);
             time.runFor(JOIN_SPACING_MS);
         }
-        time.runFor(SETTLE_MS);
+        time.runFor(STABILIZATION_MS);
     }
 
-    FakeHost add(String place) {
-        FakeHost host = new FakeHost(time, network, store, hosts.size() + 1, place);
+    FakeHost add(String location) {
+        FakeHost host = new FakeHost(time, network, store, hosts.size() + 1, location);
         hosts.add(host);
         host.control().start();
         host.control().backendAnnounced(backend(hosts.size()));
         return host;
     }
 
-    /** Ends all daemons at a moment and starts others on their addresses. */
-    void restartAll(ControlOptions options, String... places) {
+    /** Kills all daemons at the same time and starts new ones on their addresses. */
+    void restartAll(ControlOptions options, String... locations) {
         hosts.forEach(FakeHost::kill);
         hosts.clear();
-        for (String place : places) {
+        for (String location : locations) {
             int number = hosts.size() + 1;
-            FakeHost host = new FakeHost(time, network, store, number, place, options, number + RESTART_SEED);
+            FakeHost host = new FakeHost(time, network, store, number, location, options, number + RESTART_SEED);
             hosts.add(host);
             host.control().start();
             host.control().backendAnnounced(backend(number));
@@ -87,7 +87,7 @@
     void seal(MemberId member) {
         record(member)
                 .map(former -> former.withState(MemberState.SEALED))
-                .ifPresent(ended -> store.force(ObjectNames.member(member), JsonCodec.encode(ended)));
+                .ifPresent(ended -> store.putUnconditionally(ObjectNames.member(member), JsonCodec.encode(ended)));
     }
 
     double sum(String meter) {
@@ -104,9 +104,9 @@
                 Set.of());
     }
 
-    /** The planner's renewals advance the revision of the store, as in a running system. */
-    private void renewPlanner() {
-        store.force(ObjectNames.PLANNER, new byte[0]);
-        time.after(PLANNER_RENEWAL_MS, this::renewPlanner);
+    /** Writes the planner's object periodically, because its renewals advance the store revision in a running system. */
+    private void schedulePlannerRenewals() {
+        store.putUnconditionally(ObjectNames.PLANNER, new byte[0]);
+        time.schedule(PLANNER_RENEWAL_MS, this::schedulePlannerRenewals);
     }
 }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -24,7 +24,7 @@
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.TimerService;
 
-/** One daemon of the fake network; can be killed, paused and cut off. Not thread safe. */
+/** One daemon of the fake network, which can be killed, paused and disconnected from its peers. Not thread safe. */
 final class FakeHost implements PeerClient {
     private static final long LATENCY_MS = 1;
     private static final int LOG_LINES_PER_SECOND = 0;
@@ -34,39 +34,44 @@
     private final HostAddress address;
     private final PeerHandlers handlers = new PeerHandlers();
     private final SimpleMeterRegistry metrics = new SimpleMeterRegistry();
-    private final List<Runnable> whilePaused = new ArrayList<>();
+    private final List<Runnable> tasksWhilePaused = new ArrayList<>();
     private final List<MemberId> sealedIncarnations = new ArrayList<>();
     private final ControlPlane control;
     private boolean paused;
     private boolean killed;
-    private boolean cut;
+    private boolean disconnected;
     private long controlBytes;
 
-    FakeHost(VirtualTime time, Map<HostAddress, FakeHost> network, ObjectStore store, int number, String place) {
-        this(time, network, store, number, place, ControlOptions.DEFAULT, number);
+    FakeHost(VirtualTime time, Map<HostAddress, FakeHost> network, ObjectStore store, int number, String location) {
+        this(time, network, store, number, location, ControlOptions.DEFAULT, number);
     }
 
-    /** @param seed makes the member id, so that another start on the same address gets another id */
+    /**
+     * Creates a host.
+     *
+     * @param location region and failure domain, as {@code region/domain}
+     * @param seed determines the member id; a restart on the same address needs another seed to get another id
+     */
     FakeHost(
             VirtualTime time,
             Map<HostAddress, FakeHost> network,
             ObjectStore store,
             int number,
-            String place,
+            String location,
             ControlOptions options,
             int seed) {
         this.time = time;
         this.network = network;
         this.address = new HostAddress("127.0.0.1", number);
         network.put(address, this);
-        String region = place.substring(0, place.indexOf('/'));
+        String region = location.substring(0, location.indexOf('/'));
         HostIdentity identity = new HostIdentity(
                 "host" + number,
                 address,
                 address,
                 address,
                 new Region(region),
-                new FailureDomain(place.replace('/', '-')));
+                new FailureDomain(location.replace('/', '-')));
         TimerService timers = time.timers();
         DecisionLog log = new DecisionLog(LOG_LINES_PER_SECOND, timers.clock());
         ControlDependencies dependencies = new ControlDependencies(store, this, handlers, timers, log, metrics);
@@ -90,7 +95,7 @@
         return metrics.counter(meter).count();
     }
 
-    /** Bytes of messages sent and received. */
+    /** Returns the total size in bytes of the messages sent and received. */
     long controlBytes() {
         return controlBytes;
     }
@@ -99,8 +104,8 @@
         killed = true;
     }
 
-    void setCut(boolean newCut) {
-        cut = newCut;
+    void setDisconnected(boolean newDisconnected) {
+        disconnected = newDisconnected;
     }
 
     void pause() {
@@ -109,15 +114,15 @@
 
     void resume() {
         paused = false;
-        List<Runnable> tasks = List.copyOf(whilePaused);
-        whilePaused.clear();
-        tasks.forEach(task -> time.after(0, task));
+        List<Runnable> tasks = List.copyOf(tasksWhilePaused);
+        tasksWhilePaused.clear();
+        tasks.forEach(task -> time.schedule(0, task));
     }
 
     private void execute(Runnable task) {
-        time.after(0, () -> {
+        time.schedule(0, () -> {
             if (paused) {
-                whilePaused.add(task);
+                tasksWhilePaused.add(task);
             } else if (!killed) {
                 task.run();
             }
@@ -129,7 +134,7 @@
             PeerTarget target, Message message, Class<A> answerType, long timeoutMs) {
         CompletableFuture<A> result = new CompletableFuture<>();
         transmit(target, message, result, answerType);
-        time.after(timeoutMs, () -> result.completeExceptionally(failure(ResultCode.CALL_TIMEOUT)));
+        time.schedule(timeoutMs, () -> result.completeExceptionally(failure(ResultCode.CALL_TIMEOUT)));
         return result;
     }
 
@@ -141,12 +146,12 @@
     private <A extends Message> void transmit(
             PeerTarget target, Message message, CompletableFuture<A> result, Class<A> answerType) {
         FakeHost receiver = network.get(target.address());
-        int size = WireSize.of(message);
+        int size = WireSize.ofMessage(message);
         controlBytes += size;
-        if (cut || receiver.cut) {
+        if (disconnected || receiver.disconnected) {
             return;
         }
-        time.after(LATENCY_MS, () -> {
+        time.schedule(LATENCY_MS, () -> {
             if (receiver.killed) {
                 result.completeExceptionally(failure(ResultCode.PEER_UNREACHABLE));
             } else if (!receiver.control.self().equals(target.member())) {
@@ -164,10 +169,10 @@
                 handlers.find(message).orElseThrow().handle(sender.control.self(), message);
         if (answer != null) {
             answer.thenAccept(value -> {
-                int size = WireSize.of(value);
+                int size = WireSize.ofMessage(value);
                 controlBytes += size;
                 sender.controlBytes += size;
-                time.after(LATENCY_MS, () -> result.complete(answerType.cast(value)));
+                time.schedule(LATENCY_MS, () -> result.complete(answerType.cast(value)));
             });
         }
     }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeStore.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeStore.java
@@ -15,29 +15,29 @@
 import org.coriandercrank.kernel.store.StoredObject;
 import org.coriandercrank.kernel.store.WatchBatch;
 
-/** In-memory object store in virtual time with outages. Not thread safe. */
+/** In-memory object store in virtual time that simulates outages. Not thread safe. */
 final class FakeStore implements ObjectStore {
-    /** How the store behaves. */
+    /** Behaviour of the store. */
     enum Mode {
         UP,
-        /** Calls fail at once without effect. */
+        /** Calls fail immediately and have no effect. */
         DOWN,
         /** Calls are not answered and have no effect. */
         SILENT,
-        /** Calls have their effect, and writes are not answered. */
+        /** Calls take effect, but writes are not answered. */
         UNANSWERED_WRITES,
         /** Writes take effect after 3 s and are not answered; reads work. */
         LATE_WRITES
     }
 
     private static final long LATENCY_MS = 2;
-    private static final long LATE_MS = 3_000;
+    private static final long LATE_WRITE_DELAY_MS = 3_000;
     private static final long WATCH_POLL_MS = 10;
 
     private final VirtualTime time;
     private final Map<String, StoredObject> objects = new HashMap<>();
     private Mode mode = Mode.UP;
-    private long revision = 100;
+    private long lastRevision = 100;
     private long calls;
     private long puts;
 
@@ -57,16 +57,16 @@
         return puts;
     }
 
-    /** Writes without a condition, as an operator's program does. */
-    Revision force(String name, byte[] value) {
-        revision++;
-        objects.put(name, StoredObject.of(name, new Revision(revision), value));
-        return new Revision(revision);
+    /** Writes an object without a revision check, as an operator's tool does. */
+    Revision putUnconditionally(String name, byte[] value) {
+        lastRevision++;
+        objects.put(name, StoredObject.of(name, new Revision(lastRevision), value));
+        return new Revision(lastRevision);
     }
 
-    void forceDelete(String name) {
-        revision++;
-        objects.put(name, new StoredObject(name, new Revision(revision), new byte[0], true));
+    void deleteUnconditionally(String name) {
+        lastRevision++;
+        objects.put(name, new StoredObject(name, new Revision(lastRevision), new byte[0], true));
     }
 
     Optional<StoredObject> find(String name) {
@@ -80,7 +80,7 @@
 
     @Override
     public CompletableFuture<WatchBatch> list(String prefix) {
-        return read(() -> new WatchBatch(new Revision(revision), changes(prefix, Revision.NONE, false), true));
+        return read(() -> new WatchBatch(new Revision(lastRevision), changes(prefix, Revision.NONE, false), true));
     }
 
     @Override
@@ -90,12 +90,12 @@
         CompletableFuture<Revision> result = new CompletableFuture<>();
         Mode atCall = mode;
         if (atCall == Mode.DOWN) {
-            time.after(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
+            time.schedule(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
         } else if (atCall != Mode.SILENT) {
-            time.after(atCall == Mode.LATE_WRITES ? LATE_MS : LATENCY_MS, () -> {
+            time.schedule(atCall == Mode.LATE_WRITES ? LATE_WRITE_DELAY_MS : LATENCY_MS, () -> {
                 Revision current = find(name).map(StoredObject::revision).orElse(Revision.NONE);
                 boolean matches = current.equals(expected);
-                Revision written = matches ? force(name, value) : Revision.NONE;
+                Revision written = matches ? putUnconditionally(name, value) : Revision.NONE;
                 if (atCall == Mode.UP && matches) {
                     result.complete(written);
                 } else if (atCall == Mode.UP) {
@@ -127,15 +127,15 @@
             return;
         }
         if (mode == Mode.DOWN) {
-            time.after(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
+            time.schedule(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
             return;
         }
         List<StoredObject> changes = changes(prefix, after, true);
         if (!changes.isEmpty() || time.nowMs() >= endMs) {
-            Revision upTo = new Revision(revision);
-            time.after(LATENCY_MS, () -> result.complete(new WatchBatch(upTo, changes, false)));
+            Revision upTo = new Revision(lastRevision);
+            time.schedule(LATENCY_MS, () -> result.complete(new WatchBatch(upTo, changes, false)));
         } else {
-            time.after(WATCH_POLL_MS, () -> poll(prefix, after, endMs, result));
+            time.schedule(WATCH_POLL_MS, () -> poll(prefix, after, endMs, result));
         }
     }
 
@@ -143,9 +143,9 @@
         calls++;
         CompletableFuture<T> result = new CompletableFuture<>();
         if (mode == Mode.DOWN) {
-            time.after(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
+            time.schedule(LATENCY_MS, () -> result.completeExceptionally(failure(ResultCode.STORE_UNAVAILABLE)));
         } else if (mode != Mode.SILENT) {
-            time.after(LATENCY_MS, () -> result.complete(value.get()));
+            time.schedule(LATENCY_MS, () -> result.complete(value.get()));
         }
         return result;
     }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
@@ -11,17 +11,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against lost leases of live members, unsealed dead ones and returning ones that believe they are alive. */
+/**
+ * Guards against live members that lose their leases, failed members that are not sealed, and sealed members that continue
+ * to use their leases after a pause.
+ */
 class MembershipTest {
-    private static final String[] THREE = {"r/a", "r/a", "r/b"};
-    private static final String[] EIGHT = {"r/a", "r/a", "r/a", "r/a", "r/b", "r/b", "r/b", "r/b"};
+    private static final String[] THREE_HOSTS = {"r/a", "r/a", "r/b"};
+    private static final String[] EIGHT_HOSTS = {"r/a", "r/a", "r/a", "r/a", "r/b", "r/b", "r/b", "r/b"};
 
-    /** TTL x margin and the second that the design allows for the seal. */
+    /** The TTL with its margin, plus the second that the design allows for the seal. */
     private static final long SEAL_LIMIT_MS = 2_100 + 1_000;
 
     @Test
     void membersBecomeActiveWithWitnessesOfBothDomains() {
-        FakeCluster cluster = new FakeCluster(EIGHT);
+        FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
         for (FakeHost host : cluster.hosts()) {
             assertThat(host.isLeaseValid()).isTrue();
             ControlStatus status = host.control().status();
@@ -52,8 +55,8 @@
     }
 
     @Test
-    void unchangedAnnouncementWritesNothingAndNormalOperationNeedsNoWrites() {
-        FakeCluster cluster = new FakeCluster(THREE);
+    void unchangedAnnouncementAndNormalOperationWriteNothing() {
+        FakeCluster cluster = new FakeCluster(THREE_HOSTS);
         long puts = cluster.store().puts();
         cluster.host(0).control().backendAnnounced(FakeCluster.backend(1));
         cluster.time().runFor(20_000);
@@ -65,8 +68,8 @@
             value = FakeStore.Mode.class,
             names = {"UP"},
             mode = EnumSource.Mode.EXCLUDE)
-    void leasesOutliveFaultsOfTheStore(FakeStore.Mode mode) {
-        FakeCluster cluster = new FakeCluster(THREE);
+    void leasesStayValidDuringStoreFaults(FakeStore.Mode mode) {
+        FakeCluster cluster = new FakeCluster(THREE_HOSTS);
         cluster.store().setMode(mode);
         for (int i = 0; i < 2_000; i++) {
             cluster.time().runFor(100);
@@ -82,7 +85,7 @@
             value = FakeStore.Mode.class,
             names = {"UNANSWERED_WRITES", "LATE_WRITES"})
     void joinSurvivesUnansweredWrites(FakeStore.Mode mode) {
-        FakeCluster cluster = new FakeCluster(THREE);
+        FakeCluster cluster = new FakeCluster(THREE_HOSTS);
         cluster.store().setMode(mode);
         FakeHost joiner = cluster.add("r/b");
         cluster.time().runFor(6_000);
@@ -95,7 +98,7 @@
 
     @Test
     void startWaitsForTheStore() {
-        FakeCluster cluster = new FakeCluster(THREE);
+        FakeCluster cluster = new FakeCluster(THREE_HOSTS);
         cluster.store().setMode(FakeStore.Mode.DOWN);
         FakeHost joiner = cluster.add("r/b");
         cluster.time().runFor(30_000);
@@ -105,8 +108,8 @@
 
     @Test
     void killedMemberIsSealedOnceAndOthersKeepTheirLeases() {
-        for (String[] places : List.of(THREE, EIGHT)) {
-            FakeCluster cluster = new FakeCluster(places);
+        for (String[] locations : List.of(THREE_HOSTS, EIGHT_HOSTS)) {
+            FakeCluster cluster = new FakeCluster(locations);
             FakeHost victim = cluster.host(1);
             MemberId member = victim.control().self();
             victim.kill();
@@ -123,8 +126,8 @@
     }
 
     @Test
-    void pausedMemberLearnsThatItWasSealedAndJoinsAgain() {
-        FakeCluster cluster = new FakeCluster(EIGHT);
+    void pausedMemberIsNotifiedOfItsSealAndRejoins() {
+        FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
         FakeHost host = cluster.host(2);
         MemberId former = host.control().self();
         host.pause();
@@ -144,8 +147,8 @@
     }
 
     @Test
-    void shortPauseSealsNobody() {
-        FakeCluster cluster = new FakeCluster(EIGHT);
+    void shortPauseSealsNoMember() {
+        FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
         cluster.host(3).pause();
         cluster.time().runFor(1_200);
         cluster.host(3).resume();
@@ -155,13 +158,13 @@
     }
 
     @Test
-    void lostFailureDomainIsSealed() {
-        FakeCluster cluster = new FakeCluster(EIGHT);
-        List<FakeHost> lost = cluster.hosts().subList(4, 8);
-        lost.forEach(FakeHost::kill);
+    void membersOfAFailedDomainAreSealed() {
+        FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
+        List<FakeHost> killed = cluster.hosts().subList(4, 8);
+        killed.forEach(FakeHost::kill);
         long tookMs = cluster.time()
                 .runUntil(
-                        () -> lost.stream()
+                        () -> killed.stream()
                                 .allMatch(
                                         host -> cluster.isSealed(host.control().self())),
                         10_000);
@@ -169,29 +172,29 @@
     }
 
     @Test
-    void memberCutOffFromPeersKeepsItsLeaseThroughTheStore() {
-        FakeCluster cluster = new FakeCluster(EIGHT);
+    void memberDisconnectedFromPeersKeepsItsLeaseThroughTheStore() {
+        FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
         FakeHost host = cluster.host(0);
-        host.setCut(true);
+        host.setDisconnected(true);
         cluster.time().runFor(20_000);
-        host.setCut(false);
+        host.setDisconnected(false);
         cluster.time().runFor(5_000);
         assertThat(host.isLeaseValid() || !host.sealedIncarnations().isEmpty()).isTrue();
     }
 
     @Test
-    void plannedStopLeavesThenSeals() {
-        FakeCluster cluster = new FakeCluster(THREE);
+    void gracefulShutdownLeavesThenSeals() {
+        FakeCluster cluster = new FakeCluster(THREE_HOSTS);
         FakeHost host = cluster.host(0);
-        CompletableFuture<Void> left = host.control().leave();
+        CompletableFuture<Void> leaveFuture = host.control().leave();
         cluster.time().runFor(200);
-        assertThat(left).isCompleted();
+        assertThat(leaveFuture).isCompleted();
         assertThat(host.isLeaseValid()).isTrue();
-        CompletableFuture<Void> sealed = host.control().sealSelf();
+        CompletableFuture<Void> sealFuture = host.control().sealSelf();
         cluster.time().runUntil(() -> !host.isLeaseValid(), 200);
         assertThat(cluster.isSealed(host.control().self())).isFalse();
         cluster.time().runFor(200);
-        assertThat(sealed).isCompleted();
+        assertThat(sealFuture).isCompleted();
         assertThat(cluster.isSealed(host.control().self())).isTrue();
         assertThat(host.sealedIncarnations()).isEmpty();
     }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/VirtualTime.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/VirtualTime.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
 
-/** Event queue with a virtual clock; runs everything on the calling thread. Not thread safe. */
+/** Event queue with a virtual clock, which runs all events on the calling thread. Not thread safe. */
 final class VirtualTime {
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -14,23 +14,23 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
             a.atNanos() != b.atNanos() ? Long.compare(a.atNanos(), b.atNanos()) : Long.compare(a.order(), b.order()));
-    private long order;
+    private long lastOrder;
     private long nowNanos = 1_000 * NANOS_PER_MS;
 
     long nowMs() {
         return nowNanos / NANOS_PER_MS;
     }
 
-    void after(long delayMs, Runnable task) {
-        order++;
-        events.add(new Event(nowNanos + delayMs * NANOS_PER_MS, order, task));
+    void schedule(long delayMs, Runnable task) {
+        lastOrder++;
+        events.add(new Event(nowNanos + delayMs * NANOS_PER_MS, lastOrder, task));
     }
 
     void runFor(long durationMs) {
         runUntil(() -> false, durationMs);
     }
 
-    /** Runs until the condition holds; the time that took, or -1 if it did not hold in time. */
+    /** Runs until the condition holds; returns the elapsed time in ms, or -1 if the limit was reached first. */
     long runUntil(BooleanSupplier condition, long limitMs) {
         long startNanos = nowNanos;
         long endNanos = nowNanos + limitMs * NANOS_PER_MS;
@@ -46,7 +46,7 @@
         return (nowNanos - startNanos) / NANOS_PER_MS;
     }
 
-    /** A timer service on this clock. */
+    /** Returns a timer service that uses this clock. */
     TimerService timers() {
         return new TimerService() {
             @Override
@@ -57,14 +57,14 @@
             @Override
             public Subscription every(long periodMs, Executor executor, Runnable task) {
                 boolean[] cancelled = {false};
-                repeat(periodMs, executor, task, cancelled);
+                schedulePeriodically(periodMs, executor, task, cancelled);
                 return () -> cancelled[0] = true;
             }
 
             @Override
             public Subscription once(long delayMs, Executor executor, Runnable task) {
                 boolean[] cancelled = {false};
-                after(
+                schedule(
                         delayMs,
                         () -> executor.execute(() -> {
                             if (!cancelled[0]) {
@@ -79,14 +79,14 @@
         };
     }
 
-    /** Like the real service, a run is left out while the previous one is still queued. */
-    private void repeat(long periodMs, Executor executor, Runnable task, boolean[] cancelled) {
-        after(
+    /** Schedules the next run only after the previous one; the real service also skips a run while one is queued. */
+    private void schedulePeriodically(long periodMs, Executor executor, Runnable task, boolean[] cancelled) {
+        schedule(
                 periodMs,
                 () -> executor.execute(() -> {
                     if (!cancelled[0]) {
                         task.run();
-                        repeat(periodMs, executor, task, cancelled);
+                        schedulePeriodically(periodMs, executor, task, cancelled);
                     }
                 }));
     }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
@@ -6,21 +6,23 @@
 import org.coriandercrank.kernel.store.StoredObject;
 
 /**
- * Size of a message in the form of the design: a length of 4 bytes and a MessagePack array of type, correlation id and
- * fields. Integers count 5 bytes, as for revisions above 65,535. Stateless.
+ * Computes the encoded size of a message as the design specifies it: a length of 4 bytes, followed by a MessagePack array
+ * of type, correlation id and fields. Each integer counts as 5 bytes, as for revisions above 65,535. Stateless.
  */
 final class WireSize {
+    /** Length, array header, type and correlation id. */
     private static final int FRAME_BYTES = 4 + 1 + 1 + 5;
+
     private static final int INTEGER_BYTES = 5;
     private static final int STRING_HEADER_BYTES = 2;
 
     private WireSize() {}
 
-    static int of(Message message) {
-        return FRAME_BYTES + fields((Record) message);
+    static int ofMessage(Message message) {
+        return FRAME_BYTES + ofFields((Record) message);
     }
 
-    private static int value(Object value) {
+    private static int ofValue(Object value) {
         if (value instanceof Long || value instanceof Integer) {
             return INTEGER_BYTES;
         }
@@ -28,19 +30,19 @@
             return STRING_HEADER_BYTES + text.length();
         }
         if (value instanceof List<?> list) {
-            return 1 + list.stream().mapToInt(WireSize::value).sum();
+            return 1 + list.stream().mapToInt(WireSize::ofValue).sum();
         }
         if (value instanceof StoredObject object) {
-            return value(object.name()) + INTEGER_BYTES + INTEGER_BYTES + object.value().length + 1;
+            return ofValue(object.name()) + INTEGER_BYTES + INTEGER_BYTES + object.value().length + 1;
         }
-        return value instanceof Record composed ? fields(composed) : 1;
+        return value instanceof Record record ? ofFields(record) : 1;
     }
 
-    private static int fields(Record composed) {
+    private static int ofFields(Record record) {
         int bytes = 0;
-        for (RecordComponent component : composed.getClass().getRecordComponents()) {
+        for (RecordComponent component : record.getClass().getRecordComponents()) {
             try {
-                bytes += value(component.getAccessor().invoke(composed));
+                bytes += ofValue(component.getAccessor().invoke(record));
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
             }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
@@ -40,8 +40,38 @@
         long startupWatchMs,
         long minPushIntervalMs,
         int maxWitnessedMembers) {
-    public static final ControlOptions DEFAULT =
-            new ControlOptions(2_000, 500, 105, 50, 200, 1_500, 10_000, 60_000, 500, 3_000, 1_000, 0, 0, 200, 4_096);
+    private static final long DEFAULT_TTL_MS = 2_000;
+    private static final long DEFAULT_HEARTBEAT_MS = 500;
+    private static final int DEFAULT_MARGIN_PERCENT = 105;
+    private static final long DEFAULT_TICK_MS = 50;
+    private static final long DEFAULT_TAKEOVER_RANK_DELAY_MS = 200;
+    private static final long DEFAULT_WITNESS_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_WITNESS_RETRY_DELAY_MS = 10_000;
+    private static final long DEFAULT_REBALANCE_INTERVAL_MS = 60_000;
+    private static final long DEFAULT_STORE_TIMEOUT_MS = 500;
+    private static final long DEFAULT_LIST_TIMEOUT_MS = 3_000;
+    private static final long DEFAULT_WATCH_WAIT_MS = 1_000;
+    private static final long DEFAULT_CONFIGURATION_WATCH_WAIT_MS = 0;
+    private static final long DEFAULT_STARTUP_WATCH_MS = 0;
+    private static final long DEFAULT_MIN_PUSH_INTERVAL_MS = 200;
+    private static final int DEFAULT_MAX_WITNESSED_MEMBERS = 4_096;
+
+    public static final ControlOptions DEFAULT = new ControlOptions(
+            DEFAULT_TTL_MS,
+            DEFAULT_HEARTBEAT_MS,
+            DEFAULT_MARGIN_PERCENT,
+            DEFAULT_TICK_MS,
+            DEFAULT_TAKEOVER_RANK_DELAY_MS,
+            DEFAULT_WITNESS_TIMEOUT_MS,
+            DEFAULT_WITNESS_RETRY_DELAY_MS,
+            DEFAULT_REBALANCE_INTERVAL_MS,
+            DEFAULT_STORE_TIMEOUT_MS,
+            DEFAULT_LIST_TIMEOUT_MS,
+            DEFAULT_WATCH_WAIT_MS,
+            DEFAULT_CONFIGURATION_WATCH_WAIT_MS,
+            DEFAULT_STARTUP_WATCH_MS,
+            DEFAULT_MIN_PUSH_INTERVAL_MS,
+            DEFAULT_MAX_WITNESSED_MEMBERS);
 
     public ControlOptions {
         requirePositive("tickMs", tickMs);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Invalidates the lease immediately and seals the own record, as the last step of a planned stop. The future completes
+     * Invalidates the lease immediately and seals the own record, as the last step of a graceful shutdown. The future completes
      * when the record is sealed.
      */
     public CompletableFuture<Void> sealSelf() {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -33,6 +33,9 @@
     /** Watch waits without an advance of the digest after which the daemon next in rank watches the store. */
     private static final double FALLBACK_AFTER_WAITS = 2.5;
 
+    /** Watch waits without an advance from a peer for which a fallback watch continues. */
+    private static final int FALLBACK_PEER_SILENCE_WAITS = 2;
+
     /** Additional watch waits for each further rank. */
     private static final double EXTRA_WAITS_PER_RANK = 1;
 
@@ -199,9 +202,10 @@
         return nowNanos - lastAdvanceNanos > waits * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
-    /** Whether no peer has provided an advance of the digest for two watch waits. */
+    /** Whether peers have not advanced the digest recently, so that this daemon still has to watch the store. */
     private boolean isFallbackStillNeeded(long nowNanos) {
-        return nowNanos - lastPeerAdvanceNanos > 2 * context.options().watchWaitMs() * NANOS_PER_MS;
+        return nowNanos - lastPeerAdvanceNanos
+                > FALLBACK_PEER_SILENCE_WAITS * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
     private void list(SyncState sync) {
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseHolderTest.java
@@ -17,46 +17,47 @@
 import org.coriandercrank.lease.LeaseTiming;
 import org.junit.jupiter.api.Test;
 
-/** Guards the liveness of the lease, which the safety property does not see. */
+/** Guards against leases that expire or end without need, which {@link LeaseSafetyTest} does not detect. */
 class LeaseHolderTest {
-    private static final long MS = 1_000_000;
-    private static final MemberId A = new MemberId("a");
-    private static final MemberId B = new MemberId("b");
-    private static final MemberId C = new MemberId("c");
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final MemberId WITNESS_A = new MemberId("a");
+    private static final MemberId WITNESS_B = new MemberId("b");
+    private static final MemberId WITNESS_C = new MemberId("c");
 
-    private final LeaseHolder holder = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(A, B), 0);
+    private final LeaseHolder holder =
+            new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(WITNESS_A, WITNESS_B), 0);
 
     @Test
-    void witnessesKeepTheLeaseWhileNoWriteIsAnswered() {
+    void witnessesKeepTheLeaseValidWhileNoWriteIsAnswered() {
         join();
         for (long ms = 1; ms < 600_000; ms += 50) {
-            answerHeartbeats(holder.tick(ms * MS), ms * MS, A, B);
-            assertThat(holder.validUntilNanos()).as("at %d ms", ms).isGreaterThan(ms * MS);
+            answerHeartbeats(holder.tick(ms * NANOS_PER_MS), ms * NANOS_PER_MS, WITNESS_A, WITNESS_B);
+            assertThat(holder.validUntilNanos()).as("at %d ms", ms).isGreaterThan(ms * NANOS_PER_MS);
         }
     }
 
     @Test
-    void changeOfAWitnessDoesNotInterruptTheLease() {
+    void replacingAWitnessDoesNotInterruptTheLease() {
         join();
-        holder.setDesired(member(A, C));
+        holder.setDesired(member(WITNESS_A, WITNESS_C));
         long revision = 10;
         for (long ms = 1; ms < 10_000; ms += 50) {
-            List<HolderAction> actions = holder.tick(ms * MS);
-            assertThat(holder.validUntilNanos()).as("at %d ms", ms).isGreaterThan(ms * MS);
-            answerHeartbeats(actions, ms * MS, A, C);
+            List<HolderAction> actions = holder.tick(ms * NANOS_PER_MS);
+            assertThat(holder.validUntilNanos()).as("at %d ms", ms).isGreaterThan(ms * NANOS_PER_MS);
+            answerHeartbeats(actions, ms * NANOS_PER_MS, WITNESS_A, WITNESS_C);
             for (HolderAction.WriteRecord write : writes(actions)) {
                 revision++;
-                holder.writeSucceeded(write.operation(), new Revision(revision), ms * MS + MS);
+                holder.writeSucceeded(write.operation(), new Revision(revision), ms * NANOS_PER_MS + NANOS_PER_MS);
             }
         }
-        assertThat(holder.confirmed().orElseThrow().member().witnesses()).containsExactly(A, C);
+        assertThat(holder.confirmed().orElseThrow().member().witnesses()).containsExactly(WITNESS_A, WITNESS_C);
     }
 
     @Test
-    void refusalLeadsToARewrite() {
+    void refusalTriggersARewriteOfTheRecord() {
         join();
-        answerHeartbeats(holder.tick(MS), MS, A, B);
-        assertThat(writes(holder.refusalReceived(new Revision(10), 2 * MS)))
+        answerHeartbeats(holder.tick(NANOS_PER_MS), NANOS_PER_MS, WITNESS_A, WITNESS_B);
+        assertThat(writes(holder.refusalReceived(new Revision(10), 2 * NANOS_PER_MS)))
                 .singleElement()
                 .extracting(HolderAction.WriteRecord::expected)
                 .isEqualTo(new Revision(10));
@@ -65,10 +66,10 @@
     @Test
     void unansweredWriteIsResolvedByReading() {
         HolderAction.WriteRecord write = writes(holder.tick(0)).get(0);
-        List<HolderAction> actions = holder.writeUnanswered(write.operation(), 400 * MS);
+        List<HolderAction> actions = holder.writeUnanswered(write.operation(), 400 * NANOS_PER_MS);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord) actions.get(0);
         Optional<VersionedMember> found = Optional.of(new VersionedMember(write.record(), new Revision(10)));
-        holder.readSucceeded(read.operation(), found, 410 * MS);
+        holder.readSucceeded(read.operation(), found, 410 * NANOS_PER_MS);
         assertThat(holder.confirmed()).isEqualTo(found);
     }
 
@@ -76,19 +77,19 @@
     void sealedRecordEndsTheIncarnation() {
         join();
         HolderAction.WriteRecord write =
-                writes(holder.refusalReceived(new Revision(10), MS)).get(0);
+                writes(holder.refusalReceived(new Revision(10), NANOS_PER_MS)).get(0);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
-                holder.writeConflicted(write.operation(), 2 * MS).get(0);
+                holder.writeConflicted(write.operation(), 2 * NANOS_PER_MS).get(0);
         Member sealed = write.record().withState(MemberState.SEALED);
         assertThat(holder.readSucceeded(
-                        read.operation(), Optional.of(new VersionedMember(sealed, new Revision(11))), 3 * MS))
+                        read.operation(), Optional.of(new VersionedMember(sealed, new Revision(11))), 3 * NANOS_PER_MS))
                 .containsExactly(new HolderAction.End("sealed"));
         assertThat(holder.isEnded()).isTrue();
     }
 
     private void join() {
         HolderAction.WriteRecord write = writes(holder.tick(0)).get(0);
-        answerHeartbeats(holder.writeSucceeded(write.operation(), new Revision(10), 0), 0, A, B);
+        answerHeartbeats(holder.writeSucceeded(write.operation(), new Revision(10), 0), 0, WITNESS_A, WITNESS_B);
     }
 
     private void answerHeartbeats(List<HolderAction> actions, long nowNanos, MemberId... alive) {
@@ -126,39 +127,50 @@
                 List.of(witnesses));
     }
 
-    /** A restarted daemon takes over the record of its former process without a move of its ranges. */
+    /** A restarted daemon continues with the record of its earlier process, so its ranges need not move. */
     @Test
-    void leftRecordIsResumedByAWriteOnItsRevision() {
-        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(A, B), 0, true);
-        HolderAction.WriteRecord create = writes(resumed.tick(MS)).get(0);
+    void inheritedRecordIsResumedByAWriteConditionalOnItsRevision() {
+        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(WITNESS_A, WITNESS_B), 0, true);
+        HolderAction.WriteRecord create = writes(resumed.tick(NANOS_PER_MS)).get(0);
         assertThat(create.expected()).isEqualTo(Revision.NONE);
-        List<HolderAction> afterConflict = resumed.writeConflicted(create.operation(), 2 * MS);
+        List<HolderAction> afterConflict = resumed.writeConflicted(create.operation(), 2 * NANOS_PER_MS);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord) afterConflict.get(0);
 
         List<HolderAction> afterRead = resumed.readSucceeded(
-                read.operation(), Optional.of(new VersionedMember(member(A, B), new Revision(41))), 3 * MS);
+                read.operation(),
+                Optional.of(new VersionedMember(member(WITNESS_A, WITNESS_B), new Revision(41))),
+                3 * NANOS_PER_MS);
         HolderAction.WriteRecord write = writes(afterRead).get(0);
         assertThat(write.expected()).isEqualTo(new Revision(41));
-        assertThat(resumed.validUntilNanos()).as("before the own write").isLessThanOrEqualTo(3 * MS);
-
-        answerHeartbeats(resumed, resumed.writeSucceeded(write.operation(), new Revision(42), 4 * MS), 5 * MS, A, B);
-        assertThat(resumed.validUntilNanos()).isGreaterThan(1_000 * MS);
+        assertThat(resumed.validUntilNanos()).as("before the own write").isLessThanOrEqualTo(3 * NANOS_PER_MS);
+
+        answerHeartbeats(
+                resumed,
+                resumed.writeSucceeded(write.operation(), new Revision(42), 4 * NANOS_PER_MS),
+                5 * NANOS_PER_MS,
+                WITNESS_A,
+                WITNESS_B);
+        assertThat(resumed.validUntilNanos()).isGreaterThan(1_000 * NANOS_PER_MS);
     }
 
-    /** A write of the former process that lands late must not end the incarnation. */
+    /** A write of the earlier process that takes effect late must not end the incarnation. */
     @Test
-    void lateWriteOfTheFormerProcessIsReadAndReplaced() {
-        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(A, B), 0, true);
-        HolderAction.WriteRecord create = writes(resumed.tick(MS)).get(0);
+    void delayedWriteOfTheEarlierProcessIsReadAndReplaced() {
+        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(WITNESS_A, WITNESS_B), 0, true);
+        HolderAction.WriteRecord create = writes(resumed.tick(NANOS_PER_MS)).get(0);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
-                resumed.writeConflicted(create.operation(), 2 * MS).get(0);
+                resumed.writeConflicted(create.operation(), 2 * NANOS_PER_MS).get(0);
         HolderAction.WriteRecord write = writes(resumed.readSucceeded(
-                        read.operation(), Optional.of(new VersionedMember(member(A, C), new Revision(41))), 3 * MS))
+                        read.operation(),
+                        Optional.of(new VersionedMember(member(WITNESS_A, WITNESS_C), new Revision(41))),
+                        3 * NANOS_PER_MS))
                 .get(0);
         HolderAction.ReadRecord again = (HolderAction.ReadRecord)
-                resumed.writeConflicted(write.operation(), 4 * MS).get(0);
+                resumed.writeConflicted(write.operation(), 4 * NANOS_PER_MS).get(0);
         List<HolderAction> actions = resumed.readSucceeded(
-                again.operation(), Optional.of(new VersionedMember(member(B, C), new Revision(43))), 5 * MS);
+                again.operation(),
+                Optional.of(new VersionedMember(member(WITNESS_B, WITNESS_C), new Revision(43))),
+                5 * NANOS_PER_MS);
         assertThat(resumed.isEnded()).isFalse();
         assertThat(writes(actions))
                 .singleElement()
@@ -166,13 +178,14 @@
     }
 
     @Test
-    void sealedLeftRecordEndsTheIncarnation() {
-        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(A, B), 0, true);
-        HolderAction.WriteRecord create = writes(resumed.tick(MS)).get(0);
+    void sealedInheritedRecordEndsTheIncarnation() {
+        LeaseHolder resumed = new LeaseHolder(LeaseTiming.ofMs(2_000, 500, 105), member(WITNESS_A, WITNESS_B), 0, true);
+        HolderAction.WriteRecord create = writes(resumed.tick(NANOS_PER_MS)).get(0);
         HolderAction.ReadRecord read = (HolderAction.ReadRecord)
-                resumed.writeConflicted(create.operation(), 2 * MS).get(0);
-        VersionedMember sealed = new VersionedMember(member(A, B).withState(MemberState.SEALED), new Revision(41));
-        resumed.readSucceeded(read.operation(), Optional.of(sealed), 3 * MS);
+                resumed.writeConflicted(create.operation(), 2 * NANOS_PER_MS).get(0);
+        VersionedMember sealed =
+                new VersionedMember(member(WITNESS_A, WITNESS_B).withState(MemberState.SEALED), new Revision(41));
+        resumed.readSucceeded(read.operation(), Optional.of(sealed), 3 * NANOS_PER_MS);
         assertThat(resumed.isEnded()).isTrue();
     }
 }
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
@@ -23,15 +23,26 @@
 import org.coriandercrank.lease.Witness;
 
 /**
- * Deterministic event simulation of one holder, six witnesses and two takers that suspect the holder without reason.
- * Takers run on the processes of the first two witnesses. Not thread safe; a seed decides everything.
+ * Deterministic event simulation of one holder, six witnesses and two takers that wrongly suspect the holder.
+ *
+ * <p>The takers run on the processes of the first two witnesses. Processes have drifting clocks and pause, messages are
+ * lost, delayed and duplicated, the store has outages, and the holder is disconnected at times. The seed determines the
+ * whole run. Not thread safe.
  */
 final class LeaseSimulation {
-    private static final long MS = 1_000_000;
-    private static final long END_NANOS = 40_000 * MS;
-    private static final long TICK_NANOS = 50 * MS;
-    private static final long STORE_TIMEOUT_NANOS = 400 * MS;
-    private static final int WITNESSES = 6;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long END_NANOS = 40_000 * NANOS_PER_MS;
+    private static final long TICK_NANOS = 50 * NANOS_PER_MS;
+    private static final long STORE_TIMEOUT_NANOS = 400 * NANOS_PER_MS;
+    private static final double MAX_LOSS_RATE = 0.3;
+    private static final long MAX_OUTAGE_MS = 5_000;
+    private static final long MAX_PARTITION_MS = 4_000;
+    private static final long MAX_PAUSE_NANOS = 5_000 * NANOS_PER_MS;
+    private static final long MAX_USUAL_DELAY_NANOS = 20 * NANOS_PER_MS;
+    private static final long MAX_LONG_DELAY_NANOS = 1_500 * NANOS_PER_MS;
+    private static final long MAX_WRITE_DELAY_NANOS = 6_000 * NANOS_PER_MS;
+    private static final long MAX_DUPLICATE_DELAY_NANOS = 4_000 * NANOS_PER_MS;
+    private static final int WITNESS_PROCESSES = 6;
     private static final int TAKERS = 2;
     private static final LeaseTiming TIMING = LeaseTiming.ofMs(2_000, 500, 105);
 
@@ -51,10 +62,10 @@
     private final List<MemberId> ids = new ArrayList<>();
     private final List<Optional<Takeover>> takeovers = new ArrayList<>();
     private final List<Interval> outages;
-    private final List<Interval> holderCuts;
+    private final List<Interval> holderPartitions;
     private final SimulatedStore store = new SimulatedStore();
     private final LeaseHolder holder;
-    private long order;
+    private long lastOrder;
     private long nowNanos;
     private boolean sealed;
     private Optional<String> violation = Optional.empty();
@@ -62,44 +73,47 @@
     LeaseSimulation(long seed, int witnessCount) {
         random = new Random(seed);
         this.witnessCount = witnessCount;
-        lossRate = random.nextDouble() * 0.3;
+        lossRate = random.nextDouble() * MAX_LOSS_RATE;
         holderProcess = new SimulatedProcess(random);
         storeProcess = new SimulatedProcess(random);
-        for (int i = 0; i < WITNESSES; i++) {
+        for (int i = 0; i < WITNESS_PROCESSES; i++) {
             processes.add(new SimulatedProcess(random));
             witnesses.add(new Witness(TIMING, 4));
             ids.add(new MemberId("w" + i));
         }
-        outages = intervals(3, 5_000);
-        holderCuts = intervals(3, 4_000);
-        holder = new LeaseHolder(TIMING, member(randomSet(witnessCount)), holderProcess.localNanos(0));
+        outages = randomIntervals(3, MAX_OUTAGE_MS);
+        holderPartitions = randomIntervals(3, MAX_PARTITION_MS);
+        holder = new LeaseHolder(TIMING, member(randomWitnesses(witnessCount)), holderProcess.localNanos(0));
         schedulePauses();
-        every(holderProcess, () -> perform(holder.tick(holderNow())));
+        schedulePeriodically(holderProcess, () -> performHolder(holder.tick(holderNow())));
         for (int i = 0; i < TAKERS; i++) {
             int taker = i;
             takeovers.add(Optional.empty());
-            every(processes.get(i), () -> takerTick(taker));
+            schedulePeriodically(processes.get(i), () -> tickTaker(taker));
         }
         for (int i = random.nextInt(12); i > 0; i--) {
-            at(random.nextLong(END_NANOS), holderProcess, () -> holder.setDesired(member(changedSet())));
+            schedule(
+                    random.nextLong(END_NANOS),
+                    holderProcess,
+                    () -> holder.setDesired(member(randomDesiredWitnesses())));
         }
     }
 
-    /** Runs to the end or the first violation; the text of the violation, if any. */
+    /** Runs until the end or the first violation and returns the description of the violation, if any. */
     Optional<String> run() {
         while (!events.isEmpty() && violation.isEmpty()) {
             Event event = events.poll();
             if (event.atNanos() > END_NANOS) {
                 break;
             }
-            long runnableAt = event.process().runnableAt(event.atNanos());
-            if (runnableAt > event.atNanos()) {
-                at(runnableAt, event.process(), event.task());
+            long runnableAtNanos = event.process().earliestRunNanos(event.atNanos());
+            if (runnableAtNanos > event.atNanos()) {
+                schedule(runnableAtNanos, event.process(), event.task());
                 continue;
             }
             nowNanos = event.atNanos();
             event.task().run();
-            checkLease();
+            checkSafety();
         }
         return violation;
     }
@@ -108,10 +122,10 @@
         return sealed;
     }
 
-    private void checkLease() {
+    private void checkSafety() {
         sealed = store.isSealed();
         if (sealed && holder.validUntilNanos() - holderProcess.localNanos(nowNanos) > 0) {
-            violation = Optional.of("lease valid after seal at " + nowNanos / MS + " ms");
+            violation = Optional.of("the lease is valid after the seal at " + nowNanos / NANOS_PER_MS + " ms");
         }
     }
 
@@ -119,7 +133,7 @@
         return holderProcess.localNanos(nowNanos);
     }
 
-    private void perform(List<HolderAction> actions) {
+    private void performHolder(List<HolderAction> actions) {
         for (HolderAction action : actions) {
             if (action instanceof HolderAction.SendHeartbeat heartbeat) {
                 sendHeartbeat(heartbeat);
@@ -129,15 +143,15 @@
                         holderProcess,
                         write.record(),
                         write.expected(),
-                        revision -> perform(holder.writeSucceeded(operation, revision, holderNow())),
-                        () -> perform(holder.writeConflicted(operation, holderNow())),
+                        revision -> performHolder(holder.writeSucceeded(operation, revision, holderNow())),
+                        () -> performHolder(holder.writeConflicted(operation, holderNow())),
                         () -> holder.writeFailed(operation, holderNow()),
-                        () -> perform(holder.writeUnanswered(operation, holderNow())));
+                        () -> performHolder(holder.writeUnanswered(operation, holderNow())));
             } else if (action instanceof HolderAction.ReadRecord read) {
                 long operation = read.operation();
                 storeRead(
                         holderProcess,
-                        found -> perform(holder.readSucceeded(operation, found, holderNow())),
+                        found -> performHolder(holder.readSucceeded(operation, found, holderNow())),
                         () -> holder.readFailed(operation, holderNow()));
             }
         }
@@ -146,29 +160,29 @@
     private void sendHeartbeat(HolderAction.SendHeartbeat heartbeat) {
         int index = ids.indexOf(heartbeat.witness());
         SimulatedProcess process = processes.get(index);
-        message(process, () -> {
+        sendMessage(process, () -> {
             boolean granted = witnesses
                     .get(index)
                     .acceptHeartbeat(holder.desired().id(), heartbeat.recordRevision(), process.localNanos(nowNanos));
-            message(
+            sendMessage(
                     holderProcess,
-                    () -> perform(
+                    () -> performHolder(
                             holder.heartbeatAnswered(heartbeat.witness(), heartbeat.sequence(), granted, holderNow())));
         });
     }
 
-    private void takerTick(int taker) {
+    private void tickTaker(int taker) {
         if (takeovers.get(taker).isEmpty()) {
-            store.read().ifPresent(found -> learnLater(taker, found));
+            store.read().ifPresent(found -> deliverRecordLater(taker, found));
             return;
         }
-        performTaker(taker, takeovers.get(taker).get().tick(takerNow(taker)));
+        performTakeover(taker, takeovers.get(taker).get().tick(takerNow(taker)));
     }
 
-    /** The record reaches the taker after a delay, so the taker's knowledge can be outdated. */
-    private void learnLater(int taker, VersionedMember found) {
+    /** Delivers the record to the taker after a delay, so that the taker may work with an outdated record. */
+    private void deliverRecordLater(int taker, VersionedMember found) {
         if (random.nextInt(20) == 0) {
-            at(nowNanos + delay(), processes.get(taker), () -> {
+            schedule(nowNanos + messageDelayNanos(), processes.get(taker), () -> {
                 if (takeovers.get(taker).isEmpty()) {
                     long now = takerNow(taker);
                     takeovers.set(taker, Optional.of(new Takeover(TIMING, found, now, now)));
@@ -181,12 +195,12 @@
         return processes.get(taker).localNanos(nowNanos);
     }
 
-    private void performTaker(int taker, List<TakeoverAction> actions) {
+    private void performTakeover(int taker, List<TakeoverAction> actions) {
         Takeover takeover = takeovers.get(taker).orElseThrow();
         SimulatedProcess process = processes.get(taker);
         for (TakeoverAction action : actions) {
-            if (action instanceof TakeoverAction.RequestRefusal ask) {
-                askRefusal(taker, ask.witness(), ask.recordRevision());
+            if (action instanceof TakeoverAction.RequestRefusal request) {
+                requestRefusal(taker, request.witness(), request.recordRevision());
             } else if (action instanceof TakeoverAction.Seal seal) {
                 long operation = seal.operation();
                 storeWrite(
@@ -194,9 +208,9 @@
                         seal.sealed(),
                         seal.expected(),
                         revision -> takeover.sealSucceeded(operation, revision, takerNow(taker)),
-                        () -> performTaker(taker, takeover.sealNotConfirmed(operation, takerNow(taker))),
+                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNow(taker))),
                         () -> takeover.storeFailed(operation, takerNow(taker)),
-                        () -> performTaker(taker, takeover.sealNotConfirmed(operation, takerNow(taker))));
+                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNow(taker))));
             } else if (action instanceof TakeoverAction.ReadRecord read) {
                 long operation = read.operation();
                 storeRead(
@@ -207,18 +221,18 @@
         }
     }
 
-    private void askRefusal(int taker, MemberId witness, Revision revision) {
+    private void requestRefusal(int taker, MemberId witness, Revision revision) {
         int index = ids.indexOf(witness);
         SimulatedProcess process = processes.get(index);
-        message(process, () -> {
+        sendMessage(process, () -> {
             Witness.RefusalDecision decision =
                     witnesses.get(index).requestRefusal(holder.desired().id(), revision, process.localNanos(nowNanos));
             if (decision.granted()) {
-                message(holderProcess, () -> perform(holder.refusalReceived(revision, holderNow())));
+                sendMessage(holderProcess, () -> performHolder(holder.refusalReceived(revision, holderNow())));
             }
-            message(processes.get(taker), () -> {
+            sendMessage(processes.get(taker), () -> {
                 Takeover takeover = takeovers.get(taker).orElseThrow();
-                performTaker(
+                performTakeover(
                         taker,
                         takeover.refusalAnswered(
                                 witness, revision, decision.granted(), decision.retryAfterNanos(), takerNow(taker)));
@@ -234,62 +248,62 @@
             Runnable conflicted,
             Runnable failed,
             Runnable unanswered) {
-        at(nowNanos + STORE_TIMEOUT_NANOS, client, unanswered);
-        boolean cut = client == holderProcess && isIn(holderCuts);
-        boolean lost = cut || random.nextDouble() < lossRate / 2;
-        long delay = random.nextInt(8) == 0 ? random.nextLong(6_000 * MS) : delay();
+        schedule(nowNanos + STORE_TIMEOUT_NANOS, client, unanswered);
+        boolean disconnected = client == holderProcess && isWithin(holderPartitions);
+        boolean lost = disconnected || random.nextDouble() < lossRate / 2;
+        long delayNanos = random.nextInt(8) == 0 ? random.nextLong(MAX_WRITE_DELAY_NANOS) : messageDelayNanos();
         if (lost && random.nextBoolean()) {
             return;
         }
-        at(nowNanos + delay, storeProcess, () -> {
-            if (isIn(outages) && random.nextBoolean()) {
-                at(nowNanos + delay(), client, failed);
+        schedule(nowNanos + delayNanos, storeProcess, () -> {
+            if (isWithin(outages) && random.nextBoolean()) {
+                schedule(nowNanos + messageDelayNanos(), client, failed);
                 return;
             }
             Optional<Revision> revision = store.write(value, expected);
             if (!lost) {
-                at(nowNanos + delay(), client, () -> revision.ifPresentOrElse(succeeded, conflicted));
+                schedule(nowNanos + messageDelayNanos(), client, () -> revision.ifPresentOrElse(succeeded, conflicted));
             }
         });
     }
 
     private void storeRead(SimulatedProcess client, Consumer<Optional<VersionedMember>> succeeded, Runnable failed) {
-        at(nowNanos + STORE_TIMEOUT_NANOS, client, failed);
-        if (random.nextDouble() < lossRate || (client == holderProcess && isIn(holderCuts))) {
+        schedule(nowNanos + STORE_TIMEOUT_NANOS, client, failed);
+        if (random.nextDouble() < lossRate || (client == holderProcess && isWithin(holderPartitions))) {
             return;
         }
-        at(nowNanos + delay(), storeProcess, () -> {
-            if (!isIn(outages)) {
+        schedule(nowNanos + messageDelayNanos(), storeProcess, () -> {
+            if (!isWithin(outages)) {
                 Optional<VersionedMember> found = store.read();
-                at(nowNanos + delay(), client, () -> succeeded.accept(found));
+                schedule(nowNanos + messageDelayNanos(), client, () -> succeeded.accept(found));
             }
         });
     }
 
-    private void message(SimulatedProcess receiver, Runnable task) {
-        boolean cut = receiver == holderProcess && isIn(holderCuts);
-        if (!cut && random.nextDouble() >= lossRate) {
-            at(nowNanos + delay(), receiver, task);
+    private void sendMessage(SimulatedProcess receiver, Runnable task) {
+        boolean disconnected = receiver == holderProcess && isWithin(holderPartitions);
+        if (!disconnected && random.nextDouble() >= lossRate) {
+            schedule(nowNanos + messageDelayNanos(), receiver, task);
         }
         if (random.nextInt(10) == 0) {
-            at(nowNanos + delay() + random.nextLong(4_000 * MS), receiver, task);
+            schedule(nowNanos + messageDelayNanos() + random.nextLong(MAX_DUPLICATE_DELAY_NANOS), receiver, task);
         }
     }
 
-    private long delay() {
-        return random.nextInt(10) == 0 ? random.nextLong(1_500 * MS) : random.nextLong(20 * MS);
+    private long messageDelayNanos() {
+        return random.nextInt(10) == 0 ? random.nextLong(MAX_LONG_DELAY_NANOS) : random.nextLong(MAX_USUAL_DELAY_NANOS);
     }
 
-    private boolean isIn(List<Interval> intervals) {
+    private boolean isWithin(List<Interval> intervals) {
         return intervals.stream()
                 .anyMatch(interval -> interval.fromNanos() <= nowNanos && nowNanos < interval.toNanos());
     }
 
-    private List<Interval> intervals(int count, long maxMs) {
+    private List<Interval> randomIntervals(int count, long maxMs) {
         List<Interval> result = new ArrayList<>();
         for (int i = random.nextInt(count + 1); i > 0; i--) {
-            long from = random.nextLong(END_NANOS);
-            result.add(new Interval(from, from + random.nextLong(maxMs * MS)));
+            long fromNanos = random.nextLong(END_NANOS);
+            result.add(new Interval(fromNanos, fromNanos + random.nextLong(maxMs * NANOS_PER_MS)));
         }
         return result;
     }
@@ -300,9 +314,9 @@
         all.add(holderProcess);
         for (SimulatedProcess process : all) {
             for (int i = random.nextInt(3); i > 0; i--) {
-                long from = random.nextLong(END_NANOS);
-                long until = from + random.nextLong(5_000 * MS);
-                at(from, process, () -> process.pauseUntil(until));
+                long fromNanos = random.nextLong(END_NANOS);
+                long untilNanos = fromNanos + random.nextLong(MAX_PAUSE_NANOS);
+                schedule(fromNanos, process, () -> process.pauseUntil(untilNanos));
             }
         }
     }
@@ -321,25 +335,25 @@
                 witnessSet);
     }
 
-    private List<MemberId> changedSet() {
-        return random.nextInt(4) == 0 ? randomSet(2 * random.nextInt(3)) : randomSet(witnessCount);
+    private List<MemberId> randomDesiredWitnesses() {
+        return random.nextInt(4) == 0 ? randomWitnesses(2 * random.nextInt(3)) : randomWitnesses(witnessCount);
     }
 
-    private List<MemberId> randomSet(int size) {
+    private List<MemberId> randomWitnesses(int size) {
         List<MemberId> shuffled = new ArrayList<>(ids);
         Collections.shuffle(shuffled, random);
         return shuffled.subList(0, size);
     }
 
-    private void every(SimulatedProcess process, Runnable task) {
-        at(nowNanos + TICK_NANOS, process, () -> {
+    private void schedulePeriodically(SimulatedProcess process, Runnable task) {
+        schedule(nowNanos + TICK_NANOS, process, () -> {
             task.run();
-            every(process, task);
+            schedulePeriodically(process, task);
         });
     }
 
-    private void at(long atNanos, SimulatedProcess process, Runnable task) {
-        order++;
-        events.add(new Event(atNanos, order, process, task));
+    private void schedule(long atNanos, SimulatedProcess process, Runnable task) {
+        lastOrder++;
+        events.add(new Event(atNanos, lastOrder, process, task));
     }
 }
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/SimulatedProcess.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/SimulatedProcess.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** A process of the simulation: a drifting clock and one pause at a time. Not thread safe. */
+/** A simulated process with a drifting clock, which can be paused. Not thread safe. */
 final class SimulatedProcess {
     private static final double MAX_DRIFT = 0.01;
 
@@ -15,7 +15,7 @@
         rate = 1 + MAX_DRIFT * (2 * random.nextDouble() - 1);
     }
 
-    /** The clock of the process at a true time. */
+    /** Returns the time that the clock of the process shows at a true time. */
     long localNanos(long trueNanos) {
         return offsetNanos + (long) (trueNanos * rate);
     }
@@ -24,8 +24,8 @@
         pausedUntilNanos = Math.max(pausedUntilNanos, trueNanos);
     }
 
-    /** Earliest true time at which the process can run. */
-    long runnableAt(long trueNanos) {
+    /** Returns the earliest true time, not before the given one, at which the process runs. */
+    long earliestRunNanos(long trueNanos) {
         return Math.max(trueNanos, pausedUntilNanos);
     }
 }
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/SimulatedStore.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/SimulatedStore.java
@@ -6,24 +6,24 @@
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 
-/** The one member record of the simulation with conditional writes. Not thread safe. */
+/** A simulated store that holds the single member record of the simulation. Not thread safe. */
 final class SimulatedStore {
     private Optional<VersionedMember> record = Optional.empty();
-    private long revision = 100;
+    private long lastRevision = 100;
 
     Optional<VersionedMember> read() {
         return record;
     }
 
-    /** Writes on condition of a revision; empty on a conflict. */
+    /** Writes the record if it has the expected revision and returns the new revision; empty on a conflict. */
     Optional<Revision> write(Member value, Revision expected) {
         Revision current = record.map(VersionedMember::revision).orElse(Revision.NONE);
         if (!current.equals(expected)) {
             return Optional.empty();
         }
-        revision++;
-        record = Optional.of(new VersionedMember(value, new Revision(revision)));
-        return Optional.of(new Revision(revision));
+        lastRevision++;
+        record = Optional.of(new VersionedMember(value, new Revision(lastRevision)));
+        return Optional.of(new Revision(lastRevision));
     }
 
     boolean isSealed() {
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -96,7 +96,10 @@
         return actions;
     }
 
-    /** Handles the answer of a witness; an answer for another revision than that of the target has no effect. */
+    /**
+     * Handles the answer of a witness; an answer for another revision than that of the target has no effect. A witness
+     * that did not grant the refusal is asked again after its retry delay, but not before half a heartbeat interval.
+     */
     public List<TakeoverAction> refusalAnswered(
             MemberId witness, Revision recordRevision, boolean granted, long retryAfterNanos, long nowNanos) {
         if (!recordRevision.equals(target.revision())) {
