--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -65,15 +65,17 @@
      */
     @Test
     void restartedHostsSeeSealedMembersPromptly() {
-        List<MemberId> former =
+        List<MemberId> failedMembers =
                 cluster.hosts().stream().map(host -> host.control().self()).toList();
         cluster.restartAll(
                 ControlOptions.DEFAULT.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000),
                 locations());
         cluster.time().runFor(JOIN_TIME_MS);
-        former.forEach(cluster::seal);
+        failedMembers.forEach(cluster::seal);
         assertThat(cluster.time()
-                        .runUntil(() -> cluster.hosts().stream().allMatch(host -> seesAllSealed(host, former)), 10_000))
+                        .runUntil(
+                                () -> cluster.hosts().stream().allMatch(host -> seesAllSealed(host, failedMembers)),
+                                10_000))
                 .isBetween(0L, RESTART_LIMIT_MS);
     }
 
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
@@ -86,7 +86,7 @@
 
     void seal(MemberId member) {
         record(member)
-                .map(former -> former.withState(MemberState.SEALED))
+                .map(current -> current.withState(MemberState.SEALED))
                 .ifPresent(ended -> store.putUnconditionally(ObjectNames.member(member), JsonCodec.encode(ended)));
     }
 
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
@@ -129,19 +129,19 @@
     void pausedMemberIsNotifiedOfItsSealAndRejoins() {
         FakeCluster cluster = new FakeCluster(EIGHT_HOSTS);
         FakeHost host = cluster.host(2);
-        MemberId former = host.control().self();
+        MemberId previous = host.control().self();
         host.pause();
         cluster.time().runFor(8_000);
-        assertThat(cluster.isSealed(former)).isTrue();
+        assertThat(cluster.isSealed(previous)).isTrue();
         assertThat(host.isLeaseValid()).isFalse();
         host.resume();
         cluster.time().runFor(3_000);
-        assertThat(host.sealedIncarnations()).containsExactly(former);
+        assertThat(host.sealedIncarnations()).containsExactly(previous);
         assertThat(cluster.sum("crank.control.seals")).isEqualTo(1);
         CompletableFuture<MemberId> rejoined = host.control().rejoin();
         cluster.time().runFor(3_000);
         assertThat(rejoined.join())
-                .isNotEqualTo(former)
+                .isNotEqualTo(previous)
                 .isEqualTo(host.control().self());
         assertThat(host.isLeaseValid()).isTrue();
     }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
@@ -35,14 +35,14 @@
         if (value instanceof StoredObject object) {
             return ofValue(object.name()) + INTEGER_BYTES + INTEGER_BYTES + object.value().length + 1;
         }
-        return value instanceof Record record ? ofFields(record) : 1;
+        return value instanceof Record recordValue ? ofFields(recordValue) : 1;
     }
 
-    private static int ofFields(Record record) {
+    private static int ofFields(Record recordValue) {
         int bytes = 0;
-        for (RecordComponent component : record.getClass().getRecordComponents()) {
+        for (RecordComponent component : recordValue.getClass().getRecordComponents()) {
             try {
-                bytes += ofValue(component.getAccessor().invoke(record));
+                bytes += ofValue(component.getAccessor().invoke(recordValue));
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
             }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -92,6 +92,7 @@
         return view;
     }
 
+    /** Returns the lease of this daemon, with its expiry converted from the lease clock to the clock of the timers. */
     public LeaseView lease() {
         return () -> context.nowNanos() + membership.validUntilNanos() - context.leaseNowNanos();
     }
@@ -129,12 +130,12 @@
             if (membership.isStarted() && !membership.isEnded()) {
                 throw new CrankException(ResultCode.INTERNAL, "incarnation " + membership.id() + " has not ended");
             }
-            MemberId former = membership.id();
+            MemberId previous = membership.id();
             joinRequested = true;
             membership = newMembership(parameters);
             takeovers.selfChanged(parameters.id());
             view.setSelf(parameters.id());
-            context.log(() -> "event=rejoin former=" + former + " member=" + parameters.id());
+            context.log(() -> "event=rejoin former=" + previous + " member=" + parameters.id());
             return parameters.id();
         });
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -54,7 +54,9 @@
     /** When each current witness was selected. */
     private final Map<MemberId, Long> selectedAtNanos = new HashMap<>();
 
+    /** Until when each witness that timed out is not selected again. */
     private final Map<MemberId, Long> suspectUntilNanos = new HashMap<>();
+
     private final long startedNanos;
     private final CompletableFuture<Void> leaveFuture = new CompletableFuture<>();
     private final CompletableFuture<Void> sealFuture = new CompletableFuture<>();
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -79,10 +79,10 @@
     /** Starts takeovers of members without recent contact and advances the running ones. */
     public void tick(long nowNanos) {
         refreshEligibleMembers();
-        for (VersionedMember record : eligibleMembers) {
-            if (isSuspect(record, nowNanos)
-                    && !running.containsKey(record.member().id())) {
-                start(record, nowNanos);
+        for (VersionedMember memberRecord : eligibleMembers) {
+            if (isSuspect(memberRecord, nowNanos)
+                    && !running.containsKey(memberRecord.member().id())) {
+                start(memberRecord, nowNanos);
             }
         }
         for (Takeover takeover : List.copyOf(running.values())) {
@@ -116,11 +116,11 @@
         long now = context.nowNanos();
         for (Takeover takeover : List.copyOf(running.values())) {
             MemberId member = takeover.target().member().id();
-            VersionedMember record = snapshot.members().get(member);
-            if (record == null || !mayTakeOver(record.member())) {
+            VersionedMember memberRecord = snapshot.members().get(member);
+            if (memberRecord == null || !mayTakeOver(memberRecord.member())) {
                 running.remove(member);
             } else {
-                takeover.recordUpdated(record, now);
+                takeover.recordUpdated(memberRecord, now);
                 removeIfDone(takeover);
             }
         }
@@ -137,15 +137,15 @@
         if (view.snapshotVersion() != eligibleSnapshotVersion) {
             eligibleSnapshotVersion = view.snapshotVersion();
             eligibleMembers = view.current().members().values().stream()
-                    .filter(record -> !record.member().id().equals(self))
-                    .filter(record -> record.member().state() != MemberState.SEALED)
-                    .filter(record -> mayTakeOver(record.member()))
+                    .filter(memberRecord -> !memberRecord.member().id().equals(self))
+                    .filter(memberRecord -> memberRecord.member().state() != MemberState.SEALED)
+                    .filter(memberRecord -> mayTakeOver(memberRecord.member()))
                     .toList();
         }
     }
 
-    private boolean isSuspect(VersionedMember record, long nowNanos) {
-        return nowNanos - lastContactNanos(record.member().id())
+    private boolean isSuspect(VersionedMember memberRecord, long nowNanos) {
+        return nowNanos - lastContactNanos(memberRecord.member().id())
                 > context.options().leaseTiming().expiryNanos();
     }
 
@@ -168,16 +168,16 @@
         return latest;
     }
 
-    private void start(VersionedMember record, long nowNanos) {
-        Member member = record.member();
+    private void start(VersionedMember memberRecord, long nowNanos) {
+        Member member = memberRecord.member();
         int rank = rank(member);
         long delayNanos = TimeUnit.MILLISECONDS.toNanos(rank * context.options().takeoverRankDelayMs());
         long knownSinceNanos = view.revisionSeenNanos(member.id()).orElse(nowNanos);
         running.put(
                 member.id(),
-                new Takeover(context.options().leaseTiming(), record, knownSinceNanos, nowNanos + delayNanos));
-        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + record.revision() + " rank="
-                + rank + " witnesses=" + member.witnesses());
+                new Takeover(context.options().leaseTiming(), memberRecord, knownSinceNanos, nowNanos + delayNanos));
+        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + memberRecord.revision()
+                + " rank=" + rank + " witnesses=" + member.witnesses());
     }
 
     /** Returns the position of this daemon among the members that may take over the member. */
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -97,14 +97,14 @@
         if (known != null) {
             return known;
         }
-        Entry fresh = new Entry();
-        fresh.lastAckNanos = evictedAckNanos;
-        fresh.refusedUpTo = evictedRefusal;
-        entries.put(member, fresh);
+        Entry added = new Entry();
+        added.lastAckNanos = evictedAckNanos;
+        added.refusedUpTo = evictedRefusal;
+        entries.put(member, added);
         if (entries.size() > maxMembers) {
             evictLeastRecentlyUsed();
         }
-        return fresh;
+        return added;
     }
 
     private void evictLeastRecentlyUsed() {
