--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipChecks.java
@@ -15,8 +15,8 @@
     private OwnershipChecks() {}
 
     /**
-     * Guards against a decreasing fence, gaps in the table, and a takeover that moves ranges of members that are not
-     * lost.
+     * Guards against a decreasing fencing token, gaps in the table, and a takeover that moves ranges of members that
+     * are not lost.
      */
     static void assertValidTransition(AssignmentTable previous, TablePlanner.Decision decision, Set<MemberId> removed) {
         AssignmentTable next = decision.table();
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -169,9 +169,9 @@
      * table.
      */
     private void planOnce(AssignmentTable knownTable, Set<MemberId> removed) {
-        TablePlanner.View view =
-                new TablePlanner.View(configuration, members, removed, knownTable, reports, nowMs, 0, nowMs, 0);
-        Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(view);
+        TablePlanner.Input planningInput =
+                new TablePlanner.Input(configuration, members, removed, knownTable, reports, nowMs, 0, nowMs, 0);
+        Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(planningInput);
         if (decision.isPresent() && knownTable.generation().equals(newestTable().generation())) {
             OwnershipChecks.assertValidTransition(newestTable(), decision.get(), removed);
             tables.add(decision.get().table());
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PlannerElectionTest.java
@@ -25,7 +25,7 @@
 
     private void read(PlannerRecord record, long revision, long nowMs) {
         election.readStarted();
-        election.readDone(Optional.ofNullable(record), new Revision(revision), nowMs);
+        election.readCompleted(Optional.ofNullable(record), new Revision(revision), nowMs);
     }
 
     /**
@@ -79,7 +79,7 @@
     @Test
     void keepsReadIntervalWhenStoreFails() {
         election.readStarted();
-        election.callFailed(100);
+        election.readFailed(100);
         assertThat(election.nextStep(599, true, 0, false)).isEqualTo(Step.NONE);
         assertThat(election.nextStep(600, true, 0, false)).isEqualTo(Step.READ);
         assertThat(election.nextStep(10_099, true, 3, false)).isEqualTo(Step.NONE);
@@ -89,7 +89,7 @@
     @Test
     void losesRoleAfterTimeoutOrToAnotherHolder() {
         read(null, 0, 0);
-        election.writeDone(election.writeStarted(0), new Revision(1));
+        election.writeCompleted(election.writeStarted(0), new Revision(1));
         assertThat(election.isHolder(1_499)).isTrue();
         assertThat(election.isHolder(1_500)).isFalse();
         read(new PlannerRecord(OTHER, 2), 2, 600);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/PolicyPropertyTest.java
@@ -49,17 +49,17 @@
             changeMembers(random, members, removed);
             Configuration configuration = TestFleet.configuration(
                     new BackendRule("server-001", random.nextInt(3) * 100, random.nextInt(10) == 0));
-            TablePlanner.View view = new TablePlanner.View(
+            TablePlanner.Input input = new TablePlanner.Input(
                     configuration, members, removed, table, reports(random, table, removed), step * 20_000L, 0, 0, 0);
             maxCandidates =
-                    Math.max(maxCandidates, TablePlanner.candidates(view).size());
-            Optional<TablePlanner.Decision> decision = planner.decide(view);
+                    Math.max(maxCandidates, TablePlanner.candidates(input).size());
+            Optional<TablePlanner.Decision> decision = planner.decide(input);
             if (decision.isEmpty()) {
                 continue;
             }
             OwnershipChecks.assertValidTransition(table, decision.get(), removed);
             List<MemberId> allowed =
-                    TablePlanner.candidates(view).stream().map(Member::id).toList();
+                    TablePlanner.candidates(input).stream().map(Member::id).toList();
             decision.get().changes().forEach(c -> assertThat(allowed).contains(c.to()));
             table = decision.get().table();
             assertThat(table.assignments().size())
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
@@ -165,8 +165,8 @@
 
     private void decide(TablePlanner planner, ServicePlanningState state, TrialLoad load, long nowMs) {
         Map<MemberId, LoadReport> reports = reports(state.table(), load);
-        state.updateImbalance(TablePlanner.imbalance(view(state, reports, nowMs)), nowMs);
-        Optional<TablePlanner.Decision> decision = planner.decide(view(state, reports, nowMs));
+        state.updateImbalance(TablePlanner.imbalance(planningInput(state, reports, nowMs)), nowMs);
+        Optional<TablePlanner.Decision> decision = planner.decide(planningInput(state, reports, nowMs));
         if (decision.isEmpty()) {
             return;
         }
@@ -185,8 +185,9 @@
         }
     }
 
-    private TablePlanner.View view(ServicePlanningState state, Map<MemberId, LoadReport> reports, long nowMs) {
-        return new TablePlanner.View(
+    private TablePlanner.Input planningInput(
+            ServicePlanningState state, Map<MemberId, LoadReport> reports, long nowMs) {
+        return new TablePlanner.Input(
                 TestFleet.configuration(),
                 members,
                 removed,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -59,7 +59,10 @@
     private static final long ENQUEUE_RETRY_MS = 1;
     private static final long TABLE_WRITE_RETRY_MS = 200;
 
-    /** Planning runs again after the load query interval divided by this number, when load reports have arrived. */
+    /**
+     * After load queries are sent, planning waits for the load query interval divided by this number, so that the load
+     * reports can arrive.
+     */
     private static final long LOAD_REPORT_WAIT_DIVISOR = 4;
 
     /** Load of the most loaded server in percent of its fair load. */
@@ -115,9 +118,9 @@
     public void start() {
         context.view().subscribe(snapshot -> {
             inputVersion.incrementAndGet();
-            executor.offer(this::planIfRoleHeld);
+            executor.offer(this::updateRoleAndPlan);
         });
-        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::planIfRoleHeld);
+        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::updateRoleAndPlan);
         loadQueryTimer = context.timers().every(options.loadQueryIntervalMs(), executor, this::collectLoads);
     }
 
@@ -156,7 +159,7 @@
         return context.timers().clock().nowMs();
     }
 
-    private void planIfRoleHeld() {
+    private void updateRoleAndPlan() {
         long version = inputVersion.get();
         RoutingSnapshot snapshot = context.view().current();
         role.update(snapshot);
@@ -188,16 +191,16 @@
         }
         RoutingSnapshot snapshot = context.view().current();
         serviceStates.forEach((service, state) -> {
-            TablePlanner.View view = serviceView(snapshot, state, state.table());
-            double imbalance = TablePlanner.imbalance(view);
+            TablePlanner.Input input = planningInput(snapshot, state, state.table());
+            double imbalance = TablePlanner.imbalance(input);
             state.updateImbalance(imbalance, nowMs());
             meters.setTable(service, state.table(), imbalance);
-            meters.recordUnserved(service, state.table(), view.reports(), options.loadQueryIntervalMs() / 1_000.0);
+            meters.recordUnserved(service, state.table(), input.reports(), options.loadQueryIntervalMs() / 1_000.0);
         });
         loadCollector.query(snapshot);
         context.timers().once(options.loadQueryIntervalMs() / LOAD_REPORT_WAIT_DIVISOR, executor, () -> {
             inputVersion.incrementAndGet();
-            planIfRoleHeld();
+            updateRoleAndPlan();
         });
         memberLookup.clearFoundMembers();
         memberCleaner.deleteExpired(snapshot, nowMs());
@@ -207,11 +210,11 @@
         ServicePlanningState state = serviceStates.computeIfAbsent(
                 service, s -> new ServicePlanningState(s, IMBALANCE_TARGET_PERCENT, nowMs()));
         snapshot.table(service).ifPresent(state::updateTable);
-        state.updateCandidates(TablePlanner.candidates(serviceView(snapshot, state, state.table())), nowMs());
+        state.updateCandidates(TablePlanner.candidates(planningInput(snapshot, state, state.table())), nowMs());
         if (!state.shouldDecide(version, nowMs()) || !memberLookup.resolveMissing(snapshot, state.table())) {
             return;
         }
-        if (decide(serviceView(snapshot, state, state.table())).isEmpty()) {
+        if (decide(planningInput(snapshot, state, state.table())).isEmpty()) {
             state.recordDecided(version);
             return;
         }
@@ -256,7 +259,7 @@
                             "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
                             service, decision.table().generation()));
         }
-        planIfRoleHeld();
+        updateRoleAndPlan();
     }
 
     /**
@@ -269,15 +272,15 @@
         if (!memberLookup.resolveMissing(snapshot, table)) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        TablePlanner.View view = serviceView(snapshot, state, table);
-        Optional<TablePlanner.Decision> decision = decide(view);
+        TablePlanner.Input input = planningInput(snapshot, state, table);
+        Optional<TablePlanner.Decision> decision = decide(input);
         if (decision.isEmpty()) {
             return CompletableFuture.completedFuture(decision);
         }
         boolean recreatesTable = decision.get().kind() == TablePlanner.Kind.FIRST_TABLE
                 && !table.generation().equals(Generation.NONE);
         if (recreatesTable) {
-            return memberLookup.listMembers().thenApply(members -> decide(withStoredMembers(view, members)));
+            return memberLookup.listMembers().thenApply(members -> decide(withStoredMembers(input, members)));
         }
         if (decision.get().kind() == TablePlanner.Kind.WITHDRAW) {
             return context.store()
@@ -301,28 +304,29 @@
     }
 
     /** Adds the stored members that the snapshot lacks; they may still hold ranges from before the withdrawal. */
-    private static TablePlanner.View withStoredMembers(TablePlanner.View view, List<Member> storedMembers) {
-        Map<MemberId, Member> members = new HashMap<>(view.members());
+    private static TablePlanner.Input withStoredMembers(TablePlanner.Input input, List<Member> storedMembers) {
+        Map<MemberId, Member> members = new HashMap<>(input.members());
         storedMembers.forEach(m -> members.putIfAbsent(m.id(), m));
-        return new TablePlanner.View(
-                view.configuration(),
+        return new TablePlanner.Input(
+                input.configuration(),
                 members,
-                view.removed(),
-                view.table(),
-                view.reports(),
-                view.nowMs(),
-                view.lastChangeMs(),
-                view.imbalancedSinceMs(),
-                view.candidatesSinceMs());
+                input.removed(),
+                input.table(),
+                input.reports(),
+                input.nowMs(),
+                input.lastChangeMs(),
+                input.imbalancedSinceMs(),
+                input.candidatesSinceMs());
     }
 
-    private Optional<TablePlanner.Decision> decide(TablePlanner.View view) {
-        ServiceName service = view.table().service();
+    private Optional<TablePlanner.Decision> decide(TablePlanner.Input input) {
+        ServiceName service = input.table().service();
         try {
-            return new TablePlanner(policyOf(view.configuration(), service), options.firstTableDelayMs()).decide(view);
+            return new TablePlanner(policyOf(input.configuration(), service), options.firstTableDelayMs())
+                    .decide(input);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=policy-failed service=%s", service);
-            return new TablePlanner(fallbackPolicy, options.firstTableDelayMs()).decide(view);
+            return new TablePlanner(fallbackPolicy, options.firstTableDelayMs()).decide(input);
         }
     }
 
@@ -333,7 +337,8 @@
                 .orElse(fallbackPolicy);
     }
 
-    private TablePlanner.View serviceView(RoutingSnapshot snapshot, ServicePlanningState state, AssignmentTable table) {
+    private TablePlanner.Input planningInput(
+            RoutingSnapshot snapshot, ServicePlanningState state, AssignmentTable table) {
         Map<MemberId, Member> members = new HashMap<>(memberLookup.foundMembers());
         Set<MemberId> removed = new HashSet<>(memberLookup.removedMembers());
         snapshot.members().forEach((id, versioned) -> {
@@ -346,7 +351,7 @@
         reports.values().removeIf(r -> !r.service().equals(table.service()));
         boolean allReported = table.assignments().stream()
                 .allMatch(a -> reports.containsKey(a.owner()) || removed.contains(a.owner()));
-        return new TablePlanner.View(
+        return new TablePlanner.Input(
                 snapshot.configuration(),
                 members,
                 removed,
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -320,7 +320,8 @@
         waitingRequests.removeIf(waiting -> {
             OwnershipState state = states.get(waiting.request.service());
             Optional<ReleaseAnswer> answer = state.handleReleaseRequest(waiting.request, nowMs())
-                    .filter(releaseAnswer -> !releaseAnswer.released() || !releaseStaleGrant(waiting.request.range()));
+                    .filter(releaseAnswer ->
+                            !releaseAnswer.released() || !releaseEarlierGrant(waiting.request.range()));
             answer.ifPresent(waiting.answer::complete);
             return answer.isPresent();
         });
@@ -331,7 +332,7 @@
      *
      * @return whether there may be such a grant; its release is then still running
      */
-    private boolean releaseStaleGrant(KeyRange range) {
+    private boolean releaseEarlierGrant(KeyRange range) {
         if (!gate.mayHoldEarlierGrant(range)) {
             return false;
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/HeldRange.java
@@ -7,9 +7,9 @@
 /**
  * A range that the gate is acquiring, serving or releasing. Immutable.
  *
- * @param fence generation of the table under which the range is served
+ * @param fence fencing token of the range: the generation of the table that assigned it
  * @param transferred outcome records for the next attempt to acquire the range; empty once the range is served
- * @param served whether the gate has served the range under this fence
+ * @param served whether the gate has served the range under this fencing token
  * @param callPending whether a call to the gate is running
  * @param retryAtMs monotonic time before which the gate is not called again after a failure
  */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/LoadCollector.java
@@ -24,7 +24,7 @@
  * Queries the members for load reports and keeps the latest report of each.
  *
  * <p>Not thread safe: confined to the serial executor of the planner, on which answers are processed too. A report is
- * discarded when its member has not answered for {@link #MAX_REPORT_AGE_ROUNDS} rounds.
+ * discarded when its member has not answered for more than {@link #MAX_REPORT_AGE_ROUNDS} rounds.
  */
 public final class LoadCollector {
     /** A report and the round of queries that it answers. */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberCleaner.java
@@ -28,10 +28,10 @@
     /** Checks all members of a snapshot and deletes the records whose retention time has passed. */
     public void deleteExpired(RoutingSnapshot snapshot, long nowMs) {
         unreferencedSinceMs.keySet().removeIf(m -> !snapshot.members().containsKey(m));
-        snapshot.members().forEach((id, versioned) -> check(snapshot, id, versioned, nowMs));
+        snapshot.members().forEach((id, versioned) -> deleteIfExpired(snapshot, id, versioned, nowMs));
     }
 
-    private void check(RoutingSnapshot snapshot, MemberId id, VersionedMember versioned, long nowMs) {
+    private void deleteIfExpired(RoutingSnapshot snapshot, MemberId id, VersionedMember versioned, long nowMs) {
         boolean referenced = snapshot.tables().values().stream().anyMatch(t -> t.references(id));
         if (versioned.member().state() != MemberState.SEALED || referenced) {
             unreferencedSinceMs.remove(id);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -70,10 +70,10 @@
         return table.weights().keySet().stream()
                 .filter(m -> !m.equals(source) && mayMove.test(m))
                 .min(Comparator.comparingDouble(table::loadRatio))
-                .flatMap(target -> new MoveSearch(table, source, target, parameters).best());
+                .flatMap(target -> new MoveSearch(table, source, target, parameters).findBest());
     }
 
-    private Optional<Move> best() {
+    private Optional<Move> findBest() {
         for (int i = 0; i < table.entries().size(); i++) {
             WorkingTable.Entry entry = table.entries().get(i);
             if (entry.owner().equals(source) && entry.stable()) {
@@ -89,38 +89,38 @@
         if (!maySplit || KeyRanges.isSingleHash(entry.range())) {
             return;
         }
-        for (HotHash hot : entry.load().hotHashes()) {
-            List<KeyRange> parts = KeyRanges.splitAround(entry.range(), hot.hash());
-            int moved = entry.range().first().equals(hot.hash()) ? 0 : 1;
-            addIfWorthwhile(index, parts, moved, hot.requestsPerSecond(), true);
+        for (HotHash hotHash : entry.load().hotHashes()) {
+            List<KeyRange> parts = KeyRanges.splitAround(entry.range(), hotHash.hash());
+            int hotPartIndex = entry.range().first().equals(hotHash.hash()) ? 0 : 1;
+            addIfWorthwhile(index, parts, hotPartIndex, hotHash.requestsPerSecond(), true);
         }
         double evenLoad = entry.load().evenPerSecond();
         double spare = table.load(source) - parameters.lowWatermark() * table.fairLoad(source);
         double wanted = Math.min(spare, table.fairLoad(target) - table.load(target));
         if (wanted > 0 && evenLoad > 0) {
             List<KeyRange> parts = KeyRanges.splitAt(entry.range(), Math.min(wanted / evenLoad, MAX_SPLIT_FRACTION));
-            for (int part = 0; part < parts.size(); part++) {
+            for (int partIndex = 0; partIndex < parts.size(); partIndex++) {
                 addIfWorthwhile(
                         index,
                         parts,
-                        part,
-                        entry.load().partOf(entry.range(), parts.get(part)).perSecond(),
+                        partIndex,
+                        entry.load().partOf(entry.range(), parts.get(partIndex)).perSecond(),
                         false);
             }
         }
     }
 
     /** Adds a move if it reduces the higher load ratio of source and target by at least the required gain. */
-    private void addIfWorthwhile(int index, List<KeyRange> parts, int moved, double load, boolean hot) {
+    private void addIfWorthwhile(int index, List<KeyRange> parts, int movedPartIndex, double load, boolean isHotHash) {
         double before = Math.max(table.loadRatio(source), table.loadRatio(target));
         double after = Math.max(
                 table.loadRatio(source, table.load(source) - load), table.loadRatio(target, table.load(target) + load));
         double gain = before - after;
         double cost = parameters.moveCost()
-                + parameters.shareCost() * parts.get(moved).share() / table.fairShare(source);
+                + parameters.shareCost() * parts.get(movedPartIndex).share() / table.fairShare(source);
         double excess = table.loadRatio(source) - parameters.lowWatermark();
         if (gain >= Math.max(MIN_GAIN, excess * parameters.minGainFraction())) {
-            candidates.add(new Move(index, parts, moved, target, gain - cost, hot));
+            candidates.add(new Move(index, parts, movedPartIndex, target, gain - cost, isHotHash));
         }
     }
 
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -35,7 +35,7 @@
  *   <li>A release request is answered as released only if no held range overlaps the requested range. If the table is
  *       at least as new as the request, it must also not assign any part of the requested range to this daemon.
  *   <li>If a newer table assigns a served hash to this daemon again and names no previous owners, the daemon goes on
- *       serving the hash under its old fence, because no other member can have served it in between.
+ *       serving the hash under its old fencing token, because no other member can have served it in between.
  * </ul>
  */
 public final class OwnershipState {
@@ -322,7 +322,9 @@
         updateHeldRanges(action.range(), h -> h.withRetryAt(nowMs + maxRetryDelayMs));
     }
 
-    /** The generation up to which a release counts: that of the newest overlapping barrier, or of the table. */
+    /**
+     * The generation stored with released records: that of the newest overlapping barrier, or else that of the table.
+     */
     private Generation releaseGeneration(KeyRange range) {
         return barriers.stream()
                 .filter(b -> b.range.overlaps(range))
@@ -369,10 +371,10 @@
             return parts;
         }
         for (DeferredRelease part : deferredReleases) {
-            KeyRanges.intersect(part.range, heldRange.range()).ifPresent(common -> {
+            KeyRanges.intersect(part.range, heldRange.range()).ifPresent(intersection -> {
                 List<KeyRange> excluded = new ArrayList<>(parts);
-                excluded.addAll(barriersIn(common));
-                parts.addAll(KeyRanges.subtract(common, excluded));
+                excluded.addAll(barriersIn(intersection));
+                parts.addAll(KeyRanges.subtract(intersection, excluded));
             });
         }
         parts.sort(null);
@@ -397,7 +399,8 @@
                             && assignment.previousOwners().isEmpty());
             if (mayServe) {
                 KeyRanges.intersect(assignment.range(), heldRange.range())
-                        .ifPresent(common -> parts.addAll(KeyRanges.subtract(common, barriersIn(common))));
+                        .ifPresent(intersection ->
+                                parts.addAll(KeyRanges.subtract(intersection, barriersIn(intersection))));
             }
         }
         return parts;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -108,7 +108,7 @@
     }
 
     /** Reports the planner object that was read; empty if it does not exist. */
-    public void readDone(Optional<PlannerRecord> storedRecord, Revision storedRevision, long nowMs) {
+    public void readCompleted(Optional<PlannerRecord> storedRecord, Revision storedRevision, long nowMs) {
         callPending = false;
         readAttempted = true;
         lastReadAtMs = nowMs;
@@ -128,7 +128,7 @@
      * Reports a failed read. The next read waits for the usual interval, so that a store outage does not cause more
      * reads.
      */
-    public void callFailed(long nowMs) {
+    public void readFailed(long nowMs) {
         callPending = false;
         readAttempted = true;
         lastReadAtMs = nowMs;
@@ -153,7 +153,7 @@
     }
 
     /** Reports that a record was written, and the new revision of the planner object. */
-    public void writeDone(PlannerRecord written, Revision newRevision) {
+    public void writeCompleted(PlannerRecord written, Revision newRevision) {
         callPending = false;
         holdsRole = true;
         record = Optional.of(written);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -86,19 +86,19 @@
         store.get(ObjectNames.PLANNER)
                 .whenComplete((found, failure) -> enqueue.accept(() -> {
                     if (failure != null) {
-                        election.callFailed(clock.nowMs());
+                        election.readFailed(clock.nowMs());
                     } else {
-                        readDone(found);
+                        readCompleted(found);
                     }
                 }));
     }
 
-    private void readDone(Optional<StoredObject> found) {
+    private void readCompleted(Optional<StoredObject> found) {
         try {
             Optional<PlannerRecord> record = found.map(o -> JsonCodec.decode(o.value(), PlannerRecord.class));
-            election.readDone(record, found.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
+            election.readCompleted(record, found.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
         } catch (CrankException e) {
-            election.callFailed(clock.nowMs());
+            election.readFailed(clock.nowMs());
             throw e;
         }
     }
@@ -108,7 +108,7 @@
         store.put(ObjectNames.PLANNER, JsonCodec.encode(record), election.revision())
                 .whenComplete((revision, failure) -> enqueue.accept(() -> {
                     if (failure == null) {
-                        election.writeDone(record, revision);
+                        election.writeCompleted(record, revision);
                     } else {
                         read();
                     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PolicyPlugin.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PolicyPlugin.java
@@ -4,7 +4,7 @@
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
 
-/** Registers the placement policies. Stateless. */
+/** Registers the placement policies under their names in the configuration. Stateless. */
 public final class PolicyPlugin implements Plugin {
     @Override
     public void register(PluginRegistry registry) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RangeLoads.java
@@ -62,14 +62,15 @@
      * owners, the reports of all members are used.
      */
     static List<Load> loadsOf(AssignmentTable table, Map<MemberId, List<RangeLoad>> reports) {
-        List<RangeLoad> all = reports.values().stream().flatMap(List::stream).toList();
+        List<RangeLoad> allReported =
+                reports.values().stream().flatMap(List::stream).toList();
         List<Load> loads = new ArrayList<>(table.assignments().size());
         for (RangeAssignment assignment : table.assignments()) {
-            Load own = loadOf(assignment.range(), reports.getOrDefault(assignment.owner(), List.of()));
+            Load ownerLoad = loadOf(assignment.range(), reports.getOrDefault(assignment.owner(), List.of()));
             loads.add(
-                    own.perSecond() > 0 || assignment.previousOwners().isEmpty()
-                            ? own
-                            : loadOf(assignment.range(), all));
+                    ownerLoad.perSecond() > 0 || assignment.previousOwners().isEmpty()
+                            ? ownerLoad
+                            : loadOf(assignment.range(), allReported));
         }
         return loads;
     }
@@ -78,9 +79,9 @@
     private static Load loadOf(KeyRange range, List<RangeLoad> reported) {
         Load sum = Load.NONE;
         for (RangeLoad load : reported) {
-            KeyRange common = KeyRanges.intersect(load.range(), range).orElse(null);
-            if (common != null) {
-                sum = sum.plus(toLoad(load).partOf(load.range(), common));
+            KeyRange intersection = KeyRanges.intersect(load.range(), range).orElse(null);
+            if (intersection != null) {
+                sum = sum.plus(toLoad(load).partOf(load.range(), intersection));
             }
         }
         return sum;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalancePolicy.java
@@ -73,7 +73,10 @@
         return table.share(member) / table.fairShare(member);
     }
 
-    /** Moves load from overloaded servers until none is above the low watermark or the bounds are reached. */
+    /**
+     * If a server is above the high watermark, moves load from the most loaded servers until none is above the low
+     * watermark or the bounds on moves are reached.
+     */
     private void rebalance(WorkingTable table, Map<MemberId, Integer> moves) {
         double highestRatio = table.weights().keySet().stream()
                 .mapToDouble(table::loadRatio)
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -66,22 +66,22 @@
         List<Handover> handovers = new ArrayList<>();
         Deque<Entry> updated = new ArrayDeque<>();
         for (Entry entry : entries) {
-            KeyRange common = KeyRanges.intersect(entry.range, range).orElse(null);
-            if (common == null) {
+            KeyRange intersection = KeyRanges.intersect(entry.range, range).orElse(null);
+            if (intersection == null) {
                 updated.addLast(entry);
                 continue;
             }
             long retainedForMs = nowMs - entry.releasedAtMs;
-            addRecords(entry, common, retainedForMs, records);
+            addRecords(entry, intersection, retainedForMs, records);
             entry.records.handovers().stream()
-                    .filter(h -> h.range().overlaps(common))
+                    .filter(h -> h.range().overlaps(intersection))
                     .forEach(handovers::add);
             if (entry.recipient == null || entry.recipient.equals(recipient)) {
                 long ageMs = addSaturated(entry.records.completeForMs(), retainedForMs);
                 completeForMs = completeForMs < 0 ? ageMs : Math.min(completeForMs, ageMs);
-                KeyRanges.subtract(entry.range, List.of(common))
+                KeyRanges.subtract(entry.range, List.of(intersection))
                         .forEach(rest -> updated.addLast(entry.withRange(rest, entry.recipient)));
-                updated.addLast(entry.withRange(common, recipient));
+                updated.addLast(entry.withRange(intersection, recipient));
             } else {
                 updated.addLast(entry);
             }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -66,8 +66,12 @@
             return initialLayout(weights);
         }
         List<Stripe> stripes = new ArrayList<>();
-        for (RangeAssignment a : input.table().assignments()) {
-            stripes.add(new Stripe(a.range(), a.owner(), a.previousOwners().isEmpty(), KEPT));
+        for (RangeAssignment assignment : input.table().assignments()) {
+            stripes.add(new Stripe(
+                    assignment.range(),
+                    assignment.owner(),
+                    assignment.previousOwners().isEmpty(),
+                    KEPT));
         }
         reassignOrphans(stripes, weights);
         fillUnderloaded(stripes, weights);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -20,9 +20,10 @@
 /**
  * Builds the next table from the current table and the wanted owners. Stateless and thread safe.
  *
- * <p>A hash whose owner does not change keeps its fence, or gets the fence of an adjacent range that its range is
- * merged with. Both fences are generations that assigned the hash to that owner. A hash whose owner changes gets the
- * new generation as its fence, and its old owner is added to the previous owners unless it is removed.
+ * <p>A hash whose owner does not change keeps its fencing token, or gets that of an adjacent range that its range is
+ * merged with. Both tokens are generations of tables that assigned the hash to that owner. A hash whose owner changes
+ * gets the new generation as its fencing token, and its old owner is added to the previous owners unless the record of
+ * the old owner is sealed or missing.
  */
 public final class TableBuilder {
     /**
@@ -46,7 +47,7 @@
 
     /**
      * Removes previous owners whose record is sealed or missing, and all previous owners of a range that its owner
-     * reports as served under its fence.
+     * reports as served under its fencing token.
      */
     public static List<RangeAssignment> clearPreviousOwners(
             AssignmentTable table, Predicate<MemberId> isRemoved, Map<MemberId, LoadReport> reports) {
@@ -129,19 +130,20 @@
             if (old.range().first().compareTo(wantedRange.range().last()) > 0) {
                 break;
             }
-            KeyRange common =
+            KeyRange intersection =
                     KeyRanges.intersect(old.range(), wantedRange.range()).orElseThrow();
-            covered.add(common);
+            covered.add(intersection);
             if (old.owner().equals(wantedRange.owner())) {
-                segments.add(
-                        new Segment(new RangeAssignment(common, old.owner(), old.fence(), old.previousOwners()), true));
+                segments.add(new Segment(
+                        new RangeAssignment(intersection, old.owner(), old.fence(), old.previousOwners()), true));
                 continue;
             }
             Set<MemberId> previous = new LinkedHashSet<>();
             previous.add(old.owner());
             previous.addAll(old.previousOwners());
-            segments.add(reassigned(common, wantedRange.owner(), next, previous, isRemoved));
-            changes.add(new Change(common, Optional.of(old.owner()), wantedRange.owner(), next, wantedRange.reason()));
+            segments.add(reassigned(intersection, wantedRange.owner(), next, previous, isRemoved));
+            changes.add(new Change(
+                    intersection, Optional.of(old.owner()), wantedRange.owner(), next, wantedRange.reason()));
         }
         for (KeyRange gap : KeyRanges.subtract(wantedRange.range(), covered)) {
             segments.add(reassigned(gap, wantedRange.owner(), next, potentialHolders, isRemoved));
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableCompaction.java
@@ -7,7 +7,10 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.table.KeyRanges;
 
-/** Bounds the number of ranges of a table. All bounds are averages per candidate. Stateless and thread safe. */
+/**
+ * Bounds the number of ranges of a table. Bounds per member are averages over the candidates. Stateless and thread
+ * safe.
+ */
 final class TableCompaction {
     static final int MAX_RANGES_PER_MEMBER = 16;
     private static final int MERGE_ABOVE_PER_MEMBER = 10;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TablePlanner.java
@@ -45,7 +45,7 @@
      *     if it is not above it
      * @param candidatesSinceMs time since which the candidates have been the same
      */
-    public record View(
+    public record Input(
             Configuration configuration,
             Map<MemberId, Member> members,
             Set<MemberId> removed,
@@ -55,7 +55,7 @@
             long lastChangeMs,
             long imbalancedSinceMs,
             long candidatesSinceMs) {
-        public View {
+        public Input {
             members = Map.copyOf(members);
             removed = Set.copyOf(removed);
             reports = Map.copyOf(reports);
@@ -96,14 +96,14 @@
     }
 
     /** The members that ranges of the service may be assigned to, sorted by id. */
-    public static List<Member> candidates(View view) {
-        return view.members().values().stream()
+    public static List<Member> candidates(Input input) {
+        return input.members().values().stream()
                 .filter(member ->
-                        member.state() == MemberState.ACTIVE && !view.removed().contains(member.id()))
-                .filter(member -> serves(member, view.table())
-                        && !view.configuration()
+                        member.state() == MemberState.ACTIVE && !input.removed().contains(member.id()))
+                .filter(member -> serves(member, input.table())
+                        && !input.configuration()
                                 .isDraining(member.backend().orElseThrow().name())
-                        && ServerWeights.of(view.configuration(), member) > 0)
+                        && ServerWeights.of(input.configuration(), member) > 0)
                 .sorted((a, b) -> a.id().compareTo(b.id()))
                 .toList();
     }
@@ -115,34 +115,34 @@
     }
 
     /** Decides on the next table; empty if the current table needs no change. */
-    public Optional<Decision> decide(View view) {
-        AssignmentTable table = view.table();
+    public Optional<Decision> decide(Input input) {
+        AssignmentTable table = input.table();
         Optional<ServiceConfig> serviceConfig =
-                view.configuration().service(table.service()).filter(ServiceConfig::keyed);
+                input.configuration().service(table.service()).filter(ServiceConfig::keyed);
         if (serviceConfig.isEmpty()) {
             return table.assignments().isEmpty() ? Optional.empty() : Optional.of(withdraw(table));
         }
-        List<Member> candidates = candidates(view);
+        List<Member> candidates = candidates(input);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        if (table.assignments().isEmpty() && view.nowMs() - view.candidatesSinceMs() < firstTableDelayMs) {
+        if (table.assignments().isEmpty() && input.nowMs() - input.candidatesSinceMs() < firstTableDelayMs) {
             return Optional.empty();
         }
         List<RangeAssignment> current =
-                TableBuilder.clearPreviousOwners(table, view.removed()::contains, view.reports());
+                TableBuilder.clearPreviousOwners(table, input.removed()::contains, input.reports());
         List<PlacedRange> wanted = validated(
                 RangeAlignment.align(
-                        policy.place(policyInput(view, candidates, current)),
+                        policy.place(policyInput(input, candidates, current)),
                         serviceConfig.get().keySpaceBits()),
                 candidates);
         boolean ownerLost = table.assignments().stream()
-                .anyMatch(assignment -> view.removed().contains(assignment.owner()));
+                .anyMatch(assignment -> input.removed().contains(assignment.owner()));
         if (ownerLost) {
-            return decisionIfChanged(view, Kind.TAKEOVER, current, takeoverRanges(view, current, wanted));
+            return decisionIfChanged(input, Kind.TAKEOVER, current, takeoverRanges(input, current, wanted));
         }
         Kind kind = table.assignments().isEmpty() ? Kind.FIRST_TABLE : Kind.POLICY;
-        return decisionIfChanged(view, kind, current, wanted);
+        return decisionIfChanged(input, kind, current, wanted);
     }
 
     private static Decision withdraw(AssignmentTable table) {
@@ -150,17 +150,17 @@
         return new Decision(Kind.WITHDRAW, new AssignmentTable(table.service(), next, List.of()), List.of());
     }
 
-    private static PlacementInput policyInput(View view, List<Member> candidates, List<RangeAssignment> current) {
+    private static PlacementInput policyInput(Input input, List<Member> candidates, List<RangeAssignment> current) {
         Map<MemberId, List<RangeLoad>> loads = new HashMap<>();
-        view.reports().forEach((member, report) -> loads.put(member, report.ranges()));
+        input.reports().forEach((member, report) -> loads.put(member, report.ranges()));
         return new PlacementInput(
-                view.configuration(),
+                input.configuration(),
                 candidates,
-                new AssignmentTable(view.table().service(), view.table().generation(), current),
+                new AssignmentTable(input.table().service(), input.table().generation(), current),
                 loads,
-                view.nowMs(),
-                view.lastChangeMs(),
-                view.imbalancedSinceMs());
+                input.nowMs(),
+                input.lastChangeMs(),
+                input.imbalancedSinceMs());
     }
 
     /** Validates the output of a policy before it is written to the store, because policies are plug-ins. */
@@ -188,43 +188,44 @@
 
     /** Keeps the ranges of other owners, and assigns those of lost owners to their restarted members or as wanted. */
     private static List<PlacedRange> takeoverRanges(
-            View view, List<RangeAssignment> current, List<PlacedRange> wanted) {
+            Input input, List<RangeAssignment> current, List<PlacedRange> wanted) {
         List<PlacedRange> result = new ArrayList<>();
         for (RangeAssignment assignment : current) {
-            if (!view.removed().contains(assignment.owner())) {
+            if (!input.removed().contains(assignment.owner())) {
                 result.add(new PlacedRange(assignment.range(), assignment.owner(), WorkingTable.KEPT));
                 continue;
             }
-            Optional<MemberId> restarted = restartedMember(view, assignment.owner());
+            Optional<MemberId> restarted = restartedMember(input, assignment.owner());
             if (restarted.isPresent()) {
                 result.add(new PlacedRange(assignment.range(), restarted.get(), OWNER_RESTARTED_REASON));
                 continue;
             }
             for (PlacedRange placedRange : wanted) {
-                Optional<KeyRange> common = KeyRanges.intersect(placedRange.range(), assignment.range());
-                common.ifPresent(range -> result.add(new PlacedRange(range, placedRange.owner(), OWNER_LOST_REASON)));
+                Optional<KeyRange> intersection = KeyRanges.intersect(placedRange.range(), assignment.range());
+                intersection.ifPresent(
+                        range -> result.add(new PlacedRange(range, placedRange.owner(), OWNER_LOST_REASON)));
             }
         }
         return result;
     }
 
     /** The candidate that has the peer address of a lost member, so that it runs on the same host. */
-    private static Optional<MemberId> restartedMember(View view, MemberId lost) {
-        Member lostMember = view.members().get(lost);
+    private static Optional<MemberId> restartedMember(Input input, MemberId lost) {
+        Member lostMember = input.members().get(lost);
         if (lostMember == null) {
             return Optional.empty();
         }
-        return candidates(view).stream()
+        return candidates(input).stream()
                 .filter(member -> member.peerAddress().equals(lostMember.peerAddress()))
                 .map(Member::id)
                 .findFirst();
     }
 
     private static Optional<Decision> decisionIfChanged(
-            View view, Kind kind, List<RangeAssignment> current, List<PlacedRange> wanted) {
-        AssignmentTable table = view.table();
+            Input input, Kind kind, List<RangeAssignment> current, List<PlacedRange> wanted) {
+        AssignmentTable table = input.table();
         TableBuilder.Result result =
-                TableBuilder.build(table, current, wanted, view.removed()::contains, potentialHolders(view));
+                TableBuilder.build(table, current, wanted, input.removed()::contains, potentialHolders(input));
         if (result.table().assignments().equals(table.assignments())) {
             return Optional.empty();
         }
@@ -236,17 +237,17 @@
      * Members that may still serve hashes that the table assigns to no member, as after a withdrawal. These are all
      * members of the service that have not reported, for the current table, that they serve no ranges.
      */
-    private static Set<MemberId> potentialHolders(View view) {
+    private static Set<MemberId> potentialHolders(Input input) {
         Set<MemberId> holders = new HashSet<>();
-        if (view.table().generation().equals(Generation.NONE)) {
+        if (input.table().generation().equals(Generation.NONE)) {
             return holders;
         }
-        for (Member member : view.members().values()) {
-            LoadReport report = view.reports().get(member.id());
+        for (Member member : input.members().values()) {
+            LoadReport report = input.reports().get(member.id());
             boolean releasedAll = report != null
                     && report.ranges().isEmpty()
-                    && report.tableGeneration().compareTo(view.table().generation()) >= 0;
-            if (serves(member, view.table()) && !releasedAll) {
+                    && report.tableGeneration().compareTo(input.table().generation()) >= 0;
+            if (serves(member, input.table()) && !releasedAll) {
                 holders.add(member.id());
             }
         }
@@ -254,13 +255,13 @@
     }
 
     /** The load of the most loaded candidate over its fair load; 0 if there is no candidate or no assignment. */
-    public static double imbalance(View view) {
-        List<Member> candidates = candidates(view);
-        if (candidates.isEmpty() || view.table().assignments().isEmpty()) {
+    public static double imbalance(Input input) {
+        List<Member> candidates = candidates(input);
+        if (candidates.isEmpty() || input.table().assignments().isEmpty()) {
             return 0;
         }
         WorkingTable table =
-                new WorkingTable(policyInput(view, candidates, view.table().assignments()));
+                new WorkingTable(policyInput(input, candidates, input.table().assignments()));
         return table.weights().keySet().stream()
                 .mapToDouble(table::loadRatio)
                 .max()
