--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -131,9 +131,9 @@
     }
 
     private Set<MemberId> randomSubset(Set<MemberId> all) {
-        Set<MemberId> known = new HashSet<>(all);
-        known.removeIf(m -> random.nextBoolean());
-        return known;
+        Set<MemberId> subset = new HashSet<>(all);
+        subset.removeIf(m -> random.nextBoolean());
+        return subset;
     }
 
     private MemberId randomDaemon() {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/RangeAlignmentTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/RangeAlignmentTest.java
@@ -12,6 +12,7 @@
 
 /** Guards against range boundaries within the hashes of one key, so that two servers would own parts of the key. */
 class RangeAlignmentTest {
+    private static final int KEY_BITS = 16;
     private static final long HASHES_PER_KEY = 1L << 48;
     private static final MemberId A = new MemberId("a");
     private static final MemberId B = new MemberId("b");
@@ -27,7 +28,7 @@
                         placed(0, 5 * HASHES_PER_KEY + 17, A),
                         placed(5 * HASHES_PER_KEY + 18, 9 * HASHES_PER_KEY - 1, B),
                         placed(9 * HASHES_PER_KEY, -1, A)),
-                16);
+                KEY_BITS);
         assertThat(aligned)
                 .containsExactly(
                         placed(0, 6 * HASHES_PER_KEY - 1, A),
@@ -39,8 +40,8 @@
     @Test
     void singleHashRangeBecomesWholeKey() {
         long hot = 7 * HASHES_PER_KEY;
-        List<PlacedRange> aligned =
-                RangeAlignment.align(List.of(placed(0, hot - 1, A), placed(hot, hot, B), placed(hot + 1, -1, A)), 16);
+        List<PlacedRange> aligned = RangeAlignment.align(
+                List.of(placed(0, hot - 1, A), placed(hot, hot, B), placed(hot + 1, -1, A)), KEY_BITS);
         assertThat(aligned)
                 .containsExactly(
                         placed(0, hot - 1, A),
@@ -55,13 +56,13 @@
                         placed(0, HASHES_PER_KEY + 5, A),
                         placed(HASHES_PER_KEY + 6, HASHES_PER_KEY + 9, B),
                         placed(HASHES_PER_KEY + 10, -1, A)),
-                16);
+                KEY_BITS);
         assertThat(aligned).containsExactly(placed(0, 2 * HASHES_PER_KEY - 1, A), placed(2 * HASHES_PER_KEY, -1, A));
     }
 
     @Test
     void rangeAfterLastBoundaryIsMergedIntoPreviousRange() {
-        List<PlacedRange> aligned = RangeAlignment.align(List.of(placed(0, -100, A), placed(-99, -1, B)), 16);
+        List<PlacedRange> aligned = RangeAlignment.align(List.of(placed(0, -100, A), placed(-99, -1, B)), KEY_BITS);
         assertThat(aligned).containsExactly(new PlacedRange(KeyRange.ALL, A, "test"));
         assertThat(KeyRanges.isSingleHash(aligned.get(0).range())).isFalse();
     }
