--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipModel.java
@@ -131,9 +131,9 @@
     }
 
     private Set<MemberId> randomSubset(Set<MemberId> all) {
-        Set<MemberId> known = new HashSet<>(all);
-        known.removeIf(m -> random.nextBoolean());
-        return known;
+        Set<MemberId> subset = new HashSet<>(all);
+        subset.removeIf(m -> random.nextBoolean());
+        return subset;
     }
 
     private MemberId randomDaemon() {
@@ -169,9 +169,9 @@
      * table.
      */
     private void planOnce(AssignmentTable knownTable, Set<MemberId> removed) {
-        TablePlanner.View view =
-                new TablePlanner.View(configuration, members, removed, knownTable, reports, nowMs, 0, nowMs, 0);
-        Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(view);
+        TablePlanner.Input planningInput =
+                new TablePlanner.Input(configuration, members, removed, knownTable, reports, nowMs, 0, nowMs, 0);
+        Optional<TablePlanner.Decision> decision = new TablePlanner(this::randomPlacement, 0).decide(planningInput);
         if (decision.isPresent() && knownTable.generation().equals(newestTable().generation())) {
             OwnershipChecks.assertValidTransition(newestTable(), decision.get(), removed);
             tables.add(decision.get().table());
