--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
@@ -14,11 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdmissionTest {
-    /** Guards against a wrong code or order of checks. */
+    /** Guards against a wrong result code and a wrong order of the checks. */
     @ParameterizedTest
     @CsvSource({
-        // lease, range, draining, attached, grants fail, record lost, remaining, share, queued, running, wait, code,
-        // service, objective, overloaded
+        // lease valid, range status, draining, backend attached, grant unavailable, record lost, remaining ms,
+        // key share exceeded, queued, occupied slots, expected wait ms, result code, service ms, objective ms,
+        // overloaded
         "true,  SERVED,     false, true,  false, false, 100, false, 0,  0, 0,   , 0, 1000, false",
         "false, NOT_SERVED, true,  false, true,  true,  0,   true,  10, 4, 500, LEASE_LAPSED, 0, 1000, false",
         "true,  NOT_SERVED, true,  false, true,  true,  0,   true,  10, 4, 500, NOT_OWNER, 0, 1000, false",
@@ -64,9 +65,9 @@
                 .isEqualTo(code);
     }
 
-    /** Guards against a limit above the slots or below 1, and against one that stays low after an overload. */
+    /** Guards against a limit above the number of slots or below 1, and one that stays low after an overload. */
     @Test
-    void overloadHalvesTheLimitForAMoment() {
+    void overloadHalvesTheLimitTemporarily() {
         ConcurrencyLimit limit = new ConcurrencyLimit(12, 0, 1_000, 0);
         assertThat(limit.limit(0)).isEqualTo(12);
         limit.onOverload(0);
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/FakeBackend.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/FakeBackend.java
@@ -19,26 +19,26 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.time.MonotonicClock;
 
-/** A backend server in virtual time whose calls end when the test says so. Not thread safe. */
+/** A backend server in virtual time; the test decides when and how its calls end. Not thread safe. */
 final class FakeBackend implements BackendServer {
-    /** A call and whether the server is at work on it, which may outlast its future. */
+    /** A call, and whether the server still executes it, which may be longer than until its future completes. */
     static final class Call {
-        final BackendCall request;
+        final BackendCall backendCall;
         final CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
-        boolean working = true;
+        boolean executing = true;
 
-        Call(BackendCall request) {
-            this.request = request;
+        Call(BackendCall backendCall) {
+            this.backendCall = backendCall;
         }
 
         void succeed() {
-            working = false;
+            executing = false;
             answer.complete(
-                    CallerAnswer.executed(200, List.of(), request.request().body()));
+                    CallerAnswer.executed(200, List.of(), backendCall.request().body()));
         }
 
         void fail(ResultCode code) {
-            working = code.outcome() != Outcome.NOT_RUN && working;
+            executing = code.outcome() != Outcome.NOT_RUN && executing;
             answer.completeExceptionally(new CrankException(code, "fake failure"));
         }
     }
@@ -47,11 +47,11 @@
     final List<Call> calls = new ArrayList<>();
     final List<Grant> grants = new ArrayList<>();
     private final Map<Grant, CompletableFuture<Long>> unansweredGrants = new LinkedHashMap<>();
-    final Set<RequestId> cancelled = new LinkedHashSet<>();
+    final Set<RequestId> cancelledIds = new LinkedHashSet<>();
     Consumer<Call> onCall = call -> {};
     boolean answersGrants = true;
     ResultCode grantFailure;
-    long sequence;
+    long acknowledgedSequence;
     long lastGrantAtNanos;
     boolean drained;
 
@@ -60,8 +60,8 @@
     }
 
     @Override
-    public CompletableFuture<CallerAnswer> execute(BackendCall request) {
-        Call call = new Call(request);
+    public CompletableFuture<CallerAnswer> execute(BackendCall backendCall) {
+        Call call = new Call(backendCall);
         calls.add(call);
         onCall.accept(call);
         return call.answer;
@@ -69,7 +69,7 @@
 
     @Override
     public void cancel(RequestId requestId) {
-        cancelled.add(requestId);
+        cancelledIds.add(requestId);
     }
 
     @Override
@@ -84,12 +84,12 @@
             unansweredGrants.put(grant, unanswered);
             return unanswered;
         }
-        sequence = Math.max(sequence, grant.sequence());
-        return CompletableFuture.completedFuture(sequence);
+        acknowledgedSequence = Math.max(acknowledgedSequence, grant.sequence());
+        return CompletableFuture.completedFuture(acknowledgedSequence);
     }
 
-    /** Answers the first grant that got no answer. */
-    void acknowledgeOldest() {
+    /** Acknowledges the oldest grant that has not been answered. */
+    void acknowledgeOldestGrant() {
         Map.Entry<Grant, CompletableFuture<Long>> oldest =
                 unansweredGrants.entrySet().iterator().next();
         unansweredGrants.remove(oldest.getKey());
@@ -100,7 +100,7 @@
         return grants.get(grants.size() - 1);
     }
 
-    List<Call> open() {
+    List<Call> openCalls() {
         return calls.stream().filter(c -> !c.answer.isDone()).toList();
     }
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateFixture.java
@@ -47,19 +47,19 @@
 final class GateFixture implements RoutingView {
     static final ServiceName SERVICE = new ServiceName("counter-desk");
     static final MemberId SELF = new MemberId("m1");
-    static final Set<Capability> ALL = EnumSet.allOf(Capability.class);
-    static final KeyRange LOW = new KeyRange(KeyHash.MIN, new KeyHash(Long.MAX_VALUE));
-    static final KeyRange HIGH = new KeyRange(new KeyHash(Long.MIN_VALUE), KeyHash.MAX);
+    static final Set<Capability> ALL_CAPABILITIES = EnumSet.allOf(Capability.class);
+    static final KeyRange LOWER_HALF = new KeyRange(KeyHash.MIN, new KeyHash(Long.MAX_VALUE));
+    static final KeyRange UPPER_HALF = new KeyRange(new KeyHash(Long.MIN_VALUE), KeyHash.MAX);
 
-    final ManualTimers timers = new ManualTimers();
+    final VirtualTimers timers = new VirtualTimers();
     final FakeBackend backend = new FakeBackend(timers.clock());
     final SimpleMeterRegistry meters = new SimpleMeterRegistry();
     final GateCore core;
-    long leaseUntilNanos;
+    long leaseEndNanos;
     boolean leaseRenewed = true;
-    ServiceConfig rules = ServiceConfig.withDefaults(SERVICE, true);
+    ServiceConfig serviceConfig = ServiceConfig.withDefaults(SERVICE, true);
     List<BackendRule> backendRules = List.of();
-    Map<ServiceName, AssignmentTable> tables = Map.of();
+    Map<ServiceName, AssignmentTable> assignmentTables = Map.of();
     private int nextId;
 
     GateFixture() {
@@ -67,61 +67,61 @@
     }
 
     GateFixture(GateOptions options) {
-        GateDependencies inputs = new GateDependencies(
-                SERVICE, this, this::leaseUntil, timers, new DecisionLog(0, timers.clock()), meters);
-        core = new GateCore(new GateContext(inputs, options, timers, new GateMetrics(meters), () -> false));
+        GateDependencies dependencies = new GateDependencies(
+                SERVICE, this, this::leaseValidUntilNanos, timers, new DecisionLog(0, timers.clock()), meters);
+        core = new GateCore(new GateContext(dependencies, options, timers, new GateMetrics(meters), () -> false));
         timers.every(options.busyTickMs(), timers, core::tick);
     }
 
-    private long leaseUntil() {
-        return leaseRenewed ? now() + TimeUnit.SECONDS.toNanos(2) : leaseUntilNanos;
+    private long leaseValidUntilNanos() {
+        return leaseRenewed ? nowNanos() + TimeUnit.SECONDS.toNanos(2) : leaseEndNanos;
     }
 
-    long now() {
+    long nowNanos() {
         return timers.clock().nowNanos();
     }
 
-    void lapseLease() {
+    void expireLease() {
         leaseRenewed = false;
-        leaseUntilNanos = now() - 1;
+        leaseEndNanos = nowNanos() - 1;
     }
 
-    /** Stops renewals; what is left of the lease runs out. */
-    void stopLeaseIn(long ms) {
+    /** Stops the renewal of the lease, which then expires after the given time. */
+    void stopLeaseRenewal(long remainingMs) {
         leaseRenewed = false;
-        leaseUntilNanos = now() + TimeUnit.MILLISECONDS.toNanos(ms);
+        leaseEndNanos = nowNanos() + TimeUnit.MILLISECONDS.toNanos(remainingMs);
     }
 
     void attach(int slots, Set<Capability> capabilities) {
         core.attach(
                 new BackendInfo("desk-1", SERVICE, HostAddress.parse("127.0.0.1:9000"), slots, 110, capabilities),
                 backend);
-        timers.settle();
+        timers.runQueuedTasks();
     }
 
-    /** Attaches a server with all capabilities and serves the whole hash space, with no record missing. */
-    GateFixture serving(int slots) {
-        attach(slots, ALL);
+    /** Attaches a server with all capabilities and serves the whole hash space with complete outcome records. */
+    GateFixture startServing(int slots) {
+        attach(slots, ALL_CAPABILITIES);
         acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
         return this;
     }
 
-    CompletableFuture<Void> acquire(KeyRange range, long fence, TransferredRecords inherited) {
-        CompletableFuture<Void> result = core.acquire(range, new Generation(fence), inherited);
-        timers.settle();
+    CompletableFuture<Void> acquire(KeyRange range, long fence, TransferredRecords transferred) {
+        CompletableFuture<Void> result = core.acquire(range, new Generation(fence), transferred);
+        timers.runQueuedTasks();
         return result;
     }
 
     CompletableFuture<TransferredRecords> release(KeyRange range) {
         CompletableFuture<TransferredRecords> result = core.release(range);
-        timers.settle();
+        timers.runQueuedTasks();
         return result;
     }
 
     CompletableFuture<CallerAnswer> submit(CallerRequest request) {
         CompletableFuture<CallerAnswer> result = new CompletableFuture<>();
-        core.submit(request, now(), result);
-        timers.settle();
+        core.submit(request, nowNanos(), result);
+        timers.runQueuedTasks();
         return result;
     }
 
@@ -131,7 +131,7 @@
                 .state();
     }
 
-    CallerRequest post(String key) {
+    CallerRequest newPost(String key) {
         return request("r" + nextId++, key, "POST", 1_000, null, OptionalLong.empty());
     }
 
@@ -157,8 +157,8 @@
 
     @Override
     public RoutingSnapshot current() {
-        Configuration configuration = new Configuration(List.of(rules), backendRules, List.of());
-        return new RoutingSnapshot(SELF, new Revision(1), configuration, tables, Map.of());
+        Configuration configuration = new Configuration(List.of(serviceConfig), backendRules, List.of());
+        return new RoutingSnapshot(SELF, new Revision(1), configuration, assignmentTables, Map.of());
     }
 
     @Override
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
@@ -27,13 +27,18 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 import org.coriandercrank.kernel.table.KeyRange;
 
-/** Drives a gate through random actions and checks its promises against a record of what the server did. */
+/** Performs random actions on a gate and checks its invariants against the calls that the backend server received. */
 final class GateModel {
     private static final int SLOTS = 3;
-    private static final int IDS = 36;
+    private static final int ID_COUNT = 36;
+
+    /** Index of the first request id with method POST; those before have method GET. */
     private static final int FIRST_POST_ID = 6;
-    private static final int FIRST_SHARED_KEY_ID = 18;
-    private static final int LAST_KIND = 22;
+
+    /** Index of the first request id with an idempotency key, which it shares with others. */
+    private static final int FIRST_KEYED_ID = 18;
+
+    private static final int ADVANCE_TIME_ACTION = 22;
     private static final long DEADLINE_MS = 400;
     private static final ResultCode[] FAILURES = {
         ResultCode.BACKEND_UNAVAILABLE,
@@ -43,71 +48,78 @@
         ResultCode.INTERNAL,
         ResultCode.CALL_TIMEOUT
     };
-    private static final KeyRange[] RANGES = {GateFixture.LOW, GateFixture.HIGH, KeyRange.ALL};
+    private static final KeyRange[] RANGES = {GateFixture.LOWER_HALF, GateFixture.UPPER_HALF, KeyRange.ALL};
 
-    private record Started(Call call, KeyHash hash, long deadlineNanos) {}
+    /** A call that the server received, with the hash of its key. */
+    private record StartedCall(Call call, KeyHash hash, long deadlineNanos) {}
 
-    private record Acquired(KeyRange range, long fence) {}
+    /** A range and the fencing token under which it was acquired. */
+    private record FencedRange(KeyRange range, long fence) {}
 
     private final GateFixture gate;
     private final GateOptions options;
     private final Set<Capability> capabilities;
-    private final List<Started> started = new ArrayList<>();
-    private final Map<RequestId, Integer> unanswered = new HashMap<>();
+    private final List<StartedCall> startedCalls = new ArrayList<>();
+    private final Map<RequestId, Integer> unansweredById = new HashMap<>();
     private final List<CompletableFuture<CallerAnswer>> results = new ArrayList<>();
-    private final List<CompletableFuture<Void>> checks = new ArrayList<>();
+    private final List<CompletableFuture<Void>> pendingChecks = new ArrayList<>();
     private final Map<String, Long> firstAttemptNanos = new HashMap<>();
-    private final Set<RequestId> barred = new HashSet<>();
-    private final List<Acquired> acquired = new ArrayList<>();
-    private final List<Acquired> accepted = new ArrayList<>();
-    private final List<Acquired> released = new ArrayList<>();
-    private long fence = 1;
+    private final Set<RequestId> barredIds = new HashSet<>();
+    private final List<FencedRange> acquiredRanges = new ArrayList<>();
+    private final List<FencedRange> acceptedRanges = new ArrayList<>();
+    private final List<FencedRange> releasedRanges = new ArrayList<>();
+    private long latestFence = 1;
 
     GateModel(Set<Capability> capabilities, GateOptions options) {
         this.capabilities = capabilities;
         this.options = options;
         gate = new GateFixture(options);
-        gate.rules = shortDeadlines(gate.rules);
+        gate.serviceConfig = withShortDeadlines(gate.serviceConfig);
         gate.backend.onCall = this::onCall;
         gate.attach(SLOTS, capabilities);
-        acquire(KeyRange.ALL, fence, TransferredRecords.NEVER_OWNED);
-        assertThat(acquired).isNotEmpty();
+        acquire(KeyRange.ALL, latestFence, TransferredRecords.NEVER_OWNED);
+        assertThat(acquiredRanges).isNotEmpty();
     }
 
-    /** With the default of 30 s the memory of the gate would never reach back far enough for BARRED. */
-    private static ServiceConfig shortDeadlines(ServiceConfig rules) {
+    /** With the default maximum deadline of 30 s the history of the gate would never be complete enough for BARRED. */
+    private static ServiceConfig withShortDeadlines(ServiceConfig config) {
         return new ServiceConfig(
-                rules.name(),
+                config.name(),
                 true,
-                rules.repeatableMethods(),
+                config.repeatableMethods(),
                 (int) DEADLINE_MS,
                 (int) DEADLINE_MS,
-                rules.maxBodyBytes(),
-                rules.maxQueueLength(),
-                rules.maxKeySharePercent(),
-                rules.placementPolicy(),
-                rules.balancingPolicy(),
-                rules.locality(),
-                rules.keySpaceBits());
+                config.maxBodyBytes(),
+                config.maxQueueLength(),
+                config.maxKeySharePercent(),
+                config.placementPolicy(),
+                config.balancingPolicy(),
+                config.locality(),
+                config.keySpaceBits());
     }
 
-    void act(int kind, int pick) {
-        switch (kind) {
-            case 0, 1, 2, 3, 4, 5 -> submit(request(pick % IDS));
-            case 6 -> gate.core.cancel(request(pick % IDS).id());
-            case 7 -> resolve(request(pick % IDS));
-            case 8, 9 -> acquire(RANGES[pick % RANGES.length], ++fence, TransferredRecords.NONE);
-            case 10 -> acquire(RANGES[pick % RANGES.length], Math.max(1, fence - 1), TransferredRecords.NONE);
-            case 11 -> release(RANGES[pick % RANGES.length]);
-            case 12 -> setLease(pick % 3 != 0);
-            case 13, 14, 15 -> pickOpen(pick).forEach(Call::succeed);
-            case 16 -> pickOpen(pick).forEach(c -> c.fail(FAILURES[pick % FAILURES.length]));
-            case 17 -> gate.backend.answersGrants = pick % 3 != 0;
+    /**
+     * Performs an action and runs the checks that are due.
+     *
+     * @param choice selects the request, range, call or time of the action
+     */
+    void perform(int action, int choice) {
+        switch (action) {
+            case 0, 1, 2, 3, 4, 5 -> submit(request(choice % ID_COUNT));
+            case 6 -> gate.core.cancel(request(choice % ID_COUNT).id());
+            case 7 -> resolve(request(choice % ID_COUNT));
+            case 8, 9 -> acquire(RANGES[choice % RANGES.length], ++latestFence, TransferredRecords.NONE);
+            case 10 -> acquire(RANGES[choice % RANGES.length], Math.max(1, latestFence - 1), TransferredRecords.NONE);
+            case 11 -> release(RANGES[choice % RANGES.length]);
+            case 12 -> setLeaseValid(choice % 3 != 0);
+            case 13, 14, 15 -> selectOpenCall(choice).forEach(Call::succeed);
+            case 16 -> selectOpenCall(choice).forEach(c -> c.fail(FAILURES[choice % FAILURES.length]));
+            case 17 -> gate.backend.answersGrants = choice % 3 != 0;
             case 18 -> gate.attach(SLOTS, capabilities);
-            default -> gate.timers.advanceMs(pick % 120);
+            default -> gate.timers.advanceMs(choice % 120);
         }
-        gate.timers.settle();
-        checks.removeIf(check -> {
+        gate.timers.runQueuedTasks();
+        pendingChecks.removeIf(check -> {
             if (check.isDone()) {
                 check.join();
             }
@@ -115,171 +127,184 @@
         });
     }
 
-    private void setLease(boolean valid) {
+    private void setLeaseValid(boolean valid) {
         gate.leaseRenewed = valid;
         if (!valid) {
-            gate.lapseLease();
+            gate.expireLease();
         }
     }
 
-    /** Each submitted request is answered by its deadline, whatever the server does. */
-    void finish() {
+    /** Checks that each submitted request was answered by its deadline, whatever the server did. */
+    void verifyAllAnswered() {
         gate.timers.advanceMs(DEADLINE_MS + 2.0 * options.busyTickMs());
         assertThat(results).allMatch(CompletableFuture::isDone);
-        act(LAST_KIND, 0);
+        perform(ADVANCE_TIME_ACTION, 0);
     }
 
-    int executions() {
-        return started.size();
+    int startedCallCount() {
+        return startedCalls.size();
     }
 
-    private CallerRequest request(int i) {
-        String method = i < FIRST_POST_ID ? "GET" : "POST";
-        String idempotencyKey = i < FIRST_SHARED_KEY_ID ? null : "x" + i % 4;
-        String key = i < FIRST_SHARED_KEY_ID ? "key" + i % 5 : "shared" + i % 4;
+    private CallerRequest request(int index) {
+        String method = index < FIRST_POST_ID ? "GET" : "POST";
+        String idempotencyKey = index < FIRST_KEYED_ID ? null : "x" + index % 4;
+        String key = index < FIRST_KEYED_ID ? "key" + index % 5 : "shared" + index % 4;
         OptionalLong ageMs = OptionalLong.empty();
         if (idempotencyKey != null) {
-            Long first = firstAttemptNanos.get(idempotencyKey);
-            ageMs = OptionalLong.of(first == null ? 0 : Math.max(1, TimeUnit.NANOSECONDS.toMillis(gate.now() - first)));
+            Long firstNanos = firstAttemptNanos.get(idempotencyKey);
+            ageMs = OptionalLong.of(
+                    firstNanos == null ? 0 : Math.max(1, TimeUnit.NANOSECONDS.toMillis(gate.nowNanos() - firstNanos)));
         }
-        return GateFixture.request("id" + i, key, method, DEADLINE_MS, idempotencyKey, ageMs);
+        return GateFixture.request("id" + index, key, method, DEADLINE_MS, idempotencyKey, ageMs);
     }
 
     private void submit(CallerRequest request) {
-        request.idempotencyKey().ifPresent(k -> firstAttemptNanos.putIfAbsent(k.value(), gate.now()));
-        unanswered.merge(request.id(), 1, Integer::sum);
+        request.idempotencyKey().ifPresent(k -> firstAttemptNanos.putIfAbsent(k.value(), gate.nowNanos()));
+        unansweredById.merge(request.id(), 1, Integer::sum);
         CompletableFuture<CallerAnswer> result = new CompletableFuture<>();
-        checks.add(result.thenAccept(answer -> onAnswer(request, answer)));
+        pendingChecks.add(result.thenAccept(answer -> onAnswer(request, answer)));
         results.add(result);
-        gate.core.submit(request, gate.now(), result);
+        gate.core.submit(request, gate.nowNanos(), result);
     }
 
     private void onAnswer(CallerRequest request, CallerAnswer answer) {
-        unanswered.merge(request.id(), -1, Integer::sum);
+        unansweredById.merge(request.id(), -1, Integer::sum);
         if (answer.outcome() == Outcome.NOT_RUN && !request.method().equals("GET")) {
             assertThat(callsOf(request)).as("NOT_RUN for %s", request.id()).allMatch(GateModel::certainlyNotRun);
         }
     }
 
     private void onCall(Call call) {
-        CallerRequest request = call.request.request();
+        CallerRequest request = call.backendCall.request();
         KeyHash hash = request.key().orElseThrow().hash();
-        long callFence = call.request.fence().value();
-        assertThat(gate.leaseRenewed).as("lease at execution").isTrue();
-        assertThat(gate.backend.open()).as("slots").hasSizeLessThanOrEqualTo(SLOTS);
-        assertThat(acquired)
+        long fence = call.backendCall.fence().value();
+        assertThat(gate.leaseRenewed).as("valid lease at execution").isTrue();
+        assertThat(gate.backend.openCalls()).as("slots").hasSizeLessThanOrEqualTo(SLOTS);
+        assertThat(acquiredRanges)
                 .as("acquired range of %s", hash)
-                .anyMatch(a -> a.fence() == callFence && a.range().contains(hash));
-        assertThat(released)
+                .anyMatch(a -> a.fence() == fence && a.range().contains(hash));
+        assertThat(releasedRanges)
                 .as("released range of %s", hash)
-                .noneMatch(r -> r.fence() >= callFence && r.range().contains(hash));
-        assertThat(barred).doesNotContain(request.id());
-        assertThat(openSubmissions(request)).as("open submissions").isPositive();
+                .noneMatch(r -> r.fence() >= fence && r.range().contains(hash));
+        assertThat(barredIds).doesNotContain(request.id());
+        assertThat(unansweredSubmissions(request)).as("unanswered submissions").isPositive();
         if (!request.method().equals("GET")) {
             assertThat(callsOf(request)).as("earlier calls of %s", request.id()).allMatch(GateModel::certainlyNotRun);
         }
         request.idempotencyKey()
-                .ifPresent(key -> assertThat(started)
-                        .filteredOn(s -> s.hash().equals(hash)
-                                && s.call().request.request().idempotencyKey().equals(request.idempotencyKey()))
+                .ifPresent(key -> assertThat(startedCalls)
+                        .filteredOn(started -> started.hash().equals(hash)
+                                && started.call()
+                                        .backendCall
+                                        .request()
+                                        .idempotencyKey()
+                                        .equals(request.idempotencyKey()))
                         .as("earlier calls of key %s", key)
                         .allMatch(GateModel::certainlyNotRun));
-        long deadlineNanos = gate.now() + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
-        started.add(new Started(call, hash, deadlineNanos));
+        long deadlineNanos = gate.nowNanos() + TimeUnit.MILLISECONDS.toNanos(request.remainingMs());
+        startedCalls.add(new StartedCall(call, hash, deadlineNanos));
     }
 
-    /** Unanswered submissions of the request or, if it has an idempotency key, of those that share the key. */
-    private int openSubmissions(CallerRequest request) {
+    /** Number of unanswered submissions of the request or, if it has an idempotency key, of all requests with this key. */
+    private int unansweredSubmissions(CallerRequest request) {
         if (request.idempotencyKey().isEmpty()) {
-            return unanswered.getOrDefault(request.id(), 0);
+            return unansweredById.getOrDefault(request.id(), 0);
         }
-        int open = 0;
-        for (int i = FIRST_SHARED_KEY_ID; i < IDS; i++) {
+        int count = 0;
+        for (int i = FIRST_KEYED_ID; i < ID_COUNT; i++) {
             CallerRequest other = request(i);
-            open += other.idempotencyKey().equals(request.idempotencyKey())
-                    ? unanswered.getOrDefault(other.id(), 0)
+            count += other.idempotencyKey().equals(request.idempotencyKey())
+                    ? unansweredById.getOrDefault(other.id(), 0)
                     : 0;
         }
-        return open;
+        return count;
     }
 
     /**
-     * An outcome query is about a request whose deadline has not passed; the gate need not remember older calls of
+     * An outcome query refers to a request whose deadline has not passed, so the gate need not remember older calls of
      * repeatable requests.
      */
     private void resolve(CallerRequest request) {
         OutcomeAnswer.State state = gate.resolve(request);
         if (state == OutcomeAnswer.State.BARRED) {
-            barred.add(request.id());
+            barredIds.add(request.id());
             boolean repeatable = request.method().equals("GET");
             assertThat(callsOf(request))
                     .as("BARRED for %s", request.id())
-                    .allMatch(s -> certainlyNotRun(s) || (repeatable && gate.now() - s.deadlineNanos() >= 0));
+                    .allMatch(started ->
+                            certainlyNotRun(started) || (repeatable && gate.nowNanos() - started.deadlineNanos() >= 0));
         }
     }
 
-    private void acquire(KeyRange range, long newFence, TransferredRecords inherited) {
-        CompletableFuture<Void> result = gate.core.acquire(range, new Generation(newFence), inherited);
+    private void acquire(KeyRange range, long newFence, TransferredRecords transferred) {
+        CompletableFuture<Void> result = gate.core.acquire(range, new Generation(newFence), transferred);
         if (!result.isCompletedExceptionally()) {
-            accepted.add(new Acquired(range, newFence));
+            acceptedRanges.add(new FencedRange(range, newFence));
         }
-        result.thenAccept(done -> acquired.add(new Acquired(range, newFence)));
-        gate.timers.settle();
+        result.thenAccept(done -> acquiredRanges.add(new FencedRange(range, newFence)));
+        gate.timers.runQueuedTasks();
     }
 
     private void release(KeyRange range) {
-        int startedBefore = started.size();
-        List<Acquired> given = accepted.stream()
+        int startedCountBefore = startedCalls.size();
+        List<FencedRange> fencedRanges = acceptedRanges.stream()
                 .filter(a -> a.range().overlaps(range))
-                .map(a -> new Acquired(overlap(a.range(), range), a.fence()))
+                .map(a -> new FencedRange(smallerOf(a.range(), range), a.fence()))
                 .toList();
-        released.addAll(given);
-        checks.add(gate.release(range).thenAccept(records -> {
-            for (Started s : started.subList(0, startedBefore)) {
-                if (range.contains(s.hash())) {
-                    assertThat(mayStillWork(s))
+        releasedRanges.addAll(fencedRanges);
+        pendingChecks.add(gate.release(range).thenAccept(records -> {
+            for (StartedCall started : startedCalls.subList(0, startedCountBefore)) {
+                if (range.contains(started.hash())) {
+                    assertThat(mayStillExecute(started))
                             .as("call in flight after a release")
                             .isFalse();
                 }
             }
-            assertThat(serverHolds(given)).as("grant after a release").isFalse();
+            assertThat(isGrantedAtServer(fencedRanges))
+                    .as("grant after a release")
+                    .isFalse();
         }));
     }
 
-    private boolean mayStillWork(Started s) {
-        long stopsAfterMs = capabilities.contains(Capability.DEADLINE) ? 0 : options.lostCallLifetimeMs();
-        boolean stopped = gate.now() - s.deadlineNanos() >= TimeUnit.MILLISECONDS.toNanos(stopsAfterMs);
-        boolean stopsItself = s.call().answer.isDone() || capabilities.contains(Capability.DEADLINE);
-        return s.call().working && !(stopped && stopsItself);
+    /** Whether the server may still execute a call, judged by its capabilities. */
+    private boolean mayStillExecute(StartedCall started) {
+        long deadlineOverrunMs = capabilities.contains(Capability.DEADLINE) ? 0 : options.lostCallLifetimeMs();
+        boolean overrunPassed =
+                gate.nowNanos() - started.deadlineNanos() >= TimeUnit.MILLISECONDS.toNanos(deadlineOverrunMs);
+        boolean stopsItself = started.call().answer.isDone() || capabilities.contains(Capability.DEADLINE);
+        return started.call().executing && !(overrunPassed && stopsItself);
     }
 
-    private boolean serverHolds(List<Acquired> given) {
+    /** Whether the last grant at the server is still valid and contains one of some ranges. */
+    private boolean isGrantedAtServer(List<FencedRange> fencedRanges) {
         Grant last = gate.backend.lastGrant();
-        boolean lapsed = capabilities.contains(Capability.VALIDITY)
-                && gate.now() - gate.backend.lastGrantAtNanos >= TimeUnit.MILLISECONDS.toNanos(last.validityMs());
-        return !lapsed
+        boolean expired = capabilities.contains(Capability.VALIDITY)
+                && gate.nowNanos() - gate.backend.lastGrantAtNanos >= TimeUnit.MILLISECONDS.toNanos(last.validityMs());
+        return !expired
                 && last.ranges().stream()
-                        .anyMatch(g -> given.stream()
+                        .anyMatch(g -> fencedRanges.stream()
                                 .anyMatch(r -> r.fence() >= g.fence().value()
                                         && r.range().overlaps(g.range())));
     }
 
-    private static KeyRange overlap(KeyRange a, KeyRange b) {
+    /** Intersection of two ranges of which one contains the other. */
+    private static KeyRange smallerOf(KeyRange a, KeyRange b) {
         return a.contains(b) ? b : a;
     }
 
-    private List<Started> callsOf(CallerRequest request) {
-        return started.stream()
-                .filter(s -> s.call().request.request().id().equals(request.id()))
+    private List<StartedCall> callsOf(CallerRequest request) {
+        return startedCalls.stream()
+                .filter(started -> started.call().backendCall.request().id().equals(request.id()))
                 .toList();
     }
 
-    private List<Call> pickOpen(int pick) {
-        List<Call> open = gate.backend.open();
-        return open.isEmpty() ? List.of() : List.of(open.get(pick % open.size()));
+    private List<Call> selectOpenCall(int choice) {
+        List<Call> open = gate.backend.openCalls();
+        return open.isEmpty() ? List.of() : List.of(open.get(choice % open.size()));
     }
 
-    private static boolean certainlyNotRun(Started s) {
-        return s.call().answer.isCompletedExceptionally() && !s.call().working;
+    /** Whether the server reported that it did not execute a call. */
+    private static boolean certainlyNotRun(StartedCall started) {
+        return started.call().answer.isCompletedExceptionally() && !started.call().executing;
     }
 }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
@@ -14,45 +14,45 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 
 /**
- * Random interleavings of submit, repeat, cancel, resolve, acquire, release, lease lapse and return, and faults of the
- * backend server. Guards against double execution, execution without lease, range or slot, a wrong NOT_RUN, and a
+ * Random interleavings of submit, retry, cancel, resolve, acquire, release, loss and return of the lease, and failures of
+ * the backend server. Guards against double execution, execution without a lease, range or slot, a wrong NOT_RUN, and a
  * release that completes too early. jqwik prints the seed.
  */
 class GatePropertiesTest {
     private static final int TRIES = 3_000;
     private static final GateOptions OPTIONS = GateOptions.DEFAULTS.withSlowStartMs(0);
 
-    record Action(int kind, int pick) {}
+    record Action(int type, int choice) {}
 
     @Property(tries = TRIES, edgeCases = EdgeCasesMode.NONE)
-    void promisesHoldWithACapableServer(@ForAll("actions") List<Action> actions) {
-        run(GateFixture.ALL, OPTIONS, actions);
+    void invariantsHoldWithAllCapabilities(@ForAll("actions") List<Action> actions) {
+        run(GateFixture.ALL_CAPABILITIES, OPTIONS, actions);
     }
 
     @Property(tries = TRIES, edgeCases = EdgeCasesMode.NONE)
-    void promisesHoldWithAServerThatChecksNothing(@ForAll("actions") List<Action> actions) {
+    void invariantsHoldWithoutCapabilities(@ForAll("actions") List<Action> actions) {
         run(Set.of(), OPTIONS, actions);
     }
 
     @Property(tries = TRIES, edgeCases = EdgeCasesMode.NONE)
-    void promisesHoldWithAServerThatOnlyHonoursDeadlines(@ForAll("actions") List<Action> actions) {
+    void invariantsHoldWithDeadlinesAndFencesOnly(@ForAll("actions") List<Action> actions) {
         run(Set.of(Capability.DEADLINE, Capability.FENCE), OPTIONS, actions);
     }
 
-    /** Records are evicted all the time; keys are then protected by their stated age, ids by their tombstones. */
+    /** Records are evicted constantly; then keys are protected by their stated age, and request ids by the evicted ids. */
     @Property(tries = TRIES, edgeCases = EdgeCasesMode.NONE)
-    void promisesHoldWithFewRecords(@ForAll("actions") List<Action> actions) {
-        run(GateFixture.ALL, OPTIONS.withRecordLimits(600_000, 8, 100_000), actions);
+    void invariantsHoldWithFewRecords(@ForAll("actions") List<Action> actions) {
+        run(GateFixture.ALL_CAPABILITIES, OPTIONS.withRecordLimits(600_000, 8, 100_000), actions);
     }
 
     private static void run(Set<Capability> capabilities, GateOptions options, List<Action> actions) {
         GateModel model = new GateModel(capabilities, options);
         for (Action action : actions) {
-            model.act(action.kind(), action.pick());
+            model.perform(action.type(), action.choice());
         }
-        model.finish();
+        model.verifyAllAnswered();
         Statistics.label("at least 5 executions")
-                .collect(model.executions() >= 5)
+                .collect(model.startedCallCount() >= 5)
                 .coverage(c -> c.check(true).percentage(p -> p > 50));
     }
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -1,9 +1,9 @@
 package org.coriandercrank.gate.test;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.coriandercrank.gate.test.GateFixture.ALL;
-import static org.coriandercrank.gate.test.GateFixture.HIGH;
-import static org.coriandercrank.gate.test.GateFixture.LOW;
+import static org.coriandercrank.gate.test.GateFixture.ALL_CAPABILITIES;
+import static org.coriandercrank.gate.test.GateFixture.LOWER_HALF;
+import static org.coriandercrank.gate.test.GateFixture.UPPER_HALF;
 import static org.coriandercrank.gate.test.GateFixture.codeOf;
 
 import java.util.EnumSet;
@@ -28,12 +28,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class GateRangeTest {
-    /** Hashes f97f... (HIGH) and 15d6... (LOW). */
-    private static final String HIGH_KEY = "key0";
+    /** Key whose hash f97f... is in the upper half of the hash space. */
+    private static final String UPPER_HALF_KEY = "key0";
 
     private final GateFixture gate = new GateFixture();
 
-    /** Guards against a release that completes too early, or never although it could. */
+    /** Guards against a release that completes too early, or never although it may complete. */
     @ParameterizedTest
     @CsvSource({
         "true,  '',                false, true",
@@ -41,53 +41,53 @@
         "false, 'DEADLINE,FENCE',  false, false",
         "false, '',                true,  true",
     })
-    void releaseWhenTheRevokeIsAnsweredOrNot(
-            boolean answered, String capabilities, boolean withoutProof, boolean completes) {
-        GateFixture other =
-                new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withUnconfirmedRelease(withoutProof));
-        other.attach(2, parse(capabilities));
-        other.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
-        other.backend.answersGrants = answered;
-        CompletableFuture<TransferredRecords> released = other.release(KeyRange.ALL);
+    void releaseDependsOnRevocationAnswer(
+            boolean answered, String capabilities, boolean allowUnconfirmed, boolean completes) {
+        GateFixture fixture =
+                new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(0).withUnconfirmedRelease(allowUnconfirmed));
+        fixture.attach(2, parseCapabilities(capabilities));
+        fixture.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
+        fixture.backend.answersGrants = answered;
+        CompletableFuture<TransferredRecords> released = fixture.release(KeyRange.ALL);
         assertThat(released.isDone()).isEqualTo(answered);
-        other.timers.advanceMs(950);
+        fixture.timers.advanceMs(950);
         assertThat(released.isDone()).isEqualTo(answered);
-        other.timers.advanceMs(60_000);
+        fixture.timers.advanceMs(60_000);
         assertThat(released.isDone()).isEqualTo(completes);
     }
 
-    /** Guards against a revoke before the requests in flight have ended, and a move that cuts off queued callers late. */
+    /** Guards against a revocation while requests are in flight, and against late refusal of queued requests. */
     @Test
     void releaseWaitsForRequestsInFlight() {
-        gate.serving(1);
-        gate.submit(gate.post(HIGH_KEY));
-        CompletableFuture<CallerAnswer> queued = gate.submit(gate.post(HIGH_KEY));
-        CompletableFuture<TransferredRecords> released = gate.release(HIGH);
+        gate.startServing(1);
+        gate.submit(gate.newPost(UPPER_HALF_KEY));
+        CompletableFuture<CallerAnswer> queued = gate.submit(gate.newPost(UPPER_HALF_KEY));
+        CompletableFuture<TransferredRecords> released = gate.release(UPPER_HALF);
         assertThat(codeOf(queued)).isEqualTo(ResultCode.NOT_OWNER);
-        assertThat(codeOf(gate.submit(gate.post(HIGH_KEY)))).isEqualTo(ResultCode.RANGE_MOVING);
+        assertThat(codeOf(gate.submit(gate.newPost(UPPER_HALF_KEY)))).isEqualTo(ResultCode.RANGE_MOVING);
         gate.timers.advanceMs(500);
-        assertThat(gate.backend.lastGrant().ranges()).anyMatch(g -> g.range().equals(HIGH));
+        assertThat(gate.backend.lastGrant().ranges()).anyMatch(g -> g.range().equals(UPPER_HALF));
         gate.timers.advanceMs(510);
-        assertThat(gate.backend.cancelled).hasSize(1);
+        assertThat(gate.backend.cancelledIds).hasSize(1);
         assertThat(released.isDone()).isFalse();
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         gate.timers.advanceMs(5);
         assertThat(released.join().records()).hasSize(1);
         assertThat(released.join().completeForMs()).isEqualTo(Long.MAX_VALUE);
         assertThat(gate.backend.lastGrant().ranges())
                 .extracting(Grant.GrantedRange::range)
-                .containsExactly(LOW);
-        assertThat(codeOf(gate.submit(gate.post(HIGH_KEY)))).isEqualTo(ResultCode.NOT_OWNER);
+                .containsExactly(LOWER_HALF);
+        assertThat(codeOf(gate.submit(gate.newPost(UPPER_HALF_KEY)))).isEqualTo(ResultCode.NOT_OWNER);
     }
 
-    /** Guards against completing while a call with a lost answer may still run. */
+    /** Guards against a release that completes while a call with a lost answer may still run. */
     @ParameterizedTest
     @CsvSource({"'DEADLINE', 1300", "'VALIDITY', 61300", "'', 61300"})
     void releaseWaitsForLostCalls(String capabilities, long completeAfterMs) {
-        gate.attach(1, parse(capabilities));
+        gate.attach(1, parseCapabilities(capabilities));
         gate.acquire(KeyRange.ALL, 1, TransferredRecords.NEVER_OWNED);
-        gate.submit(gate.post(HIGH_KEY));
+        gate.submit(gate.newPost(UPPER_HALF_KEY));
         gate.backend.calls.get(0).fail(ResultCode.OUTCOME_UNKNOWN);
         CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
         gate.timers.advanceMs(1_000);
@@ -96,144 +96,144 @@
         assertThat(released.isDone()).isTrue();
     }
 
-    /** Guards against mixing up a range with its successor under a newer fence. */
+    /** Guards against confusing a range with the same range under a newer fencing token. */
     @Test
     void acquireDuringARelease() {
-        gate.serving(2);
-        gate.submit(gate.post(HIGH_KEY));
+        gate.startServing(2);
+        gate.submit(gate.newPost(UPPER_HALF_KEY));
         CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
         assertThat(gate.acquire(KeyRange.ALL, 1, TransferredRecords.NONE)).isCompletedExceptionally();
         assertThat(gate.acquire(KeyRange.ALL, 3, TransferredRecords.NONE)).isCompleted();
-        gate.submit(gate.post(HIGH_KEY));
+        gate.submit(gate.newPost(UPPER_HALF_KEY));
         assertThat(gate.backend.calls)
-                .extracting(c -> c.request.fence().value())
+                .extracting(c -> c.backendCall.fence().value())
                 .containsExactly(1L, 3L);
         assertThat(released.isDone()).isFalse();
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         gate.timers.advanceMs(5);
         assertThat(released).isCompleted();
         assertThat(gate.core.status().serving()).hasSize(1);
     }
 
-    /** Guards against grants that outlive the lease, and against a gate that stays shut when the lease returns. */
+    /** Guards against grants that outlive the lease, and a gate that refuses requests after the lease was renewed. */
     @Test
-    void grantsFollowTheLease() {
-        gate.serving(2);
-        gate.stopLeaseIn(400);
+    void grantsDoNotOutliveTheLease() {
+        gate.startServing(2);
+        gate.stopLeaseRenewal(400);
         gate.timers.advanceMs(399);
         assertThat(gate.backend.lastGrant().validityMs()).isLessThanOrEqualTo(400);
         gate.timers.advanceMs(2);
         int grants = gate.backend.grants.size();
-        assertThat(codeOf(gate.submit(gate.post("k")))).isEqualTo(ResultCode.LEASE_LAPSED);
+        assertThat(codeOf(gate.submit(gate.newPost("k")))).isEqualTo(ResultCode.LEASE_LAPSED);
         gate.timers.advanceMs(5_000);
         assertThat(gate.backend.grants).hasSize(grants);
         gate.leaseRenewed = true;
         gate.timers.advanceMs(6);
-        gate.submit(gate.post("k"));
+        gate.submit(gate.newPost("k"));
         assertThat(gate.backend.calls).hasSize(1);
         assertThat(gate.meters.counter("crank.gate.lease.refusals").count()).isEqualTo(1);
     }
 
-    /** Guards against renewals that come too late or too often. */
+    /** Guards against grants that are renewed too late or too often. */
     @Test
     void grantsAreRenewedEveryThirdOfTheValidity() {
-        gate.serving(2);
+        gate.startServing(2);
         gate.timers.advanceMs(10_000);
         assertThat(gate.backend.grants.size()).isBetween(28, 32);
         assertThat(gate.backend.grants).extracting(Grant::sequence).isSorted();
     }
 
-    /** Guards against a gate that never gets past the grants of a predecessor on the same server. */
+    /** Guards against grant sequence numbers that stay below those of a previous gate at the same server. */
     @Test
-    void continuesAfterALargerSequence() {
-        gate.backend.sequence = 700;
-        gate.serving(2);
+    void continuesAfterLargerServerSequence() {
+        gate.backend.acknowledgedSequence = 700;
+        gate.startServing(2);
         assertThat(gate.backend.lastGrant().sequence()).isGreaterThan(700);
         assertThat(gate.core.status().serving()).hasSize(1);
     }
 
-    /** Guards against a failed acquire that cannot be repeated, or that leaves a range half served. */
+    /** Guards against a failed acquire that cannot be repeated or leaves the range partly served. */
     @ParameterizedTest
     @CsvSource({"BACKEND_UNAVAILABLE, BACKEND_UNAVAILABLE", "OUTCOME_UNKNOWN, OUTCOME_UNKNOWN", ", CALL_TIMEOUT"})
     void failedAcquireMayBeRepeated(ResultCode failure, ResultCode code) {
-        gate.attach(2, ALL);
+        gate.attach(2, ALL_CAPABILITIES);
         gate.backend.grantFailure = failure;
         gate.backend.answersGrants = false;
-        CompletableFuture<Void> failed = gate.acquire(LOW, 4, TransferredRecords.NONE);
+        CompletableFuture<Void> failed = gate.acquire(LOWER_HALF, 4, TransferredRecords.NONE);
         gate.timers.advanceMs(800);
         assertThat(CrankException.of(failed.handle((v, e) -> e).join()).code()).isEqualTo(code);
         gate.backend.grantFailure = null;
         gate.backend.answersGrants = true;
-        CompletableFuture<Void> repeated = gate.acquire(LOW, 4, TransferredRecords.NONE);
+        CompletableFuture<Void> repeated = gate.acquire(LOWER_HALF, 4, TransferredRecords.NONE);
         gate.timers.advanceMs(350);
         assertThat(repeated).isCompleted();
     }
 
-    /** Guards against new work on a leaving server, and against a drain that cuts off what was admitted. */
+    /** Guards against new requests to a draining server, and against a drain that refuses admitted requests. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void drain(boolean byRule) {
-        gate.serving(1);
-        gate.submit(gate.post("a"));
-        gate.submit(gate.post("b"));
+        gate.startServing(1);
+        gate.submit(gate.newPost("a"));
+        gate.submit(gate.newPost("b"));
         CompletableFuture<Void> drained = new CompletableFuture<>();
         if (byRule) {
             gate.backendRules = List.of(new BackendRule("desk-1", 100, true));
         } else {
             drained = gate.core.drain();
         }
-        assertThat(codeOf(gate.submit(gate.post("c")))).isEqualTo(ResultCode.DRAINING);
+        assertThat(codeOf(gate.submit(gate.newPost("c")))).isEqualTo(ResultCode.DRAINING);
         gate.timers.advanceMs(10);
         assertThat(gate.backend.drained).isFalse();
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(gate.backend.drained).isEqualTo(!byRule);
         assertThat(drained.isDone()).isFalse();
         gate.backend.calls.get(1).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(drained.isDone()).isEqualTo(!byRule);
     }
 
-    /** Guards against a server that goes on refusing all requests after its drain rule was withdrawn. */
+    /** Guards against a server that refuses all requests although its drain rule was withdrawn. */
     @Test
-    void withdrawnDrainRuleLeavesNoTrace() {
-        gate.serving(1);
+    void withdrawnDrainRuleEndsTheDrain() {
+        gate.startServing(1);
         gate.backendRules = List.of(new BackendRule("desk-1", 100, true));
-        assertThat(codeOf(gate.submit(gate.post("a")))).isEqualTo(ResultCode.DRAINING);
+        assertThat(codeOf(gate.submit(gate.newPost("a")))).isEqualTo(ResultCode.DRAINING);
         gate.timers.advanceMs(1_000);
         assertThat(gate.backend.drained).isFalse();
 
         gate.backendRules = List.of();
-        CompletableFuture<?> served = gate.submit(gate.post("b"));
-        gate.timers.settle();
+        CompletableFuture<?> served = gate.submit(gate.newPost("b"));
+        gate.timers.runQueuedTasks();
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(served).isCompleted();
         assertThat(gate.backend.calls).hasSize(1);
     }
 
-    /** Guards against a cold server that gets its full load at once. */
+    /** Guards against sending the full load to a cold server immediately. */
     @Test
     void concurrencyGrowsAfterAnAttach() {
-        GateFixture cold = new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(1_000)).serving(8);
+        GateFixture fixture = new GateFixture(GateOptions.DEFAULTS.withSlowStartMs(1_000)).startServing(8);
         for (int i = 0; i < 8; i++) {
-            cold.submit(GateFixture.request("i" + i, "k" + i, "GET", 5_000, null, OptionalLong.empty()));
+            fixture.submit(GateFixture.request("i" + i, "k" + i, "GET", 5_000, null, OptionalLong.empty()));
         }
-        assertThat(cold.backend.calls).hasSize(2);
-        cold.timers.advanceMs(500);
-        assertThat(cold.backend.calls).hasSize(5);
-        cold.timers.advanceMs(505);
-        assertThat(cold.backend.calls).hasSize(8);
+        assertThat(fixture.backend.calls).hasSize(2);
+        fixture.timers.advanceMs(500);
+        assertThat(fixture.backend.calls).hasSize(5);
+        fixture.timers.advanceMs(505);
+        assertThat(fixture.backend.calls).hasSize(8);
     }
 
-    /** Guards against load reports that miss a hot key or invent one. */
+    /** Guards against load reports that miss a hot hash or contain one that is not hot. */
     @Test
-    void loadsNameHotHashes() {
-        gate.serving(2);
+    void loadsContainHotHashes() {
+        gate.startServing(2);
         gate.backend.onCall = Call::succeed;
         for (int i = 0; i < 4_000; i++) {
-            String key = i % 4 == 0 ? HIGH_KEY : "other" + i;
+            String key = i % 4 == 0 ? UPPER_HALF_KEY : "other" + i;
             gate.submit(GateFixture.request("l" + i, key, "GET", 1_000, null, OptionalLong.empty()));
             gate.timers.advanceMs(5);
         }
@@ -243,19 +243,19 @@
         assertThat(load.hotHashes().get(0).requestsPerSecond()).isBetween(45.0, 55.0);
     }
 
-    /** Guards against a service without keys that needs ranges. */
+    /** Guards against an unkeyed service that requires ranges. */
     @Test
-    void serviceNotDividedByKeyNeedsNoRange() {
-        gate.rules = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
-        gate.attach(1, ALL);
-        CompletableFuture<CallerAnswer> answer = gate.submit(gate.post("k"));
+    void unkeyedServiceNeedsNoRange() {
+        gate.serviceConfig = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
+        gate.attach(1, ALL_CAPABILITIES);
+        CompletableFuture<CallerAnswer> answer = gate.submit(gate.newPost("k"));
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(codeOf(answer)).isEqualTo(ResultCode.OK);
         assertThat(gate.backend.grants).isEmpty();
     }
 
-    private static Set<Capability> parse(String names) {
+    private static Set<Capability> parseCapabilities(String names) {
         Set<Capability> capabilities = EnumSet.noneOf(Capability.class);
         for (String name : names.split(",")) {
             if (!name.isEmpty()) {
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
@@ -24,22 +24,22 @@
 import org.junit.jupiter.api.Test;
 
 class GateTest {
-    private static final int REQUESTS = 2_000;
+    private static final int REQUEST_COUNT = 2_000;
 
-    /** Guards against state that is touched outside the thread of the gate, and against answers that get lost. */
+    /** Guards against access to the state outside the thread of the gate, and against lost answers. */
     @Test
     void servesOnItsOwnThread() throws Exception {
         SystemTimerService timers = new SystemTimerService();
         FakeBackend backend = new FakeBackend(MonotonicClock.SYSTEM);
         backend.onCall = Call::succeed;
-        GateDependencies inputs = new GateDependencies(
+        GateDependencies dependencies = new GateDependencies(
                 GateFixture.SERVICE,
                 new GateFixture(),
                 () -> System.nanoTime() + TimeUnit.SECONDS.toNanos(2),
                 timers,
                 new DecisionLog(0, MonotonicClock.SYSTEM),
                 new SimpleMeterRegistry());
-        try (Gate gate = Gate.start(inputs, GateOptions.DEFAULTS.withSlowStartMs(0))) {
+        try (Gate gate = Gate.start(dependencies, GateOptions.DEFAULTS.withSlowStartMs(0))) {
             gate.attach(
                     new BackendInfo(
                             "desk-1",
@@ -47,14 +47,14 @@
                             HostAddress.parse("127.0.0.1:9000"),
                             18,
                             110,
-                            GateFixture.ALL),
+                            GateFixture.ALL_CAPABILITIES),
                     backend);
             gate.acquire(KeyRange.ALL, new Generation(1), TransferredRecords.NEVER_OWNED)
                     .get(5, TimeUnit.SECONDS);
-            GateFixture ids = new GateFixture();
+            GateFixture requests = new GateFixture();
             List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
-            for (int i = 0; i < REQUESTS; i++) {
-                answers.add(gate.submit(ids.post("k" + i)));
+            for (int i = 0; i < REQUEST_COUNT; i++) {
+                answers.add(gate.submit(requests.newPost("k" + i)));
             }
             CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new)).get(10, TimeUnit.SECONDS);
             assertThat(answers)
@@ -65,7 +65,9 @@
                             .filter(a -> a.join().code() == ResultCode.OK)
                             .count());
             gate.drain().get(5, TimeUnit.SECONDS);
-            assertThat(gate.submit(ids.post("late")).get(5, TimeUnit.SECONDS).code())
+            assertThat(gate.submit(requests.newPost("late"))
+                            .get(5, TimeUnit.SECONDS)
+                            .code())
                     .isEqualTo(ResultCode.NOT_OWNER);
         } finally {
             timers.close();
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/HotKeyTrialTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/HotKeyTrialTest.java
@@ -16,112 +16,117 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures what a hot key does to the other keys, in virtual time: 18 slots, exponential service time of 10 ms, queue
- * of 64, deadline 200 ms. The other keys ask for half of the capacity, the hot key for the rest of the offered load.
+ * Simulates the effect of a hot key on other keys in virtual time: 18 slots, exponentially distributed service time with
+ * a mean of 10 ms, queue of 64, deadline 200 ms. The other keys request half of the capacity, the hot key the rest of the
+ * offered load.
  */
 class HotKeyTrialTest {
     private static final int SLOTS = 18;
-    private static final double SERVICE_MS = 10;
-    private static final double CAPACITY_PER_MS = SLOTS / SERVICE_MS;
+    private static final double MEAN_SERVICE_MS = 10;
+    private static final double CAPACITY_PER_MS = SLOTS / MEAN_SERVICE_MS;
     private static final double DURATION_MS = 20_000;
     private static final long DEADLINE_MS = 200;
     private static final long SEED = 7;
 
-    /** Goodput as a share of what was offered or, for the total, of the capacity. Immutable. */
-    record Figures(double othersGoodput, double othersP99Ms, double totalGoodput) {}
+    /** Goodput as a fraction of the offered requests or, for the total, of the capacity. Immutable. */
+    record Measurement(double othersGoodput, double othersP99Ms, double totalGoodput) {}
 
-    private static final class Trial {
+    /** Runs the gate with random arrivals and service times in virtual time. */
+    private static final class Simulation {
         private final GateFixture gate = new GateFixture();
         private final Random random = new Random(SEED);
-        private final List<Double> othersMs = new ArrayList<>();
-        private int othersOffered;
-        private int good;
+        private final List<Double> otherKeysLatencyMs = new ArrayList<>();
+        private int otherKeysOffered;
+        private int answeredOk;
         private int nextId;
 
-        Trial(int maxKeySharePercent) {
-            ServiceConfig rules = gate.rules;
-            gate.rules = new ServiceConfig(
-                    rules.name(),
+        Simulation(int maxKeySharePercent) {
+            ServiceConfig config = gate.serviceConfig;
+            gate.serviceConfig = new ServiceConfig(
+                    config.name(),
                     true,
-                    rules.repeatableMethods(),
-                    rules.defaultDeadlineMs(),
-                    rules.maxDeadlineMs(),
-                    rules.maxBodyBytes(),
-                    rules.maxQueueLength(),
+                    config.repeatableMethods(),
+                    config.defaultDeadlineMs(),
+                    config.maxDeadlineMs(),
+                    config.maxBodyBytes(),
+                    config.maxQueueLength(),
                     maxKeySharePercent,
-                    rules.placementPolicy(),
-                    rules.balancingPolicy(),
-                    rules.locality(),
-                    rules.keySpaceBits());
-            gate.serving(SLOTS);
-            gate.backend.onCall = this::serve;
+                    config.placementPolicy(),
+                    config.balancingPolicy(),
+                    config.locality(),
+                    config.keySpaceBits());
+            gate.startServing(SLOTS);
+            gate.backend.onCall = this::scheduleAnswer;
         }
 
-        Figures run(double load) {
-            arrive(CAPACITY_PER_MS * 0.5, false);
-            arrive(CAPACITY_PER_MS * (load - 0.5), true);
+        Measurement run(double load) {
+            scheduleArrival(CAPACITY_PER_MS * 0.5, false);
+            scheduleArrival(CAPACITY_PER_MS * (load - 0.5), true);
             gate.timers.advanceMs(DURATION_MS);
-            Collections.sort(othersMs);
-            double p99Ms = othersMs.get((int) (othersMs.size() * 0.99));
-            return new Figures((double) othersMs.size() / othersOffered, p99Ms, good / (CAPACITY_PER_MS * DURATION_MS));
+            Collections.sort(otherKeysLatencyMs);
+            double p99Ms = otherKeysLatencyMs.get((int) (otherKeysLatencyMs.size() * 0.99));
+            return new Measurement(
+                    (double) otherKeysLatencyMs.size() / otherKeysOffered,
+                    p99Ms,
+                    answeredOk / (CAPACITY_PER_MS * DURATION_MS));
         }
 
-        private void serve(Call call) {
-            gate.timers.after(exponential(1 / SERVICE_MS), call::succeed);
+        private void scheduleAnswer(Call call) {
+            gate.timers.scheduleAfter(randomExponentialMs(1 / MEAN_SERVICE_MS), call::succeed);
         }
 
-        private void arrive(double perMs, boolean hot) {
-            gate.timers.after(exponential(perMs), () -> {
-                submit(hot);
-                arrive(perMs, hot);
+        private void scheduleArrival(double ratePerMs, boolean hotKey) {
+            gate.timers.scheduleAfter(randomExponentialMs(ratePerMs), () -> {
+                submit(hotKey);
+                scheduleArrival(ratePerMs, hotKey);
             });
         }
 
-        private void submit(boolean hot) {
-            String key = hot ? "hot" : "cold" + random.nextInt(1_000);
+        private void submit(boolean hotKey) {
+            String key = hotKey ? "hot" : "cold" + random.nextInt(1_000);
             CallerRequest request =
                     GateFixture.request("r" + nextId++, key, "GET", DEADLINE_MS, null, OptionalLong.empty());
-            long sentAtNanos = gate.now();
-            othersOffered += hot ? 0 : 1;
+            long sentAtNanos = gate.nowNanos();
+            otherKeysOffered += hotKey ? 0 : 1;
             CompletableFuture<CallerAnswer> result = new CompletableFuture<>();
             result.thenAccept(answer -> {
                 if (answer.code() == ResultCode.OK) {
-                    good++;
-                    if (!hot) {
-                        othersMs.add((gate.now() - sentAtNanos) / 1e6);
+                    answeredOk++;
+                    if (!hotKey) {
+                        otherKeysLatencyMs.add((gate.nowNanos() - sentAtNanos) / 1e6);
                     }
                 }
             });
             gate.core.submit(request, sentAtNanos, result);
         }
 
-        private double exponential(double ratePerMs) {
+        private double randomExponentialMs(double ratePerMs) {
             return -Math.log(1 - random.nextDouble()) / ratePerMs;
         }
     }
 
-    /** Guards against a hot key that starves the others, and against a share that wastes the server. */
+    /** Guards against a hot key that starves other keys, and against a key share that leaves capacity unused. */
     @Test
-    void perKeyShareProtectsTheOtherKeys() {
+    void perKeyShareProtectsOtherKeys() {
         for (double load : new double[] {1, 2, 4}) {
-            Figures with = new Trial(50).run(load);
-            Figures without = new Trial(100).run(load);
-            System.out.printf("hot-key load=%.0fx share=50%% %s%n", load, with);
-            System.out.printf("hot-key load=%.0fx share=100%% %s%n", load, without);
-            assertThat(with.othersGoodput()).isGreaterThan(0.95);
-            assertThat(with.totalGoodput()).isGreaterThan(0.9 * without.totalGoodput());
+            Measurement withShare = new Simulation(50).run(load);
+            Measurement withoutShare = new Simulation(100).run(load);
+            System.out.printf("hot-key load=%.0fx share=50%% %s%n", load, withShare);
+            System.out.printf("hot-key load=%.0fx share=100%% %s%n", load, withoutShare);
+            assertThat(withShare.othersGoodput()).isGreaterThan(0.95);
+            assertThat(withShare.totalGoodput()).isGreaterThan(0.9 * withoutShare.totalGoodput());
             if (load > 1) {
-                assertThat(without.othersGoodput()).isLessThan(0.9 * with.othersGoodput());
+                assertThat(withoutShare.othersGoodput()).isLessThan(0.9 * withShare.othersGoodput());
             }
         }
     }
 
-    /** Guards against a share that refuses a lone hot key while slots and queue are free. */
+    /** Guards against a key share that refuses a single hot key while slots and queue are free. */
     @Test
-    void loneHotKeyMayUseTheWholeServer() {
-        GateFixture gate = new GateFixture().serving(SLOTS);
+    void singleHotKeyMayUseTheWholeServer() {
+        GateFixture gate = new GateFixture().startServing(SLOTS);
         for (int i = 0; i < SLOTS + 40; i++) {
-            gate.submit(gate.post("hot"));
+            gate.submit(gate.newPost("hot"));
         }
         assertThat(gate.backend.calls).hasSize(SLOTS);
         assertThat(gate.core.status().queued()).isEqualTo(40);
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
@@ -17,196 +17,210 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays the worst load of a payments server: more work than it can do for some seconds, payments of the higher rank,
- * short internal checks, and lookups that take longer.
+ * Simulates overload of a payment server: for several seconds more requests arrive than it can execute. They are payments
+ * and short internal checks of high priority, and longer lookups of low priority.
  */
 class OverloadReplayTest {
     private static final int SLOTS = 18;
     private static final long SEED = 7;
     private static final double DURATION_MS = 12_000;
 
-    /** A kind of request: its rules, deadline, mean work, and share of the arrivals. Immutable. */
-    private record Kind(RequestRules rules, long deadlineMs, double workMs, double share) {}
+    /** A request class: its rules, deadline, mean service time, and share of the arrivals. Immutable. */
+    private record RequestClass(RequestRules rules, long deadlineMs, double meanServiceMs, double arrivalShare) {}
 
-    private static final Kind PAYMENT = new Kind(new RequestRules(false, 2, 1, 600), 1_500, 210, 0.4);
-    private static final Kind CHECK = new Kind(new RequestRules(true, 2, 1, 150), 500, 40, 0.4);
-    private static final Kind LOOKUP = new Kind(new RequestRules(true, 2, 2, 1_200), 3_000, 400, 0.2);
-    private static final List<Kind> KINDS = List.of(PAYMENT, CHECK, LOOKUP);
+    private static final RequestClass PAYMENT = new RequestClass(new RequestRules(false, 2, 1, 600), 1_500, 210, 0.4);
+    private static final RequestClass CHECK = new RequestClass(new RequestRules(true, 2, 1, 150), 500, 40, 0.4);
+    private static final RequestClass LOOKUP = new RequestClass(new RequestRules(true, 2, 2, 1_200), 3_000, 400, 0.2);
+    private static final List<RequestClass> REQUEST_CLASSES = List.of(PAYMENT, CHECK, LOOKUP);
 
-    /** What became of the requests of a kind. */
-    private static final class Tally {
+    /** Results of the requests of a class. */
+    private static final class ResultCounts {
         private int offered;
-        private int inTime;
+        private int withinObjective;
         private int late;
         private int refused;
         private int failed;
-        private double refusedAfterMs;
+        private double totalRefusalMs;
 
-        double inTimeShare() {
-            return (double) inTime / offered;
+        double withinObjectiveShare() {
+            return (double) withinObjective / offered;
         }
 
         double servedShare() {
-            return (double) (inTime + late) / offered;
+            return (double) (withinObjective + late) / offered;
         }
     }
 
-    private static final class Replay {
+    /** Runs the gate with random arrivals and service times in virtual time. */
+    private static final class Simulation {
         private final GateFixture gate = new GateFixture();
         private final Random random = new Random(SEED);
-        private final boolean withRules;
-        private final List<Tally> tallies = List.of(new Tally(), new Tally(), new Tally());
-        private final List<Double> retryAfterMs = new ArrayList<>();
-        private final long startedAtNanos = gate.now();
+        private final boolean rulesEnabled;
+        private final List<ResultCounts> counts = List.of(new ResultCounts(), new ResultCounts(), new ResultCounts());
+        private final List<Double> retryTimesMs = new ArrayList<>();
+        private final long startedAtNanos = gate.nowNanos();
         private int nextId;
         private boolean arrivalsEnded;
 
-        Replay(boolean withRules) {
-            this.withRules = withRules;
-            gate.rules = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
-            gate.attach(SLOTS, GateFixture.ALL);
+        Simulation(boolean rulesEnabled) {
+            this.rulesEnabled = rulesEnabled;
+            gate.serviceConfig = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
+            gate.attach(SLOTS, GateFixture.ALL_CAPABILITIES);
             gate.backend.onCall = call -> {
-                Kind kind =
-                        KINDS.get(Integer.parseInt(call.request.request().path().substring(1)));
-                gate.timers.after(work(kind), call::succeed);
+                RequestClass requestClass = REQUEST_CLASSES.get(
+                        Integer.parseInt(call.backendCall.request().path().substring(1)));
+                gate.timers.scheduleAfter(randomServiceMs(requestClass), call::succeed);
             };
         }
 
-        private double work(Kind kind) {
-            return kind.workMs() * (0.3 + 1.4 * random.nextDouble());
+        private double randomServiceMs(RequestClass requestClass) {
+            return requestClass.meanServiceMs() * (0.3 + 1.4 * random.nextDouble());
         }
 
-        Replay run(double load) {
-            double meanMs =
-                    KINDS.stream().mapToDouble(k -> k.share() * k.workMs()).sum();
-            arrive(load * SLOTS / meanMs);
+        Simulation run(double load) {
+            double meanMs = REQUEST_CLASSES.stream()
+                    .mapToDouble(requestClass -> requestClass.arrivalShare() * requestClass.meanServiceMs())
+                    .sum();
+            scheduleArrival(load * SLOTS / meanMs);
             gate.timers.advanceMs((long) DURATION_MS);
             return this;
         }
 
-        /** Ends the arrivals and lets the deadlines of all requests pass. */
-        Replay drain() {
+        /** Stops the arrivals and advances the time beyond the deadlines of all requests. */
+        Simulation finish() {
             arrivalsEnded = true;
-            gate.timers.advanceMs(
-                    2 * KINDS.stream().mapToDouble(Kind::deadlineMs).max().orElseThrow());
+            gate.timers.advanceMs(2
+                    * REQUEST_CLASSES.stream()
+                            .mapToDouble(RequestClass::deadlineMs)
+                            .max()
+                            .orElseThrow());
             return this;
         }
 
-        private void arrive(double perMs) {
-            gate.timers.after(-Math.log(1 - random.nextDouble()) / perMs, () -> {
+        private void scheduleArrival(double ratePerMs) {
+            gate.timers.scheduleAfter(-Math.log(1 - random.nextDouble()) / ratePerMs, () -> {
                 if (arrivalsEnded) {
                     return;
                 }
-                double pick = random.nextDouble();
-                int kind = pick < PAYMENT.share() ? 0 : pick < PAYMENT.share() + CHECK.share() ? 1 : 2;
-                submit(kind);
-                arrive(perMs);
+                double uniform = random.nextDouble();
+                int classIndex = uniform < PAYMENT.arrivalShare()
+                        ? 0
+                        : uniform < PAYMENT.arrivalShare() + CHECK.arrivalShare() ? 1 : 2;
+                submit(classIndex);
+                scheduleArrival(ratePerMs);
             });
         }
 
-        private void submit(int index) {
-            Kind kind = KINDS.get(index);
-            Tally tally = tallies.get(index);
-            CallerRequest plain =
-                    GateFixture.request("r" + nextId++, "k", "POST", kind.deadlineMs(), null, OptionalLong.empty());
+        private void submit(int classIndex) {
+            RequestClass requestClass = REQUEST_CLASSES.get(classIndex);
+            ResultCounts classCounts = counts.get(classIndex);
+            CallerRequest template = GateFixture.request(
+                    "r" + nextId++, "k", "POST", requestClass.deadlineMs(), null, OptionalLong.empty());
             CallerRequest request = new CallerRequest(
-                    plain.id(),
-                    plain.service(),
+                    template.id(),
+                    template.service(),
                     Optional.empty(),
                     "POST",
-                    "/" + index,
+                    "/" + classIndex,
                     List.of(),
-                    plain.body(),
-                    kind.deadlineMs(),
+                    template.body(),
+                    requestClass.deadlineMs(),
                     Optional.empty(),
                     OptionalLong.empty(),
-                    withRules ? Optional.of(kind.rules()) : Optional.empty());
-            long sentAtNanos = gate.now();
-            tally.offered++;
+                    rulesEnabled ? Optional.of(requestClass.rules()) : Optional.empty());
+            long sentAtNanos = gate.nowNanos();
+            classCounts.offered++;
             CompletableFuture<CallerAnswer> result = new CompletableFuture<>();
-            result.thenAccept(answer -> count(kind, tally, answer, (gate.now() - sentAtNanos) / 1e6));
+            result.thenAccept(
+                    answer -> count(requestClass, classCounts, answer, (gate.nowNanos() - sentAtNanos) / 1e6));
             gate.core.submit(request, sentAtNanos, result);
         }
 
-        private void count(Kind kind, Tally tally, CallerAnswer answer, double tookMs) {
+        private void count(RequestClass requestClass, ResultCounts classCounts, CallerAnswer answer, double latencyMs) {
             if (answer.code() == ResultCode.OK) {
-                if (tookMs <= kind.rules().latencyObjectiveMs()) {
-                    tally.inTime++;
+                if (latencyMs <= requestClass.rules().latencyObjectiveMs()) {
+                    classCounts.withinObjective++;
                 } else {
-                    tally.late++;
+                    classCounts.late++;
                 }
             } else if (answer.outcome() == Outcome.NOT_RUN) {
-                tally.refused++;
-                tally.refusedAfterMs += tookMs;
-                answer.retryAfterMs().ifPresent(ms -> retryAfterMs.add((gate.now() - startedAtNanos) / 1e6 + ms));
+                classCounts.refused++;
+                classCounts.totalRefusalMs += latencyMs;
+                answer.retryAfterMs().ifPresent(ms -> retryTimesMs.add((gate.nowNanos() - startedAtNanos) / 1e6 + ms));
             } else {
-                tally.failed++;
+                classCounts.failed++;
             }
         }
     }
 
-    /** Before: order of arrival and refusal by deadline alone, so that nearly everyone is late. */
+    /** Without rules, requests run in order of arrival and are refused only by deadline, so that most are late. */
     @Test
-    void overloadLeavesPaymentsAndChecksInTime() {
-        Replay before = new Replay(false).run(1.5);
-        Replay after = new Replay(true).run(1.5);
-        assertThat(before.tallies.get(0).inTimeShare()).isLessThan(0.5);
-        assertThat(after.tallies.get(0).inTimeShare()).isGreaterThan(0.85);
-        assertThat(after.tallies.get(1).inTimeShare()).isGreaterThan(0.85);
+    void overloadKeepsPaymentsAndChecksWithinObjective() {
+        Simulation withoutRules = new Simulation(false).run(1.5);
+        Simulation withRules = new Simulation(true).run(1.5);
+        assertThat(withoutRules.counts.get(0).withinObjectiveShare()).isLessThan(0.5);
+        assertThat(withRules.counts.get(0).withinObjectiveShare()).isGreaterThan(0.85);
+        assertThat(withRules.counts.get(1).withinObjectiveShare()).isGreaterThan(0.85);
     }
 
-    /** A request of a higher rank must not be served worse than one of a lower rank. */
+    /** Guards against requests of a higher priority being served worse than those of a lower priority. */
     @Test
-    void higherRankIsServedBetter() {
-        Replay after = new Replay(true).run(2);
-        double lookups = after.tallies.get(2).servedShare();
-        assertThat(after.tallies.get(0).servedShare()).isGreaterThan(lookups);
-        assertThat(after.tallies.get(1).servedShare()).isGreaterThan(lookups);
+    void higherPriorityIsServedBetter() {
+        Simulation simulation = new Simulation(true).run(2);
+        double lookups = simulation.counts.get(2).servedShare();
+        assertThat(simulation.counts.get(0).servedShare()).isGreaterThan(lookups);
+        assertThat(simulation.counts.get(1).servedShare()).isGreaterThan(lookups);
     }
 
-    /** A hopeless request is refused at once, not held until its time is over. */
+    /** Guards against queueing a request until its deadline although it cannot be served in time. */
     @Test
-    void refusalsComeAtOnce() {
-        Replay after = new Replay(true).run(2);
-        for (int i = 0; i < KINDS.size(); i++) {
-            Tally tally = after.tallies.get(i);
-            if (tally.refused > 0) {
-                assertThat(tally.refusedAfterMs / tally.refused)
-                        .as("mean time to a refusal of kind %d", i)
-                        .isLessThan(KINDS.get(i).deadlineMs() / 8.0);
+    void refusalsAreImmediate() {
+        Simulation simulation = new Simulation(true).run(2);
+        for (int i = 0; i < REQUEST_CLASSES.size(); i++) {
+            ResultCounts counts = simulation.counts.get(i);
+            if (counts.refused > 0) {
+                assertThat(counts.totalRefusalMs / counts.refused)
+                        .as("mean time to a refusal of request class %d", i)
+                        .isLessThan(REQUEST_CLASSES.get(i).deadlineMs() / 8.0);
             }
         }
     }
 
-    /** Overload must not lose a request: each has exactly one result. */
+    /** Guards against lost requests during overload: each has exactly one result. */
     @Test
     void eachRequestHasOneResult() {
-        Replay after = new Replay(true).run(2).drain();
-        for (Tally tally : after.tallies) {
-            assertThat(tally.inTime + tally.late + tally.refused + tally.failed).isEqualTo(tally.offered);
+        Simulation simulation = new Simulation(true).run(2).finish();
+        for (ResultCounts counts : simulation.counts) {
+            assertThat(counts.withinObjective + counts.late + counts.refused + counts.failed)
+                    .isEqualTo(counts.offered);
         }
     }
 
-    /** Refused callers must not return together: no tenth of a second gets more of them than can be served. */
+    /**
+     * Guards against retries of refused callers at the same time: no interval of 100 ms may get more than three times as
+     * many retries as the server can execute in it.
+     */
     @Test
-    void refusedCallersReturnSpread() {
-        Replay after = new Replay(true).run(2);
-        double meanMs = KINDS.stream().mapToDouble(k -> k.share() * k.workMs()).sum();
-        double capacityPerTenth = 100 * SLOTS / meanMs;
-        long[] perTenth = new long[200];
-        after.retryAfterMs.forEach(ms -> perTenth[Math.min(199, (int) (ms / 100))]++);
-        long most = 0;
-        for (long n : perTenth) {
-            most = Math.max(most, n);
+    void retriesAreSpreadOverTime() {
+        Simulation simulation = new Simulation(true).run(2);
+        double meanMs = REQUEST_CLASSES.stream()
+                .mapToDouble(requestClass -> requestClass.arrivalShare() * requestClass.meanServiceMs())
+                .sum();
+        double capacityPerInterval = 100 * SLOTS / meanMs;
+        long[] retriesPerInterval = new long[200];
+        simulation.retryTimesMs.forEach(ms -> retriesPerInterval[Math.min(199, (int) (ms / 100))]++);
+        long maxRetries = 0;
+        for (long n : retriesPerInterval) {
+            maxRetries = Math.max(maxRetries, n);
         }
-        assertThat((double) most).isLessThan(3 * capacityPerTenth);
+        assertThat((double) maxRetries).isLessThan(3 * capacityPerInterval);
     }
 
-    /** Without overload nothing is refused, also when a short burst waits. */
+    /** Guards against refusals without overload, even if a short burst of requests waits. */
     @Test
-    void normalLoadIsServedWhole() {
-        Replay replay = new Replay(true).run(0.75);
-        replay.tallies.forEach(tally -> assertThat(tally.refused).isZero());
-        assertThat(replay.tallies.get(0).inTimeShare()).isGreaterThan(0.99);
+    void normalLoadIsNotRefused() {
+        Simulation simulation = new Simulation(true).run(0.75);
+        simulation.counts.forEach(tally -> assertThat(tally.refused).isZero());
+        assertThat(simulation.counts.get(0).withinObjectiveShare()).isGreaterThan(0.99);
     }
 }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a stream of requests to a backend server that does not hold their range although its grant was
- * acknowledged, as after a lost answer to a heartbeat. Each of them counts against the retry budget of the service.
+ * Guards against repeatedly sending requests to a backend server that does not hold their range although it acknowledged
+ * the grant, for example after a lost answer to a heartbeat. Each rejected request uses up retry budget of the service.
  */
 class RejectedRangeTest {
     private static final int PARK_MS = 1_000;
@@ -28,56 +28,56 @@
     @BeforeEach
     void serveAllKeys() {
         RangeAssignment all = new RangeAssignment(KeyRange.ALL, GateFixture.SELF, new Generation(1), List.of());
-        gate.tables =
+        gate.assignmentTables =
                 Map.of(GateFixture.SERVICE, new AssignmentTable(GateFixture.SERVICE, new Generation(1), List.of(all)));
-        gate.serving(8);
+        gate.startServing(8);
         gate.backend.answersGrants = false;
     }
 
-    private CompletableFuture<CallerAnswer> rejectedCall() {
-        CompletableFuture<CallerAnswer> rejected = gate.submit(gate.post("a"));
-        gate.backend.open().get(0).fail(ResultCode.FENCE_REJECTED);
-        gate.timers.settle();
+    private CompletableFuture<CallerAnswer> submitRejectedCall() {
+        CompletableFuture<CallerAnswer> rejected = gate.submit(gate.newPost("a"));
+        gate.backend.openCalls().get(0).fail(ResultCode.FENCE_REJECTED);
+        gate.timers.runQueuedTasks();
         return rejected;
     }
 
     @Test
-    void requestsWaitUntilTheServerHoldsTheRangeAgain() {
-        assertThat(GateFixture.codeOf(rejectedCall())).isEqualTo(ResultCode.FENCE_REJECTED);
-        int sent = gate.backend.calls.size();
-        CompletableFuture<CallerAnswer> waiting = gate.submit(gate.post("a"));
-        assertThat(gate.backend.calls).hasSize(sent);
+    void requestsWaitUntilTheRangeIsGrantedAgain() {
+        assertThat(GateFixture.codeOf(submitRejectedCall())).isEqualTo(ResultCode.FENCE_REJECTED);
+        int callsBefore = gate.backend.calls.size();
+        CompletableFuture<CallerAnswer> waiting = gate.submit(gate.newPost("a"));
+        assertThat(gate.backend.calls).hasSize(callsBefore);
         assertThat(waiting).isNotDone();
 
         gate.backend.answersGrants = true;
         gate.timers.advanceMs(400);
-        assertThat(gate.backend.calls).hasSize(sent + 1);
-        gate.backend.open().get(0).succeed();
-        gate.timers.settle();
+        assertThat(gate.backend.calls).hasSize(callsBefore + 1);
+        gate.backend.openCalls().get(0).succeed();
+        gate.timers.runQueuedTasks();
         assertThat(GateFixture.codeOf(waiting)).isEqualTo(ResultCode.OK);
     }
 
     @Test
-    void requestsAreRefusedWhenTheServerDoesNotTakeTheRange() {
-        rejectedCall();
-        int sent = gate.backend.calls.size();
-        CompletableFuture<CallerAnswer> waiting = gate.submit(gate.post("a"));
+    void requestsAreRefusedIfTheGrantIsNotAcknowledged() {
+        submitRejectedCall();
+        int callsBefore = gate.backend.calls.size();
+        CompletableFuture<CallerAnswer> waiting = gate.submit(gate.newPost("a"));
         gate.timers.advanceMs(PARK_MS + 50);
         assertThat(GateFixture.codeOf(waiting)).isIn(ResultCode.RANGE_MOVING, ResultCode.DEADLINE_EXPIRED);
-        assertThat(gate.backend.calls).hasSize(sent);
+        assertThat(gate.backend.calls).hasSize(callsBefore);
     }
 
-    /** An acknowledgement on its way at the time of the rejection says nothing of what the server holds after it. */
+    /** The acknowledgement of a grant that was sent before the rejection does not prove that the server holds the range. */
     @Test
     void earlierGrantDoesNotEndTheWait() {
         gate.timers.advanceMs(350);
         assertThat(gate.backend.grants).hasSizeGreaterThan(1);
-        CompletableFuture<CallerAnswer> rejected = rejectedCall();
+        CompletableFuture<CallerAnswer> rejected = submitRejectedCall();
         assertThat(GateFixture.codeOf(rejected)).isEqualTo(ResultCode.FENCE_REJECTED);
-        int sent = gate.backend.calls.size();
-        gate.submit(gate.post("a"));
-        gate.backend.acknowledgeOldest();
-        gate.timers.settle();
-        assertThat(gate.backend.calls).hasSize(sent);
+        int callsBefore = gate.backend.calls.size();
+        gate.submit(gate.newPost("a"));
+        gate.backend.acknowledgeOldestGrant();
+        gate.timers.runQueuedTasks();
+        assertThat(gate.backend.calls).hasSize(callsBefore);
     }
 }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.junit.jupiter.api.Test;
 
-/** Guards what a gate does when its backend server leaves, ends, or is followed by another one. */
+/** Checks the behaviour of a gate when its backend server leaves, is detached, or is replaced by another one. */
 class ServerLifeTest {
     private final GateFixture gate = new GateFixture();
 
@@ -20,54 +20,59 @@
         FakeBackend next = new FakeBackend(gate.timers.clock());
         gate.core.attach(
                 new BackendInfo(
-                        "desk-2", GateFixture.SERVICE, HostAddress.parse("127.0.0.1:9000"), 2, 9, GateFixture.ALL),
+                        "desk-2",
+                        GateFixture.SERVICE,
+                        HostAddress.parse("127.0.0.1:9000"),
+                        2,
+                        9,
+                        GateFixture.ALL_CAPABILITIES),
                 next);
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         return next;
     }
 
-    /** Requests that were queued before the end of the drain time reached the server after it. */
+    /** Guards against sending requests to the server that were queued when its drain time ended. */
     @Test
-    void queuedRequestsDoNotReachAServerThatLeaves() {
-        gate.serving(1);
-        CompletableFuture<CallerAnswer> running = gate.submit(gate.post("a"));
-        CompletableFuture<CallerAnswer> queued = gate.submit(gate.post("b"));
+    void queuedRequestsAreNotSentToALeavingServer() {
+        gate.startServing(1);
+        CompletableFuture<CallerAnswer> running = gate.submit(gate.newPost("a"));
+        CompletableFuture<CallerAnswer> queued = gate.submit(gate.newPost("b"));
         gate.core.stopSending();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(GateFixture.codeOf(queued)).isEqualTo(ResultCode.DRAINING);
         assertThat(running).isNotDone();
         gate.backend.calls.get(0).succeed();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(GateFixture.codeOf(running)).isEqualTo(ResultCode.OK);
-        assertThat(GateFixture.codeOf(gate.submit(gate.post("c")))).isEqualTo(ResultCode.DRAINING);
+        assertThat(GateFixture.codeOf(gate.submit(gate.newPost("c")))).isEqualTo(ResultCode.DRAINING);
         assertThat(gate.backend.calls).hasSize(1);
     }
 
     @Test
-    void nextServerGetsRequestsAgain() {
-        gate.rules = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
-        gate.attach(1, GateFixture.ALL);
+    void nextServerReceivesRequests() {
+        gate.serviceConfig = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
+        gate.attach(1, GateFixture.ALL_CAPABILITIES);
         gate.core.stopSending();
         FakeBackend next = attachNext();
-        gate.submit(gate.post("a"));
+        gate.submit(gate.newPost("a"));
         assertThat(next.calls).hasSize(1);
     }
 
     @Test
-    void queuedRequestsOfAServerThatEndedAreRefused() {
-        gate.serving(1);
-        gate.submit(gate.post("a"));
-        CompletableFuture<CallerAnswer> queued = gate.submit(gate.post("b"));
+    void queuedRequestsAreRefusedAfterDetach() {
+        gate.startServing(1);
+        gate.submit(gate.newPost("a"));
+        CompletableFuture<CallerAnswer> queued = gate.submit(gate.newPost("b"));
         gate.core.detach();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(GateFixture.codeOf(queued)).isEqualTo(ResultCode.BACKEND_UNAVAILABLE);
         assertThat(gate.core.status().serving()).isEmpty();
     }
 
-    /** The next server must not get the grants of the one before, whose fences others may have seen. */
+    /** Guards against granting the ranges of the previous server, whose fencing tokens others may have seen, to the next. */
     @Test
-    void rangesOfAServerThatEndedAreNotGrantedToTheNext() {
-        gate.serving(1);
+    void rangesOfADetachedServerAreNotGrantedToTheNext() {
+        gate.startServing(1);
         gate.core.detach();
         FakeBackend next = attachNext();
         gate.timers.advanceMs(5_000);
@@ -77,25 +82,25 @@
         assertThat(next.lastGrant().ranges()).hasSize(1);
     }
 
-    /** A release that waits for a server must end when the server has ended. */
+    /** Guards against a release that waits forever for an answer of a detached server. */
     @Test
-    void releaseCompletesWhenTheServerHasEnded() {
-        gate.serving(1);
+    void releaseCompletesAfterDetach() {
+        gate.startServing(1);
         gate.backend.answersGrants = false;
         CompletableFuture<TransferredRecords> released = gate.release(KeyRange.ALL);
         assertThat(released).isNotDone();
         gate.core.detach();
-        gate.timers.settle();
+        gate.timers.runQueuedTasks();
         assertThat(released).isCompleted();
     }
 
-    /** Payments without an owner go on while the lease is away: no other server could run them. */
+    /** Requests of an unkeyed service have no owner that another server could replace, so they run without a lease. */
     @Test
-    void serviceWithoutKeysNeedsNoLease() {
-        gate.rules = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
-        gate.attach(1, GateFixture.ALL);
-        gate.lapseLease();
-        gate.submit(gate.post("a"));
+    void unkeyedServiceNeedsNoLease() {
+        gate.serviceConfig = ServiceConfig.withDefaults(GateFixture.SERVICE, false);
+        gate.attach(1, GateFixture.ALL_CAPABILITIES);
+        gate.expireLease();
+        gate.submit(gate.newPost("a"));
         assertThat(gate.backend.calls).hasSize(1);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -35,8 +35,8 @@
 /**
  * Admits requests and executes them at the backend server. Not thread safe.
  *
- * <p>Invariants: a call is sent only if a slot is free and, for a keyed service, if the lease is valid and the range is
- * granted; each execution starts at most once; a call keeps its slot until it ends, even if its callers were answered.
+ * <p>Invariants: a call is sent only if a slot is free and, for a keyed service, the lease is valid and the range is
+ * served and granted; an execution starts at most once; a call keeps its slot until it ends, even if answered before.
  */
 final class RequestService {
     private static final long MOVING_RETRY_AFTER_MS = 200;
