--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/Outcomes.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/Await.java
@@ -11,10 +11,10 @@
 import org.coriandercrank.kernel.code.ResultCode;
 
 /** Waiting for futures and conditions in tests. Stateless. */
-final class Outcomes {
+final class Await {
     private static final long LIMIT_MS = 5_000;
 
-    private Outcomes() {}
+    private Await() {}
 
     static <T> T value(CompletableFuture<T> future) throws Exception {
         return future.get(LIMIT_MS, TimeUnit.MILLISECONDS);
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
@@ -105,7 +105,7 @@
 
     private BackendServer startGranted(Setup setup) throws Exception {
         BackendServer server = start(setup);
-        assertThat(Outcomes.value(server.grant(grant(1, 5, VALIDITY_MS)))).isEqualTo(1);
+        assertThat(Await.value(server.grant(grant(1, 5, VALIDITY_MS)))).isEqualTo(1);
         return server;
     }
 
@@ -115,7 +115,7 @@
 
     private void assertOutcome(RequestId id, CompletableFuture<CallerAnswer> answer, ResultCode code, int count)
             throws Exception {
-        assertThat(Outcomes.code(answer)).isEqualTo(code);
+        assertThat(Await.code(answer)).isEqualTo(code);
         assertThat(executions(id)).hasSize(count);
     }
 
@@ -144,7 +144,7 @@
         BackendServer server = startGranted(honoured ? setup : setup.without(Capability.DEADLINE));
         inject(BackendFault.SLOW);
         BackendCall call = put("r1", 5, 150);
-        assertThat(Outcomes.code(server.execute(call))).isEqualTo(code);
+        assertThat(Await.code(server.execute(call))).isEqualTo(code);
         Thread.sleep(SLOW_MS);
         assertThat(executions(call.request().id())).hasSize(count);
     }
@@ -174,10 +174,10 @@
         long validityMs = grantCase.startsWith("lapse") ? 100 : VALIDITY_MS;
         if (grantCase.equals("other range")) {
             KeyHash other = new KeyHash(KEY.hash().value() + 1);
-            Outcomes.value(server.grant(new Grant(
+            Await.value(server.grant(new Grant(
                     1, List.of(new GrantedRange(new KeyRange(other, other), new Generation(5))), VALIDITY_MS)));
         } else if (!grantCase.equals("never granted")) {
-            Outcomes.value(server.grant(grant(1, 5, validityMs)));
+            Await.value(server.grant(grant(1, 5, validityMs)));
         }
         if (grantCase.equals("lapsed")) {
             Thread.sleep(validityMs + 20);
@@ -185,7 +185,7 @@
         CompletableFuture<CallerAnswer> answer = server.execute(put("r1", 5, DEADLINE_MS));
         if (grantCase.startsWith("revoked")) {
             Thread.sleep(100);
-            Outcomes.value(server.grant(new Grant(2, List.of(), VALIDITY_MS)));
+            Await.value(server.grant(new Grant(2, List.of(), VALIDITY_MS)));
         }
         assertOutcome(new RequestId("r1"), answer, ResultCode.FENCE_REJECTED, 0);
     }
@@ -194,10 +194,10 @@
     @Test
     void refusesOlderGrant() throws Exception {
         BackendServer server = start(Setup.withServiceMs(1));
-        assertThat(Outcomes.value(server.grant(grant(7, 9, VALIDITY_MS)))).isEqualTo(7);
-        assertThat(Outcomes.value(server.grant(grant(6, 5, VALIDITY_MS)))).isEqualTo(7);
+        assertThat(Await.value(server.grant(grant(7, 9, VALIDITY_MS)))).isEqualTo(7);
+        assertThat(Await.value(server.grant(grant(6, 5, VALIDITY_MS)))).isEqualTo(7);
         assertOutcome(server, put("r1", 5, DEADLINE_MS), ResultCode.FENCE_REJECTED, 0);
-        assertThat(Outcomes.value(server.grant(grant(8, 9, VALIDITY_MS)))).isEqualTo(8);
+        assertThat(Await.value(server.grant(grant(8, 9, VALIDITY_MS)))).isEqualTo(8);
     }
 
     /** Guards against a cancelled call that still takes effect although reported as not run. */
@@ -223,11 +223,11 @@
             answers.add(server.execute(put("r" + i, 5, DEADLINE_MS)));
         }
         long sentAtNanos = System.nanoTime();
-        assertThat(Outcomes.value(server.grant(grant(2, 5, VALIDITY_MS)))).isEqualTo(2);
+        assertThat(Await.value(server.grant(grant(2, 5, VALIDITY_MS)))).isEqualTo(2);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos))
                 .isLessThan(LONG_SERVICE_MS * 4 / 5);
         for (int i = 0; i < answers.size(); i++) {
-            ResultCode code = Outcomes.code(answers.get(i));
+            ResultCode code = Await.code(answers.get(i));
             assertThat(code).isIn(ResultCode.OK, ResultCode.BACKEND_UNAVAILABLE, ResultCode.DEADLINE_EXPIRED);
             assertThat(executions(new RequestId("r" + i))).hasSize(code == ResultCode.OK ? 1 : 0);
         }
@@ -239,18 +239,18 @@
     @CsvSource({"POST, /control/drain", "PUT, /control/grant", "GET, /ledger", "POST, /admin/faults"})
     void requestNeverReachesControl(String method, String path) throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(1));
-        Outcomes.value(server.execute(call("r1", method, path, 5, DEADLINE_MS)));
+        Await.value(server.execute(call("r1", method, path, 5, DEADLINE_MS)));
         assertThat(executions(new RequestId("r1"))).containsExactly(5L);
-        assertThat(Outcomes.value(server.health()).draining()).isFalse();
+        assertThat(Await.value(server.health()).draining()).isFalse();
     }
 
     /** Guards against values that change on their way or belong to another key. */
     @Test
     void storesAndReadsTheValueOfAKey() throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(1));
-        Outcomes.value(server.execute(put("r1", 5, DEADLINE_MS)));
-        Outcomes.value(server.execute(call("r2", "POST", "/other/path", 5, DEADLINE_MS)));
-        CallerAnswer answer = Outcomes.value(server.execute(call("r3", "GET", "/", 5, DEADLINE_MS)));
+        Await.value(server.execute(put("r1", 5, DEADLINE_MS)));
+        Await.value(server.execute(call("r2", "POST", "/other/path", 5, DEADLINE_MS)));
+        CallerAnswer answer = Await.value(server.execute(call("r3", "GET", "/", 5, DEADLINE_MS)));
         assertThat(new String(answer.body(), StandardCharsets.UTF_8)).isEqualTo("valuevalue");
     }
 
@@ -260,9 +260,9 @@
         BackendServer server = startGranted(Setup.withServiceMs(200));
         CompletableFuture<CallerAnswer> before = server.execute(put("r1", 5, DEADLINE_MS));
         Thread.sleep(50);
-        Outcomes.value(server.drain());
+        Await.value(server.drain());
         assertOutcome(server, put("r2", 5, DEADLINE_MS), ResultCode.BACKEND_UNAVAILABLE, 0);
         assertOutcome(new RequestId("r1"), before, ResultCode.OK, 1);
-        assertThat(Outcomes.value(server.health())).isEqualTo(new BackendHealth(true, true, 0));
+        assertThat(Await.value(server.health())).isEqualTo(new BackendHealth(true, true, 0));
     }
 }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
@@ -162,22 +162,22 @@
                 List.of(new Header("crank-sent-at", clock.substring(0, colon + 1) + sentAtNanos)),
                 JsonCodec.encode(grant(1, 5, 1_000)));
         assertThat(admin.send(call, TIMEOUT_MS).join().status()).isEqualTo(200);
-        assertThat(Outcomes.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
+        assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
     }
 
     /** Guards against a grant that is lost, or counted on a foreign clock, after the server process was replaced. */
     @Test
     void grantReachesAReplacedProcess() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
-        Outcomes.value(backend.grant(grant(1, 5, 60_000)));
+        Await.value(backend.grant(grant(1, 5, 60_000)));
         String address = program.info().address().toString();
         program.close();
         program = CrankBackend.start(SettingsLoader.load(
                 new BackendSettings(), List.of("--service=counter-desk", "--listen=" + address), Map.of()));
-        Outcomes.eventually(() -> backend.grant(grant(2, 5, 60_000))
+        Await.eventually(() -> backend.grant(grant(2, 5, 60_000))
                 .handle((sequence, e) -> e == null)
                 .join());
-        assertThat(Outcomes.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
+        assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
     }
 
     /** Guards against an answer without a result of the call that is passed on as executed or as not executed. */
@@ -206,7 +206,7 @@
                 (call, closed) -> CompletableFuture.completedFuture(reply))) {
             BackendInfo info = program.info();
             connect(new BackendInfo(info.name(), info.service(), other.address(), 1, 1, info.capabilities()));
-            assertThat(Outcomes.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
+            assertThat(Await.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
         }
     }
 
@@ -215,11 +215,11 @@
     void healthLagsOrLies() throws Exception {
         startProgram("--health-lag-ms=200", "--slots=1");
         connect(program.info());
-        Outcomes.value(server.drain());
-        assertThat(Outcomes.value(server.health()).draining()).isFalse();
-        Outcomes.eventually(() -> server.health().join().draining());
+        Await.value(server.drain());
+        assertThat(Await.value(server.health()).draining()).isFalse();
+        Await.eventually(() -> server.health().join().draining());
         admin("POST", "/admin/health", "{\"healthy\":false,\"draining\":false,\"load\":77}");
-        assertThat(Outcomes.value(server.health())).isEqualTo(new BackendHealth(false, false, 77));
+        assertThat(Await.value(server.health())).isEqualTo(new BackendHealth(false, false, 77));
     }
 
     /** Guards against a server that a daemon never learns of because it started or restarted later. */
@@ -234,7 +234,7 @@
         })) {
             startProgram("--daemon=" + daemon.address(), "--capabilities=fence");
             connect(program.info());
-            Outcomes.eventually(() -> announcements.get() >= 3);
+            Await.eventually(() -> announcements.get() >= 3);
             assertThat(seen).allMatch(program.info()::equals);
         }
     }
@@ -252,7 +252,7 @@
         })) {
             BackendInfo info = program.info();
             connect(new BackendInfo(info.name(), info.service(), other.address(), 1, 1, info.capabilities()));
-            assertThat(Outcomes.value(server.grant(grant(4, 5, 1_000)))).isEqualTo(4);
+            assertThat(Await.value(server.grant(grant(4, 5, 1_000)))).isEqualTo(4);
             String sentAt = calls.get(calls.size() - 1).header("crank-sent-at").orElseThrow();
             assertThat(sentAt).startsWith("i:");
             assertThat(Long.parseLong(sentAt.substring(2))).isBetween(1_000L, 2_000_000_000L);
@@ -263,9 +263,9 @@
     @Test
     void cancellationBeforeItsRequestStopsIt() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
-        Outcomes.value(backend.grant(grant(1, 5, 60_000)));
+        Await.value(backend.grant(grant(1, 5, 60_000)));
         admin("POST", "/control/cancel/r1", "");
-        assertThat(Outcomes.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.BACKEND_UNAVAILABLE);
+        assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.BACKEND_UNAVAILABLE);
         assertThat(executions(new RequestId("r1"))).isEmpty();
     }
 
@@ -275,7 +275,7 @@
         startProgram("--service-ms=20", "--cold-start-ms=60000", "--cold-start-factor=10", "--capabilities=none");
         connect(program.info());
         long sentAtNanos = System.nanoTime();
-        assertThat(Outcomes.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
+        assertThat(Await.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos))
                 .isGreaterThanOrEqualTo(100);
     }
@@ -284,8 +284,8 @@
     @Test
     void ledgerListsExecutions() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(5));
-        Outcomes.value(backend.grant(grant(1, 5, 60_000)));
-        Outcomes.value(backend.execute(put("r1", 5, TIMEOUT_MS)));
+        Await.value(backend.grant(grant(1, 5, 60_000)));
+        Await.value(backend.execute(put("r1", 5, TIMEOUT_MS)));
         String text = admin("GET", "/ledger", "").bodyText();
         assertThat(text).isEqualTo(Files.readString(directory.resolve("ledger")));
         JsonNode entry = JsonCodec.mapper().readTree(text);
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
@@ -59,7 +59,7 @@
         reachable = open(program.address());
         store = reachable;
         // The first calls of a JVM load classes and can exceed the time-out.
-        Outcomes.eventually(
+        Await.eventually(
                 () -> store.get("warm-up").handle((v, e) -> e == null).join());
     }
 
@@ -95,7 +95,7 @@
     }
 
     private void inject(String json) throws Exception {
-        HttpResponse reply = Outcomes.value(admin.send(HttpRequest.of("POST", "/admin/faults", json), ADMIN_LIMIT_MS));
+        HttpResponse reply = Await.value(admin.send(HttpRequest.of("POST", "/admin/faults", json), ADMIN_LIMIT_MS));
         assertThat(reply.status()).isEqualTo(200);
     }
 
@@ -110,15 +110,15 @@
     void watchFromBeforeTheHistoryIsAWholeListing() throws Exception {
         Revision revision = Revision.NONE;
         for (int i = 0; i < 12; i++) {
-            revision = Outcomes.value(store().put("members/a", bytes("v" + i), revision));
+            revision = Await.value(store().put("members/a", bytes("v" + i), revision));
         }
-        assertThat(Outcomes.value(store().watch("members/", new Revision(1), 1_000))
+        assertThat(Await.value(store().watch("members/", new Revision(1), 1_000))
                         .reset())
                 .isTrue();
-        assertThat(Outcomes.value(store().watch("members/", new Revision(2), 1_000))
+        assertThat(Await.value(store().watch("members/", new Revision(2), 1_000))
                         .reset())
                 .isFalse();
-        WatchBatch restarted = Outcomes.value(store().watch("members/", new Revision(99), 1_000));
+        WatchBatch restarted = Await.value(store().watch("members/", new Revision(99), 1_000));
         assertThat(restarted.reset()).isTrue();
         assertThat(restarted.upTo()).isEqualTo(revision);
     }
@@ -127,16 +127,16 @@
     @Test
     void countsCallsAndEndsFaults() throws Exception {
         CompletableFuture<WatchBatch> waiting = store().watch("members/", Revision.NONE, 4_000);
-        Outcomes.eventually(() -> stats().contains("\"waitingWatches\":1"));
+        Await.eventually(() -> stats().contains("\"waitingWatches\":1"));
         inject("{\"kind\":\"unanswered\",\"count\":1}");
-        assertThat(Outcomes.code(store().put("members/a", bytes("1"), Revision.NONE)))
+        assertThat(Await.code(store().put("members/a", bytes("1"), Revision.NONE)))
                 .isEqualTo(ResultCode.WRITE_UNANSWERED);
-        assertThat(Outcomes.value(waiting).changes()).hasSize(1);
-        assertThat(Outcomes.code(store().put("members/b", bytes("1"), Revision.NONE)))
+        assertThat(Await.value(waiting).changes()).hasSize(1);
+        assertThat(Await.code(store().put("members/b", bytes("1"), Revision.NONE)))
                 .isEqualTo(ResultCode.OK);
         inject("{\"kind\":\"down\",\"durationMs\":80}");
-        assertThat(Outcomes.code(store().get("members/a"))).isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        Outcomes.eventually(
+        assertThat(Await.code(store().get("members/a"))).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        Await.eventually(
                 () -> !store().get("members/a").handle((v, e) -> e != null).join());
         assertThat(stats()).contains("\"watch\":1").contains("\"put\":2");
     }
@@ -164,9 +164,9 @@
                         HttpServerOptions.DEFAULTS,
                         (call, closed) -> CompletableFuture.completedFuture(reply));
                 ObjectStore broken = open(server.address())) {
-            assertThat(Outcomes.code(broken.get("a"))).isEqualTo(get);
-            assertThat(Outcomes.code(broken.list("a"))).isEqualTo(list);
-            assertThat(Outcomes.code(broken.put("a", bytes("1"), Revision.NONE)))
+            assertThat(Await.code(broken.get("a"))).isEqualTo(get);
+            assertThat(Await.code(broken.list("a"))).isEqualTo(list);
+            assertThat(Await.code(broken.put("a", bytes("1"), Revision.NONE)))
                     .isEqualTo(put);
         }
     }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
@@ -96,12 +96,12 @@
     })
     void reportsWhatHappened(StoreFault fault, Operation operation, ResultCode expected, boolean effect)
             throws Exception {
-        Revision before = Outcomes.value(store().put(NAME, OLD, Revision.NONE));
+        Revision before = Await.value(store().put(NAME, OLD, Revision.NONE));
         inject(fault);
-        assertThat(Outcomes.code(start(operation, before))).isEqualTo(expected);
+        assertThat(Await.code(start(operation, before))).isEqualTo(expected);
         inject(StoreFault.NONE);
         if (effect) {
-            Outcomes.eventually(() -> !currentRevision().equals(before));
+            Await.eventually(() -> !currentRevision().equals(before));
         } else {
             Thread.sleep(fault == StoreFault.NONE ? 0 : FAULT_DELAY_MS / 4);
             assertThat(currentRevision()).isEqualTo(before);
@@ -116,11 +116,11 @@
     @ParameterizedTest
     @CsvSource({"PUT, 0", "PUT, 1", "PUT, 99", "DELETE, 0", "DELETE, 1", "DELETE, 99"})
     void refusesOtherRevision(Operation operation, long expected) throws Exception {
-        Revision first = Outcomes.value(store().put(NAME, OLD, Revision.NONE));
-        Revision second = Outcomes.value(store().put(NAME, NEW, first));
+        Revision first = Await.value(store().put(NAME, OLD, Revision.NONE));
+        Revision second = Await.value(store().put(NAME, NEW, first));
         assertThat(second.isNewerThan(first)).isTrue();
         Revision stated = expected == 1 ? first : new Revision(expected);
-        assertThat(Outcomes.code(start(operation, stated))).isEqualTo(ResultCode.REVISION_CONFLICT);
+        assertThat(Await.code(start(operation, stated))).isEqualTo(ResultCode.REVISION_CONFLICT);
         assertThat(currentRevision()).isEqualTo(second);
     }
 
@@ -129,20 +129,20 @@
     void keepsValuesUpToTheLimit() throws Exception {
         byte[] value = new byte[1_000_000];
         value[7] = -1;
-        Outcomes.value(store().put(NAME, value, Revision.NONE));
-        assertThat(Outcomes.value(store().get(NAME)).orElseThrow().value()).isEqualTo(value);
-        assertThat(Outcomes.code(store().put("large", new byte[2_000_000], Revision.NONE)))
+        Await.value(store().put(NAME, value, Revision.NONE));
+        assertThat(Await.value(store().get(NAME)).orElseThrow().value()).isEqualTo(value);
+        assertThat(Await.code(store().put("large", new byte[2_000_000], Revision.NONE)))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(Outcomes.value(store().get("large"))).isEmpty();
+        assertThat(Await.value(store().get("large"))).isEmpty();
     }
 
     /** Guards against a listing that misses objects or takes in other prefixes. */
     @Test
     void listsOnePrefixByRevision() throws Exception {
-        Outcomes.value(store().put("members/b", OLD, Revision.NONE));
-        Outcomes.value(store().put("members/a", OLD, Revision.NONE));
-        Revision last = Outcomes.value(store().put("notes/a", OLD, Revision.NONE));
-        WatchBatch listing = Outcomes.value(store().list("members/"));
+        Await.value(store().put("members/b", OLD, Revision.NONE));
+        Await.value(store().put("members/a", OLD, Revision.NONE));
+        Revision last = Await.value(store().put("notes/a", OLD, Revision.NONE));
+        WatchBatch listing = Await.value(store().list("members/"));
         assertThat(listing.changes()).extracting(StoredObject::name).containsExactly("members/b", "members/a");
         assertThat(listing.upTo()).isEqualTo(last);
     }
@@ -150,16 +150,16 @@
     /** Guards against a watch that misses a change or a deletion made before or while it waits. */
     @Test
     void watchReportsChangesAndDeletions() throws Exception {
-        Revision first = Outcomes.value(store().put("members/a", OLD, Revision.NONE));
+        Revision first = Await.value(store().put("members/a", OLD, Revision.NONE));
         CompletableFuture<WatchBatch> waiting = store().watch("members/", first, 4_000);
-        Outcomes.value(store().put("notes/a", OLD, Revision.NONE));
-        Outcomes.value(store().put("members/b", NEW, Revision.NONE));
-        WatchBatch change = Outcomes.value(waiting);
+        Await.value(store().put("notes/a", OLD, Revision.NONE));
+        Await.value(store().put("members/b", NEW, Revision.NONE));
+        WatchBatch change = Await.value(waiting);
         assertThat(change.changes()).extracting(StoredObject::name).containsExactly("members/b");
-        Outcomes.value(store().delete("members/a", first));
-        WatchBatch deletion = Outcomes.value(store().watch("members/", change.upTo(), 4_000));
+        Await.value(store().delete("members/a", first));
+        WatchBatch deletion = Await.value(store().watch("members/", change.upTo(), 4_000));
         assertThat(deletion.changes()).extracting(StoredObject::deleted).containsExactly(true);
-        assertThat(Outcomes.value(store().watch("members/", deletion.upTo(), 30))
+        assertThat(Await.value(store().watch("members/", deletion.upTo(), 30))
                         .changes())
                 .isEmpty();
     }
@@ -170,6 +170,6 @@
         for (int i = 0; i < 40; i++) {
             store().watch("members/", Revision.NONE, 1_000);
         }
-        assertThat(Outcomes.code(store().get(NAME))).isEqualTo(ResultCode.OK);
+        assertThat(Await.code(store().get(NAME))).isEqualTo(ResultCode.OK);
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.adapters.internal.BackendReplies;
-import org.coriandercrank.adapters.internal.ServerClock;
-import org.coriandercrank.adapters.internal.UrlNames;
+import org.coriandercrank.adapters.internal.BackendResponses;
+import org.coriandercrank.adapters.internal.ServerClockEstimate;
+import org.coriandercrank.adapters.internal.UrlEncoding;
 import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClientException;
 import org.coriandercrank.http.HttpClient;
@@ -63,7 +63,7 @@
     private final int requestConnections;
     private final int warmConnections;
     private final TimerService.Subscription warming;
-    private final ServerClock serverClock;
+    private final ServerClockEstimate serverClock;
 
     /** Connects; the group and the timers are the property of the caller. */
     public HttpBackendServer(EventLoopGroup group, TimerService timers, BackendInfo info) {
@@ -75,7 +75,7 @@
         control = controlConnections == 0
                 ? requests
                 : new HttpClient(group, info.address(), options(controlConnections, MAX_WAITING_CONTROL_CALLS));
-        serverClock = new ServerClock(timers.clock());
+        serverClock = new ServerClockEstimate(timers.clock());
         requests.warmUp(warmConnections);
         warming = timers.every(WARM_PERIOD_MS, Runnable::run, () -> requests.warmUp(warmConnections));
     }
@@ -89,7 +89,7 @@
         CallerRequest request = call.request();
         HttpRequest httpCall = new HttpRequest(request.method(), request.path(), headers(call), request.body());
         long timeoutMs = Math.min(request.remainingMs(), MAX_DEADLINE_MS) + DEADLINE_GRACE_MS;
-        return BackendReplies.execution(request.id(), requests.send(httpCall, timeoutMs));
+        return BackendResponses.execution(request.id(), requests.send(httpCall, timeoutMs));
     }
 
     /** Headers of the protocol replace those of the caller with the same names. */
@@ -97,15 +97,15 @@
         CallerRequest request = call.request();
         List<Header> headers = new ArrayList<>(request.headers().size() + 4);
         for (Header header : request.headers()) {
-            if (!BackendReplies.REQUEST_HEADERS.contains(header.name())) {
+            if (!BackendResponses.REQUEST_HEADERS.contains(header.name())) {
                 headers.add(header);
             }
         }
-        headers.add(new Header(BackendReplies.REQUEST_ID, request.id().value()));
-        headers.add(new Header(BackendReplies.DEADLINE_MS, Long.toString(request.remainingMs())));
+        headers.add(new Header(BackendResponses.REQUEST_ID, request.id().value()));
+        headers.add(new Header(BackendResponses.DEADLINE_MS, Long.toString(request.remainingMs())));
         request.key().ifPresent(key -> {
-            headers.add(new Header(BackendReplies.KEY, UrlNames.encode(key.value())));
-            headers.add(new Header(BackendReplies.FENCE, call.fence().toString()));
+            headers.add(new Header(BackendResponses.KEY, UrlEncoding.encode(key.value())));
+            headers.add(new Header(BackendResponses.FENCE, call.fence().toString()));
         });
         return headers;
     }
@@ -123,7 +123,7 @@
         return answer.thenCompose(reply -> reply.status() == STATUS_OTHER_CLOCK
                         ? sendGrant(grant)
                         : CompletableFuture.completedFuture(reply))
-                .thenApply(BackendReplies::sequence);
+                .thenApply(BackendResponses::sequence);
     }
 
     private CompletableFuture<HttpResponse> sendGrant(Grant grant) {
@@ -132,13 +132,13 @@
 
     @Override
     public CompletableFuture<Void> drain() {
-        return controlCall(HttpRequest.of("POST", "/control/drain")).thenAccept(BackendReplies::requireOk);
+        return controlCall(HttpRequest.of("POST", "/control/drain")).thenAccept(BackendResponses::requireOk);
     }
 
     @Override
     public CompletableFuture<BackendHealth> health() {
         return controlCall(HttpRequest.of("GET", "/health")).thenApply(reply -> {
-            BackendReplies.requireOk(reply);
+            BackendResponses.requireOk(reply);
             JsonNode node = JsonCodec.decode(reply.body(), JsonNode.class);
             return new BackendHealth(
                     node.path("healthy").asBoolean(),
@@ -158,7 +158,7 @@
     }
 
     private CompletableFuture<HttpResponse> controlCall(HttpRequest call) {
-        return BackendReplies.control(control.send(call, CONTROL_TIMEOUT_MS)).whenComplete((reply, failure) -> {
+        return BackendResponses.control(control.send(call, CONTROL_TIMEOUT_MS)).whenComplete((reply, failure) -> {
             if (failure == null) {
                 serverClock.observe(reply);
             }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.adapters.internal.StoreReplies;
-import org.coriandercrank.adapters.internal.UrlNames;
+import org.coriandercrank.adapters.internal.StoreResponses;
+import org.coriandercrank.adapters.internal.UrlEncoding;
 import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
@@ -59,16 +59,16 @@
 
     @Override
     public CompletableFuture<Optional<StoredObject>> get(String name) {
-        return StoreReplies.read(
+        return StoreResponses.read(
                 calls.send(HttpRequest.of("GET", objectTarget(name)), callTimeoutMs),
-                reply -> StoreReplies.object(name, reply));
+                reply -> StoreResponses.object(name, reply));
     }
 
     @Override
     public CompletableFuture<WatchBatch> list(String prefix) {
         QueryStringEncoder target = new QueryStringEncoder("/v1/list");
         target.addParam("prefix", prefix);
-        return StoreReplies.read(calls.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreReplies::batch);
+        return StoreResponses.read(calls.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreResponses::batch);
     }
 
     @Override
@@ -78,12 +78,12 @@
                     ResultCode.STORE_UNAVAILABLE,
                     "value of " + name + " has " + value.length + " bytes, limit " + MAX_VALUE_BYTES));
         }
-        return StoreReplies.write(name, calls.send(write("PUT", name, value, expected), callTimeoutMs));
+        return StoreResponses.write(name, calls.send(write("PUT", name, value, expected), callTimeoutMs));
     }
 
     @Override
     public CompletableFuture<Void> delete(String name, Revision expected) {
-        return StoreReplies.write(name, calls.send(write("DELETE", name, new byte[0], expected), callTimeoutMs))
+        return StoreResponses.write(name, calls.send(write("DELETE", name, new byte[0], expected), callTimeoutMs))
                 .thenApply(revision -> null);
     }
 
@@ -93,8 +93,8 @@
         target.addParam("prefix", prefix);
         target.addParam("after", after.toString());
         target.addParam("wait-ms", Long.toString(waitMs));
-        return StoreReplies.read(
-                watches.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs), StoreReplies::batch);
+        return StoreResponses.read(
+                watches.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs), StoreResponses::batch);
     }
 
     @Override
@@ -109,11 +109,11 @@
                 objectTarget(name),
                 List.of(
                         new Header("content-type", "application/octet-stream"),
-                        new Header(StoreReplies.EXPECTED_HEADER, expected.toString())),
+                        new Header(StoreResponses.EXPECTED_HEADER, expected.toString())),
                 value);
     }
 
     private static String objectTarget(String name) {
-        return "/v1/objects/" + UrlNames.encodePath(name);
+        return "/v1/objects/" + UrlEncoding.encodePath(name);
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendReplies.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendResponses.java
@@ -16,7 +16,7 @@
  *
  * <p>A call is reported as not executed only if it was not sent or the server said so in {@code Crank-Not-Run}.
  */
-public final class BackendReplies {
+public final class BackendResponses {
     public static final String REQUEST_ID = "crank-request-id";
     public static final String KEY = "crank-key";
     public static final String FENCE = "crank-fence";
@@ -34,7 +34,7 @@
     private static final int FIRST_STATUS = 200;
     private static final int LAST_STATUS = 599;
 
-    private BackendReplies() {}
+    private BackendResponses() {}
 
     /** Outcome of an execution. */
     public static CompletableFuture<CallerAnswer> execution(RequestId id, CompletableFuture<HttpResponse> call) {
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClock.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
@@ -13,7 +13,7 @@
  * control answer plus the local time since that answer arrived, so it never runs ahead of the server's clock beyond
  * drift. Thread safe.
  */
-public final class ServerClock {
+public final class ServerClockEstimate {
     private static final String CLOCK_HEADER = "crank-clock";
     private static final String SENT_AT_HEADER = "crank-sent-at";
 
@@ -23,7 +23,7 @@
     private final MonotonicClock clock;
     private volatile Observation latest;
 
-    public ServerClock(MonotonicClock clock) {
+    public ServerClockEstimate(MonotonicClock clock) {
         this.clock = clock;
     }
 
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreReplies.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
@@ -18,13 +18,13 @@
  * <p>A write is reported as without effect only if the request was not sent or the store said so; every other failure
  * of a write, an unreadable answer included, is {@code WRITE_UNANSWERED}.
  */
-public final class StoreReplies {
+public final class StoreResponses {
     public static final String EXPECTED_HEADER = "crank-expected-revision";
 
     private static final String REVISION_HEADER = "crank-revision";
     private static final String NOT_RUN_HEADER = "crank-not-run";
 
-    private StoreReplies() {}
+    private StoreResponses() {}
 
     /** Outcome of a read; a read has no effect, so every lost answer is {@code STORE_UNAVAILABLE}. */
     public static <T> CompletableFuture<T> read(
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/UrlNames.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/UrlEncoding.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Percent encoding of names in paths and headers. Stateless. */
-public final class UrlNames {
-    private UrlNames() {}
+public final class UrlEncoding {
+    private UrlEncoding() {}
 
     /** Encodes all but unreserved characters. */
     public static String encode(String text) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/Fleet.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/Fleet.java
@@ -25,7 +25,7 @@
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
-import org.coriandercrank.note.NoteApplication;
+import org.coriandercrank.note.NoteApplier;
 
 /** What the store and the daemons say at present. Thread safe; methods block. */
 public final class Fleet {
@@ -91,7 +91,7 @@
     }
 
     /** What notes are checked against. */
-    NoteApplication.Environment noteEnvironment() {
+    NoteApplier.Environment noteEnvironment() {
         Configuration configuration = configuration().configuration();
         Set<ServiceName> servicesInUse = members().stream()
                 .filter(member -> member.state() == MemberState.ACTIVE)
@@ -99,7 +99,7 @@
                 .filter(backend -> !configuration.isDraining(backend.name()))
                 .map(backend -> backend.service())
                 .collect(Collectors.toSet());
-        return new NoteApplication.Environment(
+        return new NoteApplier.Environment(
                 servicesInUse, plugins.names(Kind.PLACEMENT), plugins.names(Kind.BALANCING));
     }
 
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -18,12 +18,12 @@
 import org.coriandercrank.kernel.store.StoredObject;
 import org.coriandercrank.note.AcceptanceHistory;
 import org.coriandercrank.note.AcceptanceHistory.Acceptance;
-import org.coriandercrank.note.NoteApplication;
-import org.coriandercrank.note.NoteFault;
+import org.coriandercrank.note.NoteApplier;
+import org.coriandercrank.note.NoteError;
 import org.coriandercrank.note.NoteParser;
 import org.coriandercrank.note.NoteRecord;
 import org.coriandercrank.note.ReleaseNote;
-import org.coriandercrank.note.SubmitNote;
+import org.coriandercrank.note.NoteSubmitter;
 import org.coriandercrank.note.SubmitResult;
 
 /** Commands {@code note ...}. Not thread safe. */
@@ -60,11 +60,11 @@
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(noteText.get());
         if (note.isEmpty()) {
-            return faults(parser.code(), parser.faults());
+            return faults(parser.code(), parser.errors());
         }
-        NoteApplication application = new NoteApplication(current.configuration(), fleet.noteEnvironment());
+        NoteApplier application = new NoteApplier(current.configuration(), fleet.noteEnvironment());
         if (application.apply(note.get()).isEmpty()) {
-            return faults(ResultCode.NOTE_INVALID, application.faults());
+            return faults(ResultCode.NOTE_INVALID, application.errors());
         }
         if (!note.get().basedOn().equals(current.revision())) {
             return conflict(current.revision(), List.of());
@@ -76,7 +76,7 @@
     /** Submits a note and waits until it is in force on all live daemons or the time is over. */
     public CtlResult submit() {
         SubmitResult result =
-                new SubmitNote(fleet.store(), fleet::noteEnvironment, settings.timeoutMs()).call(noteText.get());
+                new NoteSubmitter(fleet.store(), fleet::noteEnvironment, settings.timeoutMs()).submit(noteText.get());
         if (result.code() == ResultCode.NOTE_CONFLICT) {
             return conflict(result.revision(), result.newerNotes());
         }
@@ -129,7 +129,7 @@
     }
 
     private static String listLine(NoteRecord note) {
-        boolean accepted = note.fate() == NoteRecord.Fate.ACCEPTED;
+        boolean accepted = note.fate() == NoteRecord.State.ACCEPTED;
         return note.id() + " " + note.fate() + (accepted ? " at " + note.accepted() : "") + " based on "
                 + note.basedOn();
     }
@@ -141,8 +141,8 @@
     /** The configuration decides; the record only where its list of notes no longer reaches back. */
     private static Optional<Revision> acceptedAt(AcceptanceHistory history, NoteId id, Optional<NoteRecord> record) {
         return history.find(id)
-                .map(Acceptance::accepted)
-                .or(() -> record.filter(note -> note.fate() == NoteRecord.Fate.ACCEPTED)
+                .map(Acceptance::revision)
+                .or(() -> record.filter(note -> note.fate() == NoteRecord.State.ACCEPTED)
                         .map(NoteRecord::accepted));
     }
 
@@ -160,11 +160,11 @@
     public CtlResult diff() {
         Configuration current = fleet.configuration().configuration();
         NoteParser parser = new NoteParser();
-        NoteApplication application = new NoteApplication(current, fleet.noteEnvironment());
+        NoteApplier application = new NoteApplier(current, fleet.noteEnvironment());
         Optional<Configuration> next = parser.parse(noteText.get()).flatMap(application::apply);
         if (next.isEmpty()) {
-            List<NoteFault> all = new ArrayList<>(parser.faults());
-            all.addAll(application.faults());
+            List<NoteError> all = new ArrayList<>(parser.errors());
+            all.addAll(application.errors());
             return faults(parser.code(), all);
         }
         List<String> lines = new ArrayList<>();
@@ -229,9 +229,9 @@
         return new String(JsonCodec.encode(value), StandardCharsets.UTF_8);
     }
 
-    private static CtlResult faults(ResultCode code, List<NoteFault> faults) {
+    private static CtlResult faults(ResultCode code, List<NoteError> faults) {
         return new CtlResult(
-                code, faults, faults.stream().map(NoteFault::toString).toList());
+                code, faults, faults.stream().map(NoteError::toString).toList());
     }
 
     private static CtlResult conflict(Revision current, List<AcceptedNote> newerNotes) {
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowsTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
@@ -21,7 +21,7 @@
  * Guards against rows with a fence below one that the server has seen on their keys. It refuses such a row, rejects each
  * request of the keys, and nothing renews the fence as long as the table stands.
  */
-class GrantRowsTest {
+class GrantRowMergerTest {
     private static final int MANY = 160;
 
     private static GrantedRange row(long first, long last, long fence, String token) {
@@ -34,7 +34,7 @@
 
     @Test
     void neighboursOfOneFenceAreOneRow() {
-        GrantRows rows = new GrantRows(MANY);
+        GrantRowMerger rows = new GrantRowMerger(MANY);
         assertThat(rows.join(
                         List.of(row(20, 29, 7), row(0, 9, 7), row(10, 19, 7), row(30, 39, 8), row(40, 49, 8, "5c")),
                         List.of()))
@@ -43,7 +43,7 @@
 
     @Test
     void neighboursOfDifferentFencesAreOneRowOnlyAboveTheBound() {
-        GrantRows rows = new GrantRows(2);
+        GrantRowMerger rows = new GrantRowMerger(2);
         List<GrantedRange> granted = List.of(row(0, 9, 7), row(10, 19, 9), row(20, 29, 8));
         assertThat(rows.join(granted, List.of())).containsExactly(row(0, 29, 9));
     }
@@ -51,7 +51,7 @@
     /** Seen on the bench: a range left a joined row, and its former neighbour was rejected for ten seconds. */
     @Test
     void restOfAJoinedRowKeepsItsFence() {
-        GrantRows rows = new GrantRows(1);
+        GrantRowMerger rows = new GrantRowMerger(1);
         rows.join(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
         assertThat(rows.join(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
         assertThat(rows.join(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
@@ -59,7 +59,7 @@
 
     @Test
     void restartedDaemonKeepsTheFencesThatTheServerHolds() {
-        GrantRows rows = new GrantRows(MANY);
+        GrantRowMerger rows = new GrantRowMerger(MANY);
         assertThat(rows.join(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
     }
 
@@ -70,7 +70,7 @@
         for (int i = 0; i < 20_000; i++) {
             granted.add(row(2L * i, 2L * i, i + 1));
         }
-        GrantRows rows = new GrantRows(MANY);
+        GrantRowMerger rows = new GrantRowMerger(MANY);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
             for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
                 assertThat(rows.join(granted, granted)).hasSize(20_000);
@@ -83,7 +83,7 @@
     @ValueSource(ints = {1, 2, 3, 5, 8})
     void fenceOfAKeyNeverFalls(int maxRows) {
         Random random = new Random(maxRows);
-        GrantRows rows = new GrantRows(maxRows);
+        GrantRowMerger rows = new GrantRowMerger(maxRows);
         Map<Long, Long> owned = new HashMap<>();
         Map<Long, Long> seen = new HashMap<>();
         long generation = 0;
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/PresenceWatchTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/BackendFailureDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Guards against a lost server that keeps its ranges, and against a living one that loses them. */
-class PresenceWatchTest {
+class BackendFailureDetectorTest {
     /** A sign of life, or its absence, at a time. An empty presence is an announcement. */
     record Sign(long atMs, Optional<ProbeResult> presence) {}
 
@@ -71,13 +71,13 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("histories")
     void tellsALostServerFromALivingOne(String name, boolean honoursValidity, List<Sign> signs, String expected) {
-        PresenceWatch watch = new PresenceWatch(honoursValidity);
+        BackendFailureDetector watch = new BackendFailureDetector(honoursValidity);
         Optional<String> reason = Optional.empty();
         for (Sign sign : signs) {
             assertThat(reason).isEmpty();
             long nowNanos = TimeUnit.MILLISECONDS.toNanos(sign.atMs());
             if (sign.presence().isPresent()) {
-                reason = watch.onPresence(sign.presence().get(), nowNanos);
+                reason = watch.onProbeResult(sign.presence().get(), nowNanos);
             } else {
                 watch.onAnnounced();
             }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
@@ -47,31 +47,31 @@
     /** A restarted daemon knows nothing yet; an empty list would make the server drop what it holds. */
     @Test
     void heartbeatBeforeTheFirstGrantRenewsNothing() {
-        assertThat(grants.answer(next++, held(LOW), List.of())).isEmpty();
+        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).isEmpty();
     }
 
     @Test
     void validityCountsFromTheOffer() {
         grants.offer(grant(1, 5_000, LOW));
         nowNanos.set(1_200 * MS);
-        assertThat(grants.answer(next++, held(), List.of()))
+        assertThat(grants.onHeartbeat(next++, held(), List.of()))
                 .map(Renewal::validityMs)
                 .contains(3_800L);
         nowNanos.set(5_000 * MS);
-        assertThat(grants.answer(next++, held(LOW), List.of())).isEmpty();
+        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).isEmpty();
     }
 
     /** The gate may hand a range on once its grant is acknowledged, so the server must have released it. */
     @Test
     void grantIsAcknowledgedOnlyWhenTheServerHoldsNothingElse() {
         CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
-        grants.answer(next++, held(), List.of());
+        grants.onHeartbeat(next++, held(), List.of());
         assertThat(both).isCompletedWithValue(1L);
 
         CompletableFuture<Long> lowOnly = grants.offer(grant(2, 5_000, LOW));
-        assertThat(grants.answer(next++, held(LOW, HIGH), List.of())).isPresent();
+        assertThat(grants.onHeartbeat(next++, held(LOW, HIGH), List.of())).isPresent();
         assertThat(lowOnly).isNotDone();
-        grants.answer(next++, held(LOW), List.of(new Handover(HIGH, "t1")));
+        grants.onHeartbeat(next++, held(LOW), List.of(new Handover(HIGH, "t1")));
         assertThat(lowOnly).isCompletedWithValue(2L);
     }
 
@@ -79,7 +79,7 @@
     @Test
     void rowOverSeveralGrantedRangesCountsAsGranted() {
         CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
-        grants.answer(next++, held(range(50, 150)), List.of());
+        grants.onHeartbeat(next++, held(range(50, 150)), List.of());
         assertThat(both).isCompleted();
     }
 
@@ -87,13 +87,13 @@
     void revocationOfEverythingIsDeliveredWithoutALease() {
         grants.offer(grant(1, 0));
         nowNanos.set(9_000 * MS);
-        assertThat(grants.answer(next++, held(LOW), List.of())).contains(new Renewal(List.of(), 0));
+        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).contains(new Renewal(List.of(), 0));
     }
 
     @Test
     void handoverIsTakenOnceAndTheNewestCounts() {
-        grants.answer(next++, held(), List.of(new Handover(LOW, "t1"), new Handover(HIGH, "t2")));
-        grants.answer(next++, held(), List.of(new Handover(LOW, "t3")));
+        grants.onHeartbeat(next++, held(), List.of(new Handover(LOW, "t1"), new Handover(HIGH, "t2")));
+        grants.onHeartbeat(next++, held(), List.of(new Handover(LOW, "t3")));
         assertThat(grants.takeHandovers(LOW)).containsExactly(new Handover(LOW, "t3"));
         assertThat(grants.takeHandovers(LOW)).isEmpty();
         assertThat(grants.takeHandovers(HIGH)).containsExactly(new Handover(HIGH, "t2"));
@@ -114,7 +114,7 @@
     void leftGrantsCountUntilAHeartbeatOrTheirEnd() {
         assertThat(grants.mayHold(LOW)).isTrue();
         nowNanos.set(1_000 * MS);
-        grants.answer(next++, held(LOW), List.of());
+        grants.onHeartbeat(next++, held(LOW), List.of());
         assertThat(grants.mayHold(LOW)).isTrue();
         assertThat(grants.mayHold(HIGH)).isFalse();
         nowNanos.set(5_999 * MS);
@@ -132,7 +132,7 @@
     @Test
     void overtakenHeartbeatRenewsNothing() {
         grants.offer(grant(1, 5_000, LOW));
-        assertThat(grants.answer(9, held(), List.of())).isPresent();
-        assertThat(grants.answer(8, held(), List.of())).isEmpty();
+        assertThat(grants.onHeartbeat(9, held(), List.of())).isPresent();
+        assertThat(grants.onHeartbeat(8, held(), List.of())).isEmpty();
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.control.ControlStatus;
 import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.daemon.internal.LocalGate;
-import org.coriandercrank.daemon.internal.MemberParts;
+import org.coriandercrank.daemon.internal.MemberComponents;
 import org.coriandercrank.gate.Gate;
 import org.coriandercrank.gate.GateDependencies;
 import org.coriandercrank.ingress.Ingress;
@@ -54,8 +54,8 @@
     private final ControlPlane control;
     private final LocalGate gate;
     private final Ingress ingress;
-    private final AtomicReference<MemberParts> member = new AtomicReference<>();
-    private final AtomicReference<BackendInfo> attached = new AtomicReference<>();
+    private final AtomicReference<MemberComponents> memberComponents = new AtomicReference<>();
+    private final AtomicReference<BackendInfo> attachedBackend = new AtomicReference<>();
 
     /**
      * Makes the parts without starting them.
@@ -73,22 +73,22 @@
                 handlers,
                 options.peer(),
                 services.metrics());
-        control = options.joinsAtOnce()
-                ? ControlPlane.create(options.control(), options.identity(), controlServices())
-                : ControlPlane.createWithDeferredJoin(options.control(), options.identity(), controlServices());
+        control = options.joinsOnStart()
+                ? ControlPlane.create(options.control(), options.identity(), controlDependencies())
+                : ControlPlane.createWithDeferredJoin(options.control(), options.identity(), controlDependencies());
         controlReference.set(control);
         gate = new LocalGate(this::createGate);
         ingress = new Ingress(ingressDependencies(), options.ingress());
         control.addIncarnationListener((id, reason) -> {
             logger.atWarning().log("event=sealed member=%s reason=\"%s\"", id, reason);
-            sealParts();
+            sealOwnership();
             whenSealed.run();
         });
     }
 
     /** Starts all parts; blocks until the ports are bound. Returns the address for callers with the port in use. */
     public HostAddress start(HostAddress callerListen) {
-        if (options.joinsAtOnce()) {
+        if (options.joinsOnStart()) {
             startMember();
         }
         control.start();
@@ -98,9 +98,9 @@
     }
 
     private void startMember() {
-        MemberParts parts = new MemberParts(
+        MemberComponents parts = new MemberComponents(
                 placementContext(), control.lease(), gate, services.plugins(), options.ownership(), options.planner());
-        MemberParts former = member.getAndSet(parts);
+        MemberComponents former = memberComponents.getAndSet(parts);
         if (former != null) {
             former.close();
         }
@@ -120,25 +120,25 @@
     }
 
     /** Gives up all ranges; nothing is held by a host without a member. */
-    private void sealParts() {
-        Optional.ofNullable(member.get()).ifPresent(MemberParts::seal);
+    private void sealOwnership() {
+        Optional.ofNullable(memberComponents.get()).ifPresent(MemberComponents::seal);
     }
 
     /** Gives up all ranges and seals the own record; completes when it is sealed. */
-    public CompletableFuture<Void> retireMember() {
-        sealParts();
+    public CompletableFuture<Void> sealMember() {
+        sealOwnership();
         return control.sealSelf();
     }
 
     /** Ends the member at once; the next one takes its ranges over and seals its record. */
     public CompletableFuture<Void> abandonMember() {
-        sealParts();
+        sealOwnership();
         return control.abandon();
     }
 
     /** Uses a backend server in place of the one before, without announcing it. */
     public void attach(BackendInfo info, BackendServer server) {
-        attached.set(info);
+        attachedBackend.set(info);
         gate.attach(info, server);
     }
 
@@ -149,12 +149,12 @@
 
     /** Drops the backend server, which has certainly ended or whose grants have certainly lapsed. */
     public void detach() {
-        attached.set(null);
+        attachedBackend.set(null);
         gate.detach();
     }
 
     public Optional<BackendInfo> backend() {
-        return Optional.ofNullable(attached.get());
+        return Optional.ofNullable(attachedBackend.get());
     }
 
     public MemberId self() {
@@ -178,7 +178,7 @@
                 .collect(Collectors.toMap(AssignmentTable::service, AssignmentTable::generation));
         long leaseRemainingMs =
                 (control.lease().validUntilNanos() - services.timers().clock().nowNanos()) / NANOS_PER_MS;
-        MemberParts parts = member.get();
+        MemberComponents parts = memberComponents.get();
         return new DaemonStatus(
                 control.self(),
                 options.identity().region(),
@@ -211,7 +211,7 @@
     }
 
     /** Serves on, and asks callers to close their connections with the next answer. */
-    public void closeCallerConnections() {
+    public void disableKeepAlive() {
         ingress.disableKeepAlive();
     }
 
@@ -221,7 +221,7 @@
     }
 
     /** Refuses new requests of callers; completes when the earlier ones are answered. */
-    public CompletableFuture<Void> drainCallers() {
+    public CompletableFuture<Void> drainIngress() {
         return ingress.drain();
     }
 
@@ -249,7 +249,7 @@
     @Override
     public void close() {
         ingress.close();
-        Optional.ofNullable(member.get()).ifPresent(MemberParts::close);
+        Optional.ofNullable(memberComponents.get()).ifPresent(MemberComponents::close);
         control.close();
         gate.close();
         peers.close();
@@ -264,11 +264,11 @@
                         services.timers(),
                         services.routingLog(),
                         services.metrics(),
-                        services.duties()),
+                        services.executors()),
                 options.gate());
     }
 
-    private ControlDependencies controlServices() {
+    private ControlDependencies controlDependencies() {
         return new ControlDependencies(
                 services.store(),
                 peers,
@@ -276,8 +276,8 @@
                 services.timers(),
                 services.placementLog(),
                 services.metrics(),
-                services.holderClock(),
-                services.duties());
+                services.leaseClock(),
+                services.executors());
     }
 
     private PlacementContext placementContext() {
@@ -290,7 +290,7 @@
                 services.timers(),
                 services.placementLog(),
                 services.metrics(),
-                services.duties());
+                services.executors());
     }
 
     private IngressDependencies ingressDependencies() {
@@ -307,6 +307,6 @@
                 options.identity().region(),
                 options.identity().failureDomain(),
                 options.protocol(),
-                services.duties());
+                services.executors());
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopDuty.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopExecutor.java
@@ -11,7 +11,7 @@
  *
  * <p>Thread safe. A task never runs within the call that offers it, so tasks of several duties do not interleave.
  */
-public final class EventLoopDuty implements SerialExecutor {
+public final class EventLoopExecutor implements SerialExecutor {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final String name;
@@ -20,7 +20,7 @@
     private final AtomicInteger waiting = new AtomicInteger();
     private volatile boolean closed;
 
-    public EventLoopDuty(String name, EventLoop loop, int capacity) {
+    public EventLoopExecutor(String name, EventLoop loop, int capacity) {
         this.name = name;
         this.loop = loop;
         this.capacity = capacity;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRows.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
@@ -16,12 +16,12 @@
  * of a row that was joined keeps the fence of that row. This is safe, because each fence names a generation of the table in
  * which this server owned the row, and later owners get newer ones. Not thread safe.
  */
-final class GrantRows {
+final class GrantRowMerger {
     private final int maxRows;
-    private List<GrantedRange> told = List.of();
+    private List<GrantedRange> lastSent = List.of();
 
     /** @param maxRows rows above which neighbours of different fences are joined */
-    GrantRows(int maxRows) {
+    GrantRowMerger(int maxRows) {
         this.maxRows = maxRows;
     }
 
@@ -31,10 +31,10 @@
      * @param held rows that the server says it holds, among them those that a former process of the daemon granted
      */
     List<GrantedRange> join(List<GrantedRange> granted, List<GrantedRange> held) {
-        List<GrantedRange> sorted = raised(raised(sorted(granted), told), sorted(held));
+        List<GrantedRange> sorted = raised(raised(sorted(granted), lastSent), sorted(held));
         List<GrantedRange> rows = joined(sorted, (a, b) -> a.fence().equals(b.fence()));
-        told = rows.size() <= maxRows ? rows : joined(sorted, (a, b) -> true);
-        return told;
+        lastSent = rows.size() <= maxRows ? rows : joined(sorted, (a, b) -> true);
+        return lastSent;
     }
 
     private static List<GrantedRange> sorted(List<GrantedRange> ranges) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -25,7 +25,7 @@
     /**
      * What a heartbeat is answered with. Immutable.
      *
-     * @param ranges rows for the server, sorted, see {@link GrantRows}
+     * @param ranges rows for the server, sorted, see {@link GrantRowMerger}
      * @param validityMs time for which the server may hold the ranges, from the heartbeat on
      */
     public record Renewal(List<GrantedRange> ranges, long validityMs) {}
@@ -34,15 +34,15 @@
 
     private final MonotonicClock clock;
     private final long maxHoldNanos;
-    private final GrantRows rows;
+    private final GrantRowMerger rowMerger;
     private final List<Handover> handovers = new ArrayList<>();
     /** What the server held by its latest heartbeat; everything before the first one. */
     private List<KeyRange> held = List.of(KeyRange.ALL);
 
-    private long heldAtNanos;
-    private long lastHeartbeat = Long.MIN_VALUE;
-    private Grant offered;
-    private long offeredAtNanos;
+    private long heldReportedNanos;
+    private long lastHeartbeatSequence = Long.MIN_VALUE;
+    private Grant pendingGrant;
+    private long pendingSinceNanos;
     private CompletableFuture<Long> acknowledgement = new CompletableFuture<>();
 
     /**
@@ -53,9 +53,9 @@
      */
     public HeartbeatGrants(MonotonicClock clock, long maxHoldMs, int maxRows) {
         this.clock = clock;
-        rows = new GrantRows(maxRows);
+        rowMerger = new GrantRowMerger(maxRows);
         this.maxHoldNanos = TimeUnit.MILLISECONDS.toNanos(maxHoldMs);
-        heldAtNanos = clock.nowNanos();
+        heldReportedNanos = clock.nowNanos();
     }
 
     /** Offers a grant in place of the one before; completes with its sequence when the server has taken it. */
@@ -64,8 +64,8 @@
         CompletableFuture<Long> result = new CompletableFuture<>();
         synchronized (this) {
             former = acknowledgement;
-            offered = grant;
-            offeredAtNanos = clock.nowNanos();
+            pendingGrant = grant;
+            pendingSinceNanos = clock.nowNanos();
             acknowledgement = result;
         }
         former.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
@@ -79,31 +79,31 @@
      * @param reported rows that the server says it holds or still works on
      * @param freed what the server left of ranges that it has released since its last heartbeat
      */
-    public Optional<Renewal> answer(long heartbeatSequence, List<GrantedRange> reported, List<Handover> freed) {
+    public Optional<Renewal> onHeartbeat(long heartbeatSequence, List<GrantedRange> reported, List<Handover> freed) {
         CompletableFuture<Long> completed = null;
         Renewal renewal;
         long sequence;
         synchronized (this) {
-            if (heartbeatSequence <= lastHeartbeat) {
+            if (heartbeatSequence <= lastHeartbeatSequence) {
                 return Optional.empty();
             }
-            lastHeartbeat = heartbeatSequence;
-            keep(freed);
+            lastHeartbeatSequence = heartbeatSequence;
+            addHandovers(freed);
             held = reported.stream().map(GrantedRange::range).toList();
-            heldAtNanos = clock.nowNanos();
-            if (offered == null) {
+            heldReportedNanos = clock.nowNanos();
+            if (pendingGrant == null) {
                 return Optional.empty();
             }
-            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - offeredAtNanos);
-            long validityMs = offered.validityMs() - elapsedMs;
-            boolean revokes = offered.ranges().isEmpty();
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - pendingSinceNanos);
+            long validityMs = pendingGrant.validityMs() - elapsedMs;
+            boolean revokes = pendingGrant.ranges().isEmpty();
             if (validityMs <= 0 && !revokes) {
                 return Optional.empty();
             }
-            renewal = new Renewal(rows.join(offered.ranges(), reported), Math.max(0, validityMs));
-            sequence = offered.sequence();
+            renewal = new Renewal(rowMerger.join(pendingGrant.ranges(), reported), Math.max(0, validityMs));
+            sequence = pendingGrant.sequence();
             List<KeyRange> granted =
-                    offered.ranges().stream().map(GrantedRange::range).toList();
+                    pendingGrant.ranges().stream().map(GrantedRange::range).toList();
             boolean nothingElse = held.stream()
                     .allMatch(range -> KeyRanges.subtract(range, granted).isEmpty());
             completed = nothingElse ? acknowledgement : null;
@@ -116,7 +116,7 @@
 
     /** Whether the server may hold part of a range, by its latest heartbeat and the longest validity. */
     public synchronized boolean mayHold(KeyRange range) {
-        return clock.nowNanos() - heldAtNanos < maxHoldNanos && held.stream().anyMatch(range::overlaps);
+        return clock.nowNanos() - heldReportedNanos < maxHoldNanos && held.stream().anyMatch(range::overlaps);
     }
 
     /** What the server left of released ranges that overlap a range; each is returned once. */
@@ -128,7 +128,7 @@
     }
 
     /** A range that was released again has a newer token. */
-    private void keep(List<Handover> freed) {
+    private void addHandovers(List<Handover> freed) {
         for (Handover newest : freed) {
             handovers.removeIf(h -> newest.range().contains(h.range()));
             handovers.add(newest);
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostOptions.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostOptions.java
@@ -17,7 +17,7 @@
  *
  * @param peerListen address for links from other daemons
  * @param protocol how callers write requests; empty for the product's own protocol
- * @param joinsAtOnce whether the daemon joins when it starts, or waits for {@link DaemonHost#join}
+ * @param joinsOnStart whether the daemon joins when it starts, or waits for {@link DaemonHost#join}
  */
 public record HostOptions(
         HostIdentity identity,
@@ -29,7 +29,7 @@
         PlannerOptions planner,
         PeerOptions peer,
         Optional<CallerProtocol> protocol,
-        boolean joinsAtOnce) {
+        boolean joinsOnStart) {
     public HostOptions {
         Objects.requireNonNull(identity, "identity");
     }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
@@ -12,8 +12,8 @@
 /**
  * What a {@link DaemonHost} uses of its process, which closes it. Immutable.
  *
- * @param holderClock clock of the own lease, see {@link org.coriandercrank.control.ControlDependencies}
- * @param duties makes the duties of the parts
+ * @param leaseClock clock of the own lease, see {@link org.coriandercrank.control.ControlDependencies}
+ * @param executors makes the duties of the parts
  */
 public record HostServices(
         EventLoopGroup group,
@@ -23,5 +23,5 @@
         MeterRegistry metrics,
         DecisionLog routingLog,
         DecisionLog placementLog,
-        MonotonicClock holderClock,
-        SerialExecutor.Factory duties) {}
+        MonotonicClock leaseClock,
+        SerialExecutor.Factory executors) {}
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/ServerWatch.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -13,7 +13,7 @@
  * gets another member; a heartbeat of an earlier incarnation than the present one, or one that was overtaken by a later
  * one, changes nothing.
  */
-public final class ServerWatch {
+public final class MemberLifecycle {
     /** What the daemon has to do, in order. */
     public sealed interface Action {
         /**
@@ -43,26 +43,26 @@
     /**
      * Times. Immutable.
      *
-     * @param silenceMs time without a heartbeat after which no grant can be valid any more
-     * @param aloneMs time without a server after which the daemon joins without one
-     * @param drainAfterMs time after the announcement of its leaving in which the server still gets requests
+     * @param silenceTimeoutMs time without a heartbeat after which no grant can be valid any more
+     * @param joinAloneDelayMs time without a server after which the daemon joins without one
+     * @param drainDelayMs time after the announcement of its leaving in which the server still gets requests
      */
-    public record Times(long silenceMs, long aloneMs, long drainAfterMs) {}
+    public record Timeouts(long silenceTimeoutMs, long joinAloneDelayMs, long drainDelayMs) {}
 
-    private final Times times;
+    private final Timeouts timeouts;
     private Optional<ServerIncarnation> current = Optional.empty();
-    private Optional<ServerIncarnation> former = Optional.empty();
+    private Optional<ServerIncarnation> previous = Optional.empty();
     private long lastSequence;
-    private int life;
+    private int attachCount;
     private boolean leaving;
     private boolean drained;
-    private boolean alone;
-    private long heardNanos;
+    private boolean joinedAlone;
+    private long lastHeartbeatNanos;
     private long leavingSinceNanos;
     private long withoutServerSinceNanos;
 
-    public ServerWatch(Times times, long nowNanos) {
-        this.times = times;
+    public MemberLifecycle(Timeouts times, long nowNanos) {
+        this.timeouts = times;
         this.withoutServerSinceNanos = nowNanos;
     }
 
@@ -76,7 +76,7 @@
      *
      * @param sequence grows with each heartbeat of an incarnation; one that does not was held up and says nothing new
      */
-    public List<Action> heard(ServerIncarnation server, long sequence, boolean serverLeaves, long nowNanos) {
+    public List<Action> onHeartbeat(ServerIncarnation server, long sequence, boolean serverLeaves, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         boolean sameServer = current.equals(Optional.of(server));
         if (isOutdated(server) || (sameServer && sequence <= lastSequence)) {
@@ -87,9 +87,9 @@
         if (returned || (current.isPresent() && !sameServer)) {
             detach(returned ? "server-returned" : "server-replaced", true, nowNanos, actions);
         }
-        heardNanos = nowNanos;
+        lastHeartbeatNanos = nowNanos;
         if (current.isEmpty()) {
-            attach(server, returned ? times.silenceMs() : 0, actions);
+            attach(server, returned ? timeouts.silenceTimeoutMs() : 0, actions);
         }
         if (serverLeaves) {
             leave(nowNanos, actions);
@@ -98,7 +98,7 @@
     }
 
     /** The server with an id said that it will end. */
-    public List<Action> departed(String id, long nowNanos) {
+    public List<Action> onDeregister(String id, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         if (current.isPresent() && current.get().id().equals(id)) {
             leave(nowNanos, actions);
@@ -107,7 +107,7 @@
     }
 
     /** Others sealed the member; a living server goes on under another one. */
-    public List<Action> sealed(long nowNanos) {
+    public List<Action> onMemberSealed(long nowNanos) {
         List<Action> actions = new ArrayList<>();
         Optional<ServerIncarnation> server = current;
         if (server.isPresent()) {
@@ -116,43 +116,43 @@
             if (!wasLeaving) {
                 attach(server.get(), 0, actions);
             }
-        } else if (alone) {
-            alone = false;
+        } else if (joinedAlone) {
+            joinedAlone = false;
             withoutServerSinceNanos = nowNanos;
         }
         return actions;
     }
 
     /** What is due by time. */
-    public List<Action> tick(long nowNanos) {
+    public List<Action> onTick(long nowNanos) {
         List<Action> actions = new ArrayList<>();
-        if (current.isPresent() && isOver(heardNanos, times.silenceMs(), nowNanos)) {
+        if (current.isPresent() && hasElapsed(lastHeartbeatNanos, timeouts.silenceTimeoutMs(), nowNanos)) {
             detach("server-silent", false, nowNanos, actions);
         }
-        if (leaving && !drained && isOver(leavingSinceNanos, times.drainAfterMs(), nowNanos)) {
+        if (leaving && !drained && hasElapsed(leavingSinceNanos, timeouts.drainDelayMs(), nowNanos)) {
             drained = true;
             actions.add(new Action.Drain(current.orElseThrow()));
         }
-        if (current.isEmpty() && !alone && isOver(withoutServerSinceNanos, times.aloneMs(), nowNanos)) {
-            alone = true;
+        if (current.isEmpty() && !joinedAlone && hasElapsed(withoutServerSinceNanos, timeouts.joinAloneDelayMs(), nowNanos)) {
+            joinedAlone = true;
             actions.add(new Action.JoinAlone());
         }
         return actions;
     }
 
     private boolean isOutdated(ServerIncarnation server) {
-        Optional<ServerIncarnation> newest = current.isPresent() ? current : former;
+        Optional<ServerIncarnation> newest = current.isPresent() ? current : previous;
         return newest.isPresent() && server.bornMs() < newest.get().bornMs();
     }
 
     private void attach(ServerIncarnation server, long joinAfterMs, List<Action> actions) {
-        if (alone) {
+        if (joinedAlone) {
             actions.add(new Action.Detach("server-arrived", true));
         }
-        alone = false;
-        life = former.equals(Optional.of(server)) ? life + 1 : 1;
+        joinedAlone = false;
+        attachCount = previous.equals(Optional.of(server)) ? attachCount + 1 : 1;
         current = Optional.of(server);
-        actions.add(new Action.Attach(server, life, joinAfterMs));
+        actions.add(new Action.Attach(server, attachCount, joinAfterMs));
     }
 
     private void leave(long nowNanos, List<Action> actions) {
@@ -165,14 +165,14 @@
     }
 
     private void detach(String reason, boolean replaced, long nowNanos, List<Action> actions) {
-        former = current;
+        previous = current;
         current = Optional.empty();
         leaving = false;
         withoutServerSinceNanos = nowNanos;
         actions.add(new Action.Detach(reason, replaced));
     }
 
-    private static boolean isOver(long sinceNanos, long ms, long nowNanos) {
+    private static boolean hasElapsed(long sinceNanos, long ms, long nowNanos) {
         return nowNanos - sinceNanos >= TimeUnit.MILLISECONDS.toNanos(ms);
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
@@ -19,7 +19,7 @@
     private static final int UNAVAILABLE = 503;
 
     /** What the endpoints show and change. Thread safe. */
-    interface Source {
+    interface Operations {
         DaemonStatus status();
 
         Readiness readiness();
@@ -28,11 +28,11 @@
         void announce(BackendInfo info);
     }
 
-    private final Supplier<Source> source;
+    private final Supplier<Operations> operations;
     private final PrometheusMeterRegistry metrics;
 
-    AdminEndpoint(Supplier<Source> source, PrometheusMeterRegistry metrics) {
-        this.source = source;
+    AdminEndpoint(Supplier<Operations> source, PrometheusMeterRegistry metrics) {
+        this.operations = source;
         this.metrics = metrics;
     }
 
@@ -44,9 +44,9 @@
     private HttpResponse answer(HttpRequest call) {
         return switch (call.method() + " " + call.path()) {
             case "GET /v1/status" ->
-                HttpResponse.json(OK, JsonCodec.encode(source.get().status()));
+                HttpResponse.json(OK, JsonCodec.encode(operations.get().status()));
             case "GET /live" -> HttpResponse.text(OK, "live\n");
-            case "GET /ready" -> ready(source.get().readiness());
+            case "GET /ready" -> ready(operations.get().readiness());
             case "GET /metrics" -> HttpResponse.text(OK, metrics.scrape());
             case "POST /v1/backend" -> announce(call);
             default -> HttpResponse.text(NOT_FOUND, "no such endpoint\n");
@@ -60,7 +60,7 @@
 
     private HttpResponse announce(HttpRequest call) {
         try {
-            source.get().announce(JsonCodec.decode(call.body(), BackendInfo.class));
+            operations.get().announce(JsonCodec.decode(call.body(), BackendInfo.class));
             return HttpResponse.text(OK, "accepted\n");
         } catch (CrankException e) {
             return HttpResponse.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/PresenceWatch.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/BackendFailureDetector.java
@@ -11,12 +11,12 @@
  * <p>A pure state machine with time as argument; not thread safe. Silence counts from the first call without an answer,
  * so a suspension of the daemon is not taken for silence of the server.
  */
-final class PresenceWatch {
+final class BackendFailureDetector {
     /** A server whose port is closed for so long does not just restart. */
-    private static final long REFUSED_MS = 1_000;
+    private static final long REFUSED_TIMEOUT_MS = 1_000;
 
     /** Two more calls without an answer; a grant lapses in less, and the ranges must be served again within 5 s. */
-    private static final long SILENT_MS = 1_200;
+    private static final long SILENCE_TIMEOUT_MS = 1_200;
 
     private final boolean honoursValidity;
     private OptionalLong refusedSinceNanos = OptionalLong.empty();
@@ -28,7 +28,7 @@
      * @param honoursValidity whether it stops serving when its grant lapses; otherwise its silence proves nothing, because
      *     it may go on with its ranges
      */
-    PresenceWatch(boolean honoursValidity) {
+    BackendFailureDetector(boolean honoursValidity) {
         this.honoursValidity = honoursValidity;
     }
 
@@ -39,21 +39,21 @@
     }
 
     /** Takes the result of a call; returns why the server is gone, if it is. */
-    Optional<String> onPresence(ProbeResult presence, long nowNanos) {
+    Optional<String> onProbeResult(ProbeResult presence, long nowNanos) {
         switch (presence) {
             case ANSWERED -> onAnnounced();
             case REFUSED -> refusedSinceNanos = OptionalLong.of(refusedSinceNanos.orElse(nowNanos));
             case SILENT -> silentSinceNanos = OptionalLong.of(silentSinceNanos.orElse(nowNanos));
         }
-        if (isOver(refusedSinceNanos, REFUSED_MS, nowNanos)) {
+        if (hasElapsed(refusedSinceNanos, REFUSED_TIMEOUT_MS, nowNanos)) {
             return Optional.of("connections-refused");
         }
-        return honoursValidity && isOver(silentSinceNanos, SILENT_MS, nowNanos)
+        return honoursValidity && hasElapsed(silentSinceNanos, SILENCE_TIMEOUT_MS, nowNanos)
                 ? Optional.of("silent")
                 : Optional.empty();
     }
 
-    private static boolean isOver(OptionalLong sinceNanos, long ms, long nowNanos) {
+    private static boolean hasElapsed(OptionalLong sinceNanos, long ms, long nowNanos) {
         return sinceNanos.isPresent() && nowNanos - sinceNanos.getAsLong() >= TimeUnit.MILLISECONDS.toNanos(ms);
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -38,17 +38,17 @@
  *
  * <p>Thread safe; a sealed member is replaced on the duty thread {@code lifecycle}.
  */
-public final class Daemon implements AdminEndpoint.Source, AutoCloseable {
+public final class Daemon implements AdminEndpoint.Operations, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_CAPACITY = 64;
+    private static final int TASK_QUEUE_CAPACITY = 64;
 
     /** Period in which the backend server is asked for a sign of life. */
-    private static final long PRESENCE_PERIOD_MS = 250;
+    private static final long PROBE_INTERVAL_MS = 250;
 
     private static final int PLACEMENT_LOG_LINES_PER_SECOND = 1_000;
 
     private final DaemonSettings settings;
-    private final SingleThreadExecutor lifecycle = new SingleThreadExecutor("lifecycle", RING_CAPACITY);
+    private final SingleThreadExecutor lifecycle = new SingleThreadExecutor("lifecycle", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final EventLoopGroup group;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -59,15 +59,15 @@
     private volatile boolean leaving;
 
     /** The attached backend server; touched on the lifecycle duty, as are the fields below. */
-    private Optional<Watched> watched = Optional.empty();
+    private Optional<MonitoredServer> monitored = Optional.empty();
 
-    private boolean asking;
+    private boolean probePending;
 
     /** Whether the member has ended and its replacement has not joined. */
-    private boolean replacing;
+    private boolean replacementPending;
 
     /** A backend server and its signs of life. Immutable. */
-    private record Watched(BackendInfo info, BackendServer server, PresenceWatch watch) {}
+    private record MonitoredServer(BackendInfo info, BackendServer server, BackendFailureDetector failureDetector) {}
 
     /** Starts a daemon; blocks until its ports are bound. */
     public Daemon(DaemonSettings settings) {
@@ -80,7 +80,7 @@
         admin = HttpServer.listen(
                 group, settings.adminListen(), HttpServerOptions.DEFAULTS, new AdminEndpoint(() -> this, metrics));
         host.start(settings.callerListen());
-        timers.every(PRESENCE_PERIOD_MS, lifecycle, this::askForPresence);
+        timers.every(PROBE_INTERVAL_MS, lifecycle, this::probeServer);
     }
 
     private HostServices hostServices() {
@@ -133,14 +133,14 @@
     @Override
     public void announce(BackendInfo info) {
         if (host.backend().equals(Optional.of(info))) {
-            lifecycle.offer(() -> watched.ifPresent(w -> w.watch().onAnnounced()));
+            lifecycle.offer(() -> monitored.ifPresent(w -> w.failureDetector().onAnnounced()));
             return;
         }
         BackendServer server =
                 plugins.get(Kind.BACKEND, settings.backendAdapter()).connect(info);
         host.attach(info, server);
         boolean honoursValidity = info.capabilities().contains(Capability.VALIDITY);
-        lifecycle.execute(() -> watched = Optional.of(new Watched(info, server, new PresenceWatch(honoursValidity))));
+        lifecycle.execute(() -> monitored = Optional.of(new MonitoredServer(info, server, new BackendFailureDetector(honoursValidity))));
         server.health().whenComplete((health, failure) -> {
             if (host.backend().equals(Optional.of(info))) {
                 host.announce();
@@ -154,7 +154,7 @@
         leaving = true;
         logger.atInfo().log("event=leaving member=%s", host.self());
         try {
-            plannedStop().get(settings.drainTimeoutMs(), TimeUnit.MILLISECONDS);
+            shutDownGracefully().get(settings.drainTimeoutMs(), TimeUnit.MILLISECONDS);
             logger.atInfo().log("event=left member=%s", host.self());
         } catch (TimeoutException e) {
             logger.atWarning().log("event=leave-timeout member=%s", host.self());
@@ -166,54 +166,54 @@
     }
 
     /** Ranges move away and requests in flight finish, then the record is sealed; the caller bounds the time. */
-    private CompletableFuture<Void> plannedStop() {
+    private CompletableFuture<Void> shutDownGracefully() {
         host.stopAccepting();
         return host.leave()
                 .thenCompose(done -> host.awaitNoRanges(settings.drainTimeoutMs()))
-                .thenCompose(done -> CompletableFuture.allOf(host.drainGate(), host.drainCallers()))
-                .thenCompose(done -> host.retireMember());
+                .thenCompose(done -> CompletableFuture.allOf(host.drainGate(), host.drainIngress()))
+                .thenCompose(done -> host.sealMember());
     }
 
-    private void askForPresence() {
-        if (asking || watched.isEmpty()) {
+    private void probeServer() {
+        if (probePending || monitored.isEmpty()) {
             return;
         }
-        Watched asked = watched.orElseThrow();
-        asking = true;
+        MonitoredServer asked = monitored.orElseThrow();
+        probePending = true;
         asked.server()
                 .probe()
                 .whenComplete((presence, failure) -> lifecycle.execute(() -> {
-                    asking = false;
-                    onPresence(asked, failure == null ? presence : ProbeResult.SILENT);
+                    probePending = false;
+                    onProbeResult(asked, failure == null ? presence : ProbeResult.SILENT);
                 }));
     }
 
-    private void onPresence(Watched asked, ProbeResult presence) {
-        if (leaving || !watched.equals(Optional.of(asked))) {
+    private void onProbeResult(MonitoredServer asked, ProbeResult presence) {
+        if (leaving || !monitored.equals(Optional.of(asked))) {
             return;
         }
-        asked.watch()
-                .onPresence(presence, timers.clock().nowNanos())
-                .ifPresent(reason -> dropServer(asked.info(), reason));
+        asked.failureDetector()
+                .onProbeResult(presence, timers.clock().nowNanos())
+                .ifPresent(reason -> detachServer(asked.info(), reason));
     }
 
     /**
      * Ends the member of a lost server, so that others take its ranges. The next member owns nothing until a server
      * announces itself again.
      */
-    private void dropServer(BackendInfo info, String reason) {
+    private void detachServer(BackendInfo info, String reason) {
         logger.atWarning().log("event=backend-lost backend=%s member=%s reason=%s", info.name(), host.self(), reason);
-        watched = Optional.empty();
+        monitored = Optional.empty();
         host.detach();
-        if (!replacing) {
-            replacing = true;
-            host.retireMember().whenComplete((done, failure) -> lifecycle.offer(this::replaceMember));
+        if (!replacementPending) {
+            replacementPending = true;
+            host.sealMember().whenComplete((done, failure) -> lifecycle.offer(this::replaceMember));
         }
     }
 
     private void onSealed() {
-        if (!replacing) {
-            replacing = true;
+        if (!replacementPending) {
+            replacementPending = true;
             replaceMember();
         }
     }
@@ -226,7 +226,7 @@
             if (failure != null) {
                 logger.atSevere().withCause(failure).log("event=rejoin-failed");
             }
-            lifecycle.offer(() -> replacing = false);
+            lifecycle.offer(() -> replacementPending = false);
         });
     }
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberParts.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
@@ -13,11 +13,11 @@
  * The parts of a daemon that belong to one member id, so that nothing of a sealed member can act under the next id.
  * Thread safe.
  */
-public final class MemberParts implements AutoCloseable {
+public final class MemberComponents implements AutoCloseable {
     private final RangeOwnership ownership;
     private final Planner planner;
 
-    public MemberParts(
+    public MemberComponents(
             PlacementContext context,
             LeaseView lease,
             OwnerGate gate,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -17,8 +17,8 @@
 import org.coriandercrank.kernel.settings.SettingsLoader;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.ObjectStore;
-import org.coriandercrank.note.NoteApplication;
-import org.coriandercrank.note.SubmitNote;
+import org.coriandercrank.note.NoteApplier;
+import org.coriandercrank.note.NoteSubmitter;
 import org.coriandercrank.note.SubmitResult;
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
@@ -141,9 +141,9 @@
     }
 
     private static Revision submit(ObjectStore store, String note) {
-        NoteApplication.Environment environment =
-                new NoteApplication.Environment(Set.<ServiceName>of(), Set.of("availability"), Set.of("two-choices"));
-        SubmitResult result = new SubmitNote(store, () -> environment, 10_000).call(note);
+        NoteApplier.Environment environment =
+                new NoteApplier.Environment(Set.<ServiceName>of(), Set.of("availability"), Set.of("two-choices"));
+        SubmitResult result = new NoteSubmitter(store, () -> environment, 10_000).submit(note);
         if (!result.faults().isEmpty() || result.revision().equals(Revision.NONE)) {
             throw new IllegalStateException("note refused: " + result);
         }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
@@ -24,8 +24,8 @@
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LedgerReader;
-import org.coriandercrank.note.NoteApplication;
-import org.coriandercrank.note.SubmitNote;
+import org.coriandercrank.note.NoteApplier;
+import org.coriandercrank.note.NoteSubmitter;
 import org.coriandercrank.note.SubmitResult;
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
@@ -45,7 +45,7 @@
     private static final int IO_THREADS = 3;
     private static final long STORE_TIMEOUT_MS = 5_000;
     private static final long NOTE_TIMEOUT_MS = 10_000;
-    private static final NoteApplication.Environment ENVIRONMENT = new NoteApplication.Environment(
+    private static final NoteApplier.Environment ENVIRONMENT = new NoteApplier.Environment(
             Set.<ServiceName>of(),
             Set.of("availability", "low-churn", "static", "greedy"),
             Set.of("two-choices", "round-robin", "least-in-flight"));
@@ -125,8 +125,8 @@
                 .join()
                 .map(o -> o.revision())
                 .orElse(Revision.NONE);
-        SubmitResult result = new SubmitNote(store, () -> ENVIRONMENT, NOTE_TIMEOUT_MS)
-                .call("{\"id\":\"" + id + "\",\"basedOn\":" + base + "," + content + "}");
+        SubmitResult result = new NoteSubmitter(store, () -> ENVIRONMENT, NOTE_TIMEOUT_MS)
+                .submit("{\"id\":\"" + id + "\",\"basedOn\":" + base + "," + content + "}");
         if (!result.faults().isEmpty() || result.revision().equals(Revision.NONE)) {
             throw new IllegalStateException("note refused: " + result);
         }
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteFaultsTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
@@ -13,28 +13,28 @@
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteApplication.Environment;
+import org.coriandercrank.note.NoteApplier.Environment;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Guards against notes that are accepted in part, or refused without naming each fault. */
-class NoteFaultsTest {
+class NoteErrorsTest {
     private static final ServiceName DESK = new ServiceName("counter-desk");
     private static final Configuration BASE = new Configuration(
             List.of(ServiceConfig.withDefaults(DESK, true)), List.of(new BackendRule("desk-1", 100, false)), List.of());
     private static final Environment ENVIRONMENT =
             new Environment(Set.of(DESK), Set.of("availability", "low-churn"), Set.of("two-choices"));
 
-    private final List<NoteFault> faults = new ArrayList<>();
+    private final List<NoteError> faults = new ArrayList<>();
 
     private Optional<Configuration> apply(String json) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(json);
-        faults.addAll(parser.faults());
-        NoteApplication application = new NoteApplication(BASE, ENVIRONMENT);
+        faults.addAll(parser.errors());
+        NoteApplier application = new NoteApplier(BASE, ENVIRONMENT);
         Optional<Configuration> result = note.flatMap(application::apply);
-        faults.addAll(application.faults());
+        faults.addAll(application.errors());
         return result;
     }
 
@@ -75,7 +75,7 @@
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1","drain":1}]}} | change.backends[0].drain | WRONG_TYPE
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1"}]},"withdraw":{"backends":["desk-1"]}} | withdraw.backends[0] | CONFLICTING_ENTRIES
             """)
-    void refusesAndNamesTheFault(String json, String path, NoteFault.Kind kind) {
+    void refusesAndNamesTheFault(String json, String path, NoteError.Kind kind) {
         Optional<Configuration> result = apply(json);
 
         assertThat(result).isEmpty();
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/SubmitNoteTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
@@ -13,14 +13,14 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
-import org.coriandercrank.note.NoteApplication.Environment;
+import org.coriandercrank.note.NoteApplier.Environment;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Guards against notes that are applied twice, lost, or reported with another result than they had. */
-class SubmitNoteTest {
+class NoteSubmitterTest {
     private static final Environment ENVIRONMENT = new Environment(Set.of(), Set.of(), Set.of());
     private static final long TIMEOUT_MS = 1_300;
     private static final long SETTLE_MS = 1_800;
@@ -33,7 +33,7 @@
     }
 
     private SubmitResult submit(String text) {
-        return new SubmitNote(store, () -> ENVIRONMENT, TIMEOUT_MS).call(text);
+        return new NoteSubmitter(store, () -> ENVIRONMENT, TIMEOUT_MS).submit(text);
     }
 
     private static String note(String id, Revision basedOn, String backend) {
@@ -185,7 +185,7 @@
     /** A full list of later notes hides an acceptance; the record decides, or the result stays open. */
     @ParameterizedTest
     @CsvSource({"ACCEPTED,OK", "SUBMITTED,WRITE_UNANSWERED", "REFUSED,NOTE_CONFLICT"})
-    void usesTheRecordOnceLaterNotesHideTheResult(NoteRecord.Fate fate, ResultCode expected) {
+    void usesTheRecordOnceLaterNotesHideTheResult(NoteRecord.State fate, ResultCode expected) {
         String text = note("n", Revision.NONE, "desk-1");
         NoteId id = new NoteId("n");
         NoteRecord record = new NoteRecord(id, fate, Revision.NONE, new Revision(7), text);
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
@@ -15,8 +15,8 @@
 import java.util.regex.Pattern;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteApplication;
-import org.coriandercrank.note.NoteFault;
+import org.coriandercrank.note.NoteApplier;
+import org.coriandercrank.note.NoteError;
 import org.coriandercrank.note.NoteParser;
 import org.coriandercrank.note.ReleaseNote;
 import org.coriandercrank.note.ReleaseNote.Subject;
@@ -64,7 +64,7 @@
     }
 
     private static boolean accepts(FieldSpec spec, JsonNode value) {
-        return spec.check().apply(value).isEmpty();
+        return spec.validator().apply(value).isEmpty();
     }
 
     @Test
@@ -73,9 +73,9 @@
         NoteParser parser = new NoteParser();
         parser.parse("{\"absent\":1}");
 
-        assertThat(parser.faults())
-                .filteredOn(fault -> fault.kind() == NoteFault.Kind.UNKNOWN_FIELD)
-                .extracting(NoteFault::message)
+        assertThat(parser.errors())
+                .filteredOn(fault -> fault.kind() == NoteError.Kind.UNKNOWN_FIELD)
+                .extracting(NoteError::message)
                 .containsExactly("known fields: " + fields.stream().sorted().toList());
     }
 
@@ -83,7 +83,7 @@
     void pageListsTheKindsOfFaults() throws IOException {
         String page = Files.readString(DOCS.resolve("RELEASE_NOTES.md"));
 
-        assertThat(NoteFault.Kind.values())
+        assertThat(NoteError.Kind.values())
                 .allSatisfy(kind -> assertThat(page).contains("| " + kind.number() + " | `" + kind.name() + "`"));
     }
 
@@ -96,10 +96,10 @@
         while (examples.find()) {
             NoteParser parser = new NoteParser();
             ReleaseNote note = parser.parse(examples.group(1)).orElseThrow();
-            NoteApplication application =
-                    new NoteApplication(configuration, new NoteApplication.Environment(Set.of(), placement, balancing));
+            NoteApplier application =
+                    new NoteApplier(configuration, new NoteApplier.Environment(Set.of(), placement, balancing));
             configuration = application.apply(note).orElse(configuration);
-            assertThat(application.faults()).isEmpty();
+            assertThat(application.errors()).isEmpty();
         }
         assertThat(configuration.recentNotes()).hasSize(3);
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
@@ -22,7 +22,7 @@
     public static final AcceptanceHistory EMPTY = new AcceptanceHistory(Revision.NONE, Configuration.EMPTY);
 
     /** An accepted note and the revision at which it was accepted. Immutable. */
-    public record Acceptance(AcceptedNote note, Revision accepted) {}
+    public record Acceptance(AcceptedNote note, Revision revision) {}
 
     static AcceptanceHistory of(StoredObject object) {
         return new AcceptanceHistory(object.revision(), JsonCodec.decode(object.value(), Configuration.class));
@@ -41,7 +41,7 @@
     }
 
     /** Whether every note that was accepted on top of a revision, or later, is listed. */
-    public boolean reachesBackTo(Revision basedOn) {
+    public boolean isCompleteSince(Revision basedOn) {
         List<AcceptedNote> notes = configuration.recentNotes();
         return notes.size() < Configuration.MAX_RECENT_NOTES
                 || notes.get(notes.size() - 1).basedOn().compareTo(basedOn) <= 0;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplication.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
@@ -12,11 +12,11 @@
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.ServiceName;
-import org.coriandercrank.note.NoteFault.Kind;
+import org.coriandercrank.note.NoteError.Kind;
 import org.coriandercrank.note.ReleaseNote.Action;
 import org.coriandercrank.note.ReleaseNote.Entry;
 import org.coriandercrank.note.ReleaseNote.Subject;
-import org.coriandercrank.note.internal.EntryOverlay;
+import org.coriandercrank.note.internal.EntryMerger;
 
 /**
  * Applies a release note to a configuration, as a whole or not at all. Not thread safe; use one per application.
@@ -24,7 +24,7 @@
  * <p>Policy names and services in use are checked against what the caller knows, so that a note cannot select a policy
  * that no daemon has or withdraw a service that servers still serve.
  */
-public final class NoteApplication {
+public final class NoteApplier {
     /**
      * What the note is checked against besides the configuration. Immutable.
      *
@@ -41,11 +41,11 @@
 
     private final Configuration base;
     private final Environment environment;
-    private final List<NoteFault> faults = new ArrayList<>();
+    private final List<NoteError> errors = new ArrayList<>();
     private final Map<String, ServiceConfig> services = new LinkedHashMap<>();
     private final Map<String, BackendRule> backends = new LinkedHashMap<>();
 
-    public NoteApplication(Configuration base, Environment environment) {
+    public NoteApplier(Configuration base, Environment environment) {
         this.base = base;
         this.environment = environment;
         base.services().forEach(service -> services.put(service.name().value(), service));
@@ -62,15 +62,15 @@
                 applyBackend(entry);
             }
         }
-        if (!faults.isEmpty()) {
+        if (!errors.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(
                 new Configuration(List.copyOf(services.values()), List.copyOf(backends.values()), recentNotes(note)));
     }
 
-    public List<NoteFault> faults() {
-        return List.copyOf(faults);
+    public List<NoteError> errors() {
+        return List.copyOf(errors);
     }
 
     private void rejectConflictingEntries(ReleaseNote note) {
@@ -78,7 +78,7 @@
         for (Entry entry : note.entries()) {
             Entry other = first.putIfAbsent(entry.subject() + "/" + entry.name(), entry);
             if (other != null) {
-                faults.add(new NoteFault(
+                errors.add(new NoteError(
                         entry.path(), Kind.CONFLICTING_ENTRIES, entry.name() + " is also named by " + other.path()));
             }
         }
@@ -94,7 +94,7 @@
         }
         ServiceConfig current = services.get(entry.name());
         newServiceBase(entry, current)
-                .flatMap(start -> EntryOverlay.apply(start, entry, ServiceConfig.class, faults))
+                .flatMap(start -> EntryMerger.merge(start, entry, ServiceConfig.class, errors))
                 .ifPresent(service -> putService(entry, current, service));
     }
 
@@ -103,20 +103,20 @@
             return Optional.of(current);
         }
         if (!entry.fields().has("keyed")) {
-            faults.add(new NoteFault(entry.path() + ".keyed", Kind.MISSING, "a new service says if it has keys"));
+            errors.add(new NoteError(entry.path() + ".keyed", Kind.MISSING, "a new service says if it has keys"));
             return Optional.empty();
         }
         try {
             return Optional.of(ServiceConfig.withDefaults(new ServiceName(entry.name()), true));
         } catch (IllegalArgumentException e) {
-            faults.add(new NoteFault(entry.path() + ".name", Kind.OUT_OF_RANGE, e.getMessage()));
+            errors.add(new NoteError(entry.path() + ".name", Kind.OUT_OF_RANGE, e.getMessage()));
             return Optional.empty();
         }
     }
 
     private void putService(Entry entry, ServiceConfig current, ServiceConfig service) {
         if (current != null && current.keyed() != service.keyed()) {
-            faults.add(new NoteFault(
+            errors.add(new NoteError(
                     entry.path() + ".keyed", Kind.IN_USE, "cannot change; withdraw the service and add it again"));
         }
         checkPolicy(entry.path() + ".placementPolicy", service.placementPolicy(), environment.placementPolicies());
@@ -126,7 +126,7 @@
 
     private void checkPolicy(String path, String policy, Set<String> known) {
         if (!known.contains(policy)) {
-            faults.add(new NoteFault(
+            errors.add(new NoteError(
                     path,
                     Kind.NOT_FOUND,
                     "no policy " + policy + "; have " + known.stream().sorted().toList()));
@@ -135,7 +135,7 @@
 
     private void withdrawService(Entry entry) {
         if (environment.servicesInUse().contains(new ServiceName(entry.name()))) {
-            faults.add(new NoteFault(
+            errors.add(new NoteError(
                     entry.path(), Kind.IN_USE, "servers still serve " + entry.name() + "; drain or stop them first"));
         }
         services.remove(entry.name());
@@ -151,17 +151,17 @@
         }
         BackendRule current = backends.getOrDefault(
                 entry.name(), new BackendRule(entry.name(), BackendRule.DEFAULT_WEIGHT_PERCENT, false));
-        EntryOverlay.apply(current, entry, BackendRule.class, faults)
+        EntryMerger.merge(current, entry, BackendRule.class, errors)
                 .ifPresent(rule -> backends.put(entry.name(), rule));
     }
 
     private boolean checkExistence(Entry entry, boolean exists) {
         if (entry.action() == Action.ADD && exists) {
-            faults.add(new NoteFault(entry.path(), Kind.ALREADY_EXISTS, entry.name() + " exists; use change"));
+            errors.add(new NoteError(entry.path(), Kind.ALREADY_EXISTS, entry.name() + " exists; use change"));
             return false;
         }
         if (entry.action() != Action.ADD && !exists) {
-            faults.add(new NoteFault(entry.path(), Kind.NOT_FOUND, "there is no " + entry.name()));
+            errors.add(new NoteError(entry.path(), Kind.NOT_FOUND, "there is no " + entry.name()));
             return false;
         }
         return true;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteFault.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteError.java
@@ -5,7 +5,7 @@
  *
  * @param path place in the note, such as {@code add.services[0].maxBodyBytes}
  */
-public record NoteFault(String path, Kind kind, String message) {
+public record NoteError(String path, Kind kind, String message) {
     /** Kinds of faults; the number is stable and printed beside the name. */
     public enum Kind {
         UNREADABLE(1),
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
@@ -15,7 +15,7 @@
 import org.coriandercrank.kernel.id.NoteId;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteFault.Kind;
+import org.coriandercrank.note.NoteError.Kind;
 import org.coriandercrank.note.ReleaseNote.Action;
 import org.coriandercrank.note.ReleaseNote.Entry;
 import org.coriandercrank.note.ReleaseNote.Subject;
@@ -30,7 +30,7 @@
             .with(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private final List<NoteFault> faults = new ArrayList<>();
+    private final List<NoteError> errors = new ArrayList<>();
 
     /** The note, or empty if there are faults. */
     public Optional<ReleaseNote> parse(String json) {
@@ -45,19 +45,19 @@
         for (Action action : Action.values()) {
             parseAction(action, root.get().get(action.field()), entries);
         }
-        if (entries.isEmpty() && faults.isEmpty()) {
-            faults.add(new NoteFault("", Kind.EMPTY_NOTE, "the note has no entry"));
+        if (entries.isEmpty() && errors.isEmpty()) {
+            errors.add(new NoteError("", Kind.EMPTY_NOTE, "the note has no entry"));
         }
-        return faults.isEmpty() ? Optional.of(new ReleaseNote(id, basedOn, entries)) : Optional.empty();
+        return errors.isEmpty() ? Optional.of(new ReleaseNote(id, basedOn, entries)) : Optional.empty();
     }
 
-    public List<NoteFault> faults() {
-        return List.copyOf(faults);
+    public List<NoteError> errors() {
+        return List.copyOf(errors);
     }
 
     /** Result code of a note with the faults found. */
     public ResultCode code() {
-        boolean unreadable = faults.stream().anyMatch(fault -> fault.kind() == Kind.UNREADABLE);
+        boolean unreadable = errors.stream().anyMatch(fault -> fault.kind() == Kind.UNREADABLE);
         return unreadable ? ResultCode.NOTE_UNREADABLE : ResultCode.NOTE_INVALID;
     }
 
@@ -67,37 +67,37 @@
             if (node instanceof ObjectNode object) {
                 return Optional.of(object);
             }
-            faults.add(new NoteFault("", Kind.UNREADABLE, "the note must be a JSON object"));
+            errors.add(new NoteError("", Kind.UNREADABLE, "the note must be a JSON object"));
         } catch (JsonProcessingException e) {
-            faults.add(new NoteFault("", Kind.UNREADABLE, e.getOriginalMessage()));
+            errors.add(new NoteError("", Kind.UNREADABLE, e.getOriginalMessage()));
         }
         return Optional.empty();
     }
 
     private NoteId parseId(JsonNode node) {
         if (node == null) {
-            faults.add(new NoteFault("id", Kind.MISSING, "every note needs an id"));
+            errors.add(new NoteError("id", Kind.MISSING, "every note needs an id"));
             return null;
         }
         if (!node.isTextual()) {
-            faults.add(new NoteFault("id", Kind.WRONG_TYPE, "must be a text"));
+            errors.add(new NoteError("id", Kind.WRONG_TYPE, "must be a text"));
             return null;
         }
         try {
             return new NoteId(node.asText());
         } catch (IllegalArgumentException e) {
-            faults.add(new NoteFault("id", Kind.OUT_OF_RANGE, e.getMessage()));
+            errors.add(new NoteError("id", Kind.OUT_OF_RANGE, e.getMessage()));
             return null;
         }
     }
 
     private Revision parseRevision(JsonNode node) {
         if (node == null) {
-            faults.add(new NoteFault("basedOn", Kind.MISSING, "every note names the revision that it is based on"));
+            errors.add(new NoteError("basedOn", Kind.MISSING, "every note names the revision that it is based on"));
             return null;
         }
         if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < 0) {
-            faults.add(new NoteFault("basedOn", Kind.WRONG_TYPE, "must be a revision number of at least 0"));
+            errors.add(new NoteError("basedOn", Kind.WRONG_TYPE, "must be a revision number of at least 0"));
             return null;
         }
         return new Revision(node.asLong());
@@ -108,7 +108,7 @@
             return;
         }
         if (!(node instanceof ObjectNode object)) {
-            faults.add(new NoteFault(action.field(), Kind.WRONG_TYPE, "must be an object"));
+            errors.add(new NoteError(action.field(), Kind.WRONG_TYPE, "must be an object"));
             return;
         }
         rejectUnknownFields(action.field() + ".", object, Set.of(Subject.SERVICE.field(), Subject.BACKEND.field()));
@@ -123,7 +123,7 @@
             return;
         }
         if (!node.isArray()) {
-            faults.add(new NoteFault(listPath, Kind.WRONG_TYPE, "must be a list"));
+            errors.add(new NoteError(listPath, Kind.WRONG_TYPE, "must be a list"));
             return;
         }
         for (int i = 0; i < node.size(); i++) {
@@ -135,12 +135,12 @@
         ObjectNode fields = entryFields(action, subject, node);
         if (fields == null) {
             String expected = action == Action.WITHDRAW ? "must be a name" : "must be an object";
-            faults.add(new NoteFault(path, Kind.WRONG_TYPE, expected));
+            errors.add(new NoteError(path, Kind.WRONG_TYPE, expected));
             return Optional.empty();
         }
         JsonNode name = fields.get(subject.nameField());
         if (name == null || !name.isTextual() || name.asText().isEmpty()) {
-            faults.add(new NoteFault(path + "." + subject.nameField(), Kind.MISSING, "every entry needs a name"));
+            errors.add(new NoteError(path + "." + subject.nameField(), Kind.MISSING, "every entry needs a name"));
             return Optional.empty();
         }
         return Optional.of(new Entry(path, action, subject, name.asText(), fields));
@@ -157,7 +157,7 @@
         for (Iterator<String> names = object.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!known.contains(name)) {
-                faults.add(new NoteFault(prefix + name, Kind.UNKNOWN_FIELD, "known fields: " + sorted(known)));
+                errors.add(new NoteError(prefix + name, Kind.UNKNOWN_FIELD, "known fields: " + sorted(known)));
             }
         }
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteRecord.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteRecord.java
@@ -12,9 +12,9 @@
  * @param accepted revision at which the note was accepted, or {@link Revision#NONE}
  * @param text the note as submitted
  */
-public record NoteRecord(NoteId id, Fate fate, Revision basedOn, Revision accepted, String text) {
+public record NoteRecord(NoteId id, State fate, Revision basedOn, Revision accepted, String text) {
     /** What became of a note. */
-    public enum Fate {
+    public enum State {
         /** Its write was started; the configuration tells whether it was accepted. */
         SUBMITTED,
         ACCEPTED,
@@ -24,10 +24,10 @@
 
     /** This record as that of a note accepted at a revision. */
     public NoteRecord acceptedAt(Revision revision) {
-        return withFate(Fate.ACCEPTED, revision);
+        return withState(State.ACCEPTED, revision);
     }
 
-    NoteRecord withFate(Fate newFate, Revision newAccepted) {
+    NoteRecord withState(State newFate, Revision newAccepted) {
         return new NoteRecord(id, newFate, basedOn, newAccepted, text);
     }
 }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitNote.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -14,11 +14,11 @@
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.store.StoredObject;
 import org.coriandercrank.note.AcceptanceHistory.Acceptance;
-import org.coriandercrank.note.NoteApplication.Environment;
-import org.coriandercrank.note.NoteRecord.Fate;
+import org.coriandercrank.note.NoteApplier.Environment;
+import org.coriandercrank.note.NoteRecord.State;
 
 /**
- * Submits a release note. Not thread safe; use one per submission. {@link #call} blocks.
+ * Submits a release note. Not thread safe; use one per submission. {@link #submit} blocks.
  *
  * <p>The note takes effect by one write of the configuration, conditional on the revision that the note is based on.
  * While the configuration still has that revision, an unanswered write may take effect later, so the same write is
@@ -27,7 +27,7 @@
  * <p>Invariant: {@link ResultCode#STORE_UNAVAILABLE} is the result only if this submission left no write of the
  * configuration that may still take effect; otherwise it is {@link ResultCode#WRITE_UNANSWERED}.
  */
-public final class SubmitNote {
+public final class NoteSubmitter {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long RETRY_PAUSE_MS = 50;
 
@@ -48,31 +48,31 @@
      *
      * @param store its time-out of a call should be well below {@code timeoutMs}, so that calls can be repeated
      * @param environment may read the store and fail with {@link CrankException}; it is then repeated
-     * @param timeoutMs time after which {@link #call} gives up with {@link ResultCode#WRITE_UNANSWERED} or
+     * @param timeoutMs time after which {@link #submit} gives up with {@link ResultCode#WRITE_UNANSWERED} or
      *     {@link ResultCode#STORE_UNAVAILABLE}
      */
-    public SubmitNote(ObjectStore store, Supplier<Environment> environment, long timeoutMs) {
+    public NoteSubmitter(ObjectStore store, Supplier<Environment> environment, long timeoutMs) {
         this.store = store;
         this.environment = environment;
         this.deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
     }
 
     /** Submits a note; submitting the same text again is harmless. */
-    public SubmitResult call(String text) {
+    public SubmitResult submit(String text) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> parsed = parser.parse(text);
         if (parsed.isEmpty()) {
-            return SubmitResult.invalid(parser.code(), parser.faults());
+            return SubmitResult.invalid(parser.code(), parser.errors());
         }
         try {
-            return submit(parsed.get(), text);
+            return submitParsed(parsed.get(), text);
         } catch (CrankException e) {
             ResultCode code = writeMayTakeEffect ? ResultCode.WRITE_UNANSWERED : e.code();
             return SubmitResult.refused(code, Revision.NONE, List.of());
         }
     }
 
-    private SubmitResult submit(ReleaseNote note, String text) {
+    private SubmitResult submitParsed(ReleaseNote note, String text) {
         AcceptanceHistory history = readHistory();
         Optional<Acceptance> accepted = history.find(note.id());
         if (accepted.isPresent()) {
@@ -81,10 +81,10 @@
         if (!history.revision().equals(note.basedOn())) {
             return superseded(note, text, history);
         }
-        NoteApplication application = new NoteApplication(history.configuration(), retry(environment));
+        NoteApplier application = new NoteApplier(history.configuration(), retry(environment));
         Optional<Configuration> next = application.apply(note);
         if (next.isEmpty()) {
-            return SubmitResult.invalid(ResultCode.NOTE_INVALID, application.faults());
+            return SubmitResult.invalid(ResultCode.NOTE_INVALID, application.errors());
         }
         Claim claim = claimId(note, text, history);
         if (claim == Claim.DENIED) {
@@ -102,7 +102,7 @@
             try {
                 Revision accepted = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
                         .join();
-                recordFate(note.id(), text, Fate.ACCEPTED, accepted);
+                recordState(note.id(), text, State.ACCEPTED, accepted);
                 return SubmitResult.accepted(accepted);
             } catch (RuntimeException e) {
                 CrankException failure = CrankException.of(e);
@@ -113,8 +113,8 @@
             Optional<Acceptance> accepted = history.find(note.id());
             // Another text can have the id only on top of a later revision.
             if (accepted.isPresent() && accepted.get().note().basedOn().equals(note.basedOn())) {
-                recordFate(note.id(), text, Fate.ACCEPTED, accepted.get().accepted());
-                return SubmitResult.accepted(accepted.get().accepted());
+                recordState(note.id(), text, State.ACCEPTED, accepted.get().revision());
+                return SubmitResult.accepted(accepted.get().revision());
             }
             if (!history.revision().equals(note.basedOn())) {
                 return superseded(note, text, history);
@@ -130,8 +130,8 @@
         if (!sameText || !accepted.note().basedOn().equals(note.basedOn())) {
             return SubmitResult.refused(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
-        recordFate(note.id(), text, Fate.ACCEPTED, accepted.accepted());
-        return SubmitResult.accepted(accepted.accepted());
+        recordState(note.id(), text, State.ACCEPTED, accepted.revision());
+        return SubmitResult.accepted(accepted.revision());
     }
 
     /**
@@ -140,24 +140,24 @@
      */
     private SubmitResult superseded(ReleaseNote note, String text, AcceptanceHistory history) {
         Optional<NoteRecord> own = readRecord(note.id())
-                .map(SubmitNote::decodeRecord)
+                .map(NoteSubmitter::decodeRecord)
                 .filter(known -> known.text().equals(text));
-        if (own.isPresent() && own.get().fate() == Fate.ACCEPTED) {
+        if (own.isPresent() && own.get().fate() == State.ACCEPTED) {
             return SubmitResult.accepted(own.get().accepted());
         }
-        boolean certain = history.reachesBackTo(note.basedOn());
-        if (own.isPresent() && own.get().fate() == Fate.SUBMITTED && !certain) {
+        boolean certain = history.isCompleteSince(note.basedOn());
+        if (own.isPresent() && own.get().fate() == State.SUBMITTED && !certain) {
             return SubmitResult.refused(ResultCode.WRITE_UNANSWERED, history.revision(), List.of());
         }
         if (history.revision().isNewerThan(note.basedOn())) {
-            recordFate(note.id(), text, Fate.REFUSED, Revision.NONE);
+            recordState(note.id(), text, State.REFUSED, Revision.NONE);
         }
         return SubmitResult.refused(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
     }
 
     /** Records the note under its id; denied if the id belongs to another note that may be accepted. */
     private Claim claimId(ReleaseNote note, String text, AcceptanceHistory history) {
-        NoteRecord claim = new NoteRecord(note.id(), Fate.SUBMITTED, note.basedOn(), Revision.NONE, text);
+        NoteRecord claim = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
         while (true) {
             Optional<StoredObject> existing = readRecord(note.id());
             if (existing.isPresent()) {
@@ -186,20 +186,20 @@
         return switch (known.fate()) {
             case REFUSED -> true;
             case ACCEPTED -> false;
-            case SUBMITTED -> history.revision().isNewerThan(known.basedOn()) && history.reachesBackTo(known.basedOn());
+            case SUBMITTED -> history.revision().isNewerThan(known.basedOn()) && history.isCompleteSince(known.basedOn());
         };
     }
 
     /** Best effort without repetition, and only in the record of this text: the configuration stays the source of truth. */
-    private void recordFate(NoteId id, String text, Fate fate, Revision accepted) {
+    private void recordState(NoteId id, String text, State fate, Revision accepted) {
         try {
             Optional<StoredObject> existing = store.get(ObjectNames.note(id)).join();
-            Optional<NoteRecord> own = existing.map(SubmitNote::decodeRecord)
-                    .filter(known -> known.text().equals(text) && known.fate() == Fate.SUBMITTED);
+            Optional<NoteRecord> own = existing.map(NoteSubmitter::decodeRecord)
+                    .filter(known -> known.text().equals(text) && known.fate() == State.SUBMITTED);
             if (own.isPresent()) {
                 store.put(
                                 ObjectNames.note(id),
-                                JsonCodec.encode(own.get().withFate(fate, accepted)),
+                                JsonCodec.encode(own.get().withState(fate, accepted)),
                                 existing.get().revision())
                         .join();
             }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
@@ -13,7 +13,7 @@
  * @param faults all faults of an invalid note
  * @param newerNotes after a conflict, the notes accepted since the revision the note is based on, as far as known
  */
-public record SubmitResult(ResultCode code, Revision revision, List<NoteFault> faults, List<AcceptedNote> newerNotes) {
+public record SubmitResult(ResultCode code, Revision revision, List<NoteError> faults, List<AcceptedNote> newerNotes) {
     public SubmitResult {
         faults = List.copyOf(faults);
         newerNotes = List.copyOf(newerNotes);
@@ -23,7 +23,7 @@
         return new SubmitResult(ResultCode.OK, revision, List.of(), List.of());
     }
 
-    static SubmitResult invalid(ResultCode code, List<NoteFault> faults) {
+    static SubmitResult invalid(ResultCode code, List<NoteError> faults) {
         return new SubmitResult(code, Revision.NONE, faults, List.of());
     }
 
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryOverlay.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.Optional;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteFault;
-import org.coriandercrank.note.NoteFault.Kind;
+import org.coriandercrank.note.NoteError;
+import org.coriandercrank.note.NoteError.Kind;
 import org.coriandercrank.note.ReleaseNote.Entry;
 
 /** Lays the fields of an entry over an object of the configuration. Stateless. */
-public final class EntryOverlay {
-    private EntryOverlay() {}
+public final class EntryMerger {
+    private EntryMerger() {}
 
     /** The base with the entry's fields, or empty after adding faults. */
-    public static <T> Optional<T> apply(T base, Entry entry, Class<T> type, List<NoteFault> faults) {
+    public static <T> Optional<T> merge(T base, Entry entry, Class<T> type, List<NoteError> faults) {
         int faultsBefore = faults.size();
         checkFields(entry, faults);
         if (faults.size() > faultsBefore) {
@@ -28,12 +28,12 @@
         try {
             return Optional.of(JsonCodec.mapper().treeToValue(merged, type));
         } catch (JsonProcessingException e) {
-            faults.add(new NoteFault(entry.path(), Kind.OUT_OF_RANGE, rootMessage(e)));
+            faults.add(new NoteError(entry.path(), Kind.OUT_OF_RANGE, rootMessage(e)));
             return Optional.empty();
         }
     }
 
-    private static void checkFields(Entry entry, List<NoteFault> faults) {
+    private static void checkFields(Entry entry, List<NoteError> faults) {
         List<FieldSpec> specs = FieldSpec.of(entry.subject());
         for (Iterator<Map.Entry<String, JsonNode>> fields = entry.fields().fields(); fields.hasNext(); ) {
             Map.Entry<String, JsonNode> field = fields.next();
@@ -42,9 +42,9 @@
                     specs.stream().filter(s -> s.name().equals(field.getKey())).findFirst();
             if (spec.isEmpty()) {
                 List<String> known = specs.stream().map(FieldSpec::name).toList();
-                faults.add(new NoteFault(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
+                faults.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
             } else {
-                spec.get().check().apply(field.getValue()).ifPresent(p -> faults.add(p.at(path)));
+                spec.get().validator().apply(field.getValue()).ifPresent(p -> faults.add(p.at(path)));
             }
         }
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
@@ -6,20 +6,20 @@
 import java.util.Optional;
 import java.util.function.Function;
 import org.coriandercrank.kernel.config.Locality;
-import org.coriandercrank.note.NoteFault;
-import org.coriandercrank.note.NoteFault.Kind;
+import org.coriandercrank.note.NoteError;
+import org.coriandercrank.note.NoteError.Kind;
 import org.coriandercrank.note.ReleaseNote.Subject;
 
 /**
  * A field that an entry may have. Immutable.
  *
- * @param check the fault of a value at a path, if it has one
+ * @param validator the fault of a value at a path, if it has one
  */
-record FieldSpec(String name, Function<JsonNode, Optional<Problem>> check) {
+record FieldSpec(String name, Function<JsonNode, Optional<Problem>> validator) {
     /** A fault without its path. Immutable. */
     record Problem(Kind kind, String message) {
-        NoteFault at(String path) {
-            return new NoteFault(path, kind, message);
+        NoteError at(String path) {
+            return new NoteError(path, kind, message);
         }
     }
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
@@ -24,7 +24,7 @@
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteApplication;
+import org.coriandercrank.note.NoteApplier;
 import org.coriandercrank.note.NoteParser;
 import org.coriandercrank.testkit.SiteHost;
 import org.junit.jupiter.api.Test;
@@ -191,7 +191,7 @@
                 .toList();
         Configuration expected = start;
         for (Submission submission : accepted) {
-            expected = new NoteApplication(expected, environment(start))
+            expected = new NoteApplier(expected, environment(start))
                     .apply(new NoteParser().parse(submission.text()).orElseThrow())
                     .orElseThrow();
         }
@@ -203,8 +203,8 @@
         assertThat(accepted.size()).isBetween(5, NOTES - 5);
     }
 
-    private static NoteApplication.Environment environment(Configuration start) {
-        return new NoteApplication.Environment(
+    private static NoteApplier.Environment environment(Configuration start) {
+        return new NoteApplier.Environment(
                 Set.of(),
                 start.services().stream().map(s -> s.placementPolicy()).collect(Collectors.toSet()),
                 start.services().stream().map(s -> s.balancingPolicy()).collect(Collectors.toSet()));
