--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -237,8 +237,8 @@
 
     /**
      * Continues with a record that was found before this process had a confirmed one. The record is confirmed if it holds
-     * a pending write of this process on top of the inherited revision. Otherwise it is the record of the earlier process,
-     * which the next write replaces.
+     * a pending write of this process on top of the inherited revision. Otherwise it is treated as the record of the earlier
+     * process, which the next write replaces.
      */
     private List<HolderAction> resume(VersionedMember inherited, long nowNanos) {
         if (inherited.member().state() == MemberState.SEALED) {
