--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
@@ -19,7 +19,7 @@
             request -> CompletableFuture.completedFuture(
                     CallerAnswer.executed(200, List.of(), "local".getBytes(IngressFixture.UTF8)));
 
-    final OwnerGate gate = (OwnerGate) Proxy.newProxyInstance(
+    final OwnerGate ownerGate = (OwnerGate) Proxy.newProxyInstance(
             FakeGate.class.getClassLoader(),
             new Class<?>[] {OwnerGate.class},
             (proxy, method, arguments) -> switch (method.getName()) {
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/IngressFixture.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/IngressFixture.java
@@ -67,7 +67,7 @@
                 new IngressDependencies(
                         eventLoopGroup,
                         view,
-                        gate.gate,
+                        gate.ownerGate,
                         peers,
                         peerHandlers,
                         timers,
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -33,6 +33,8 @@
  */
 public final class Ingress implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
+
+    /** Capacity of the executor's task queue for each request that can be in flight. */
     private static final int QUEUED_TASKS_PER_REQUEST = 4;
 
     /** Interval at which a drain checks whether all responses are written. */
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
@@ -4,12 +4,13 @@
  * Limits and timeouts of {@link Ingress}. Immutable.
  *
  * @param maxInFlight largest number of callers' requests in flight; one more is refused with {@code OVERLOADED}
- * @param maxSendsPerRequest largest number of sends of one request, including refused ones
+ * @param maxSendsPerRequest largest number of times that one request is sent to a gate, including refused attempts
  * @param maxAttemptIdsPerRequest largest number of attempt ids of one request, see {@code docs/design/routing.md}
  * @param rangeMoveWaitMs longest time that a request waits for a newer table or while its range moves
  * @param ownerLostWaitMs longest time that a request waits while its owner is lost
- * @param backoffStepMs backoff before the first repetition of a refused send; each further backoff is longer by this
- *     step, up to {@code maxBackoffMs}. It is also the first interval between outcome queries, which doubles each time.
+ * @param backoffStepMs time to wait before a refused request is sent again for the first time; each further wait is
+ *     longer by this step, up to {@code maxBackoffMs}. It is also the first interval between outcome queries, which
+ *     doubles up to the same limit.
  * @param outcomeQueryTimeoutMs timeout of one outcome query
  * @param answerGracePeriodMs time after the deadline in which the gate can still deliver its answer
  * @param defaultRetryAfterMs {@code Retry-After} of refusals that state none
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -49,8 +49,8 @@
         private RoutingSnapshot snapshot;
         private List<EligibleServer> eligible = List.of();
 
-        private ServiceState(OutlierDetector health) {
-            this.outlierDetector = health;
+        private ServiceState(OutlierDetector outlierDetector) {
+            this.outlierDetector = outlierDetector;
         }
     }
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
@@ -16,6 +16,8 @@
  * servers leave the service, excluded ones are readmitted until that holds again.
  */
 public final class OutlierDetector {
+    private static final long NANOS_PER_MS = 1_000_000;
+
     private final OutlierDetectionOptions options;
     private final Map<MemberId, ServerHealth> servers = new HashMap<>();
     private int excludedCount;
@@ -102,6 +104,6 @@
     }
 
     private long probeIntervalNanos() {
-        return options.probeIntervalMs() * 1_000_000;
+        return options.probeIntervalMs() * NANOS_PER_MS;
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
@@ -83,12 +83,13 @@
     }
 
     public boolean mayAnyHaveRun() {
-        return attempts.stream().anyMatch(k -> k != AttemptState.NOT_RUN);
+        return attempts.stream().anyMatch(state -> state != AttemptState.NOT_RUN);
     }
 
     /** Number of attempts that ran, may have run or may still run. */
     public int possiblyRunCount() {
-        return (int) attempts.stream().filter(k -> k != AttemptState.NOT_RUN).count();
+        return (int)
+                attempts.stream().filter(state -> state != AttemptState.NOT_RUN).count();
     }
 
     public int sendCount() {
@@ -109,7 +110,7 @@
         if (proposed == ResultCode.CANCELLED) {
             return ResultCode.CANCELLED_RUNNING;
         }
-        boolean answerLost = attempts.stream().anyMatch(k -> k == AttemptState.MAY_HAVE_RUN);
+        boolean answerLost = attempts.stream().anyMatch(state -> state == AttemptState.MAY_HAVE_RUN);
         return proposed == ResultCode.DEADLINE_EXPIRED && !answerLost
                 ? ResultCode.DEADLINE_EXPIRED_RUNNING
                 : ResultCode.OUTCOME_UNKNOWN;
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OwnerWait.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OwnerWait.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns the backoff before the next repetition of a refused send, and increases the one after it. The backoff grows
-     * linearly: with doubling, the end of a range move of 80 ms was noticed only after 155 ms.
+     * Returns the time to wait before a refused request is sent again, and increases it for the next call. The backoff
+     * grows linearly: with doubling, the end of a range move of 80 ms was noticed only after 155 ms.
      */
     long takeNextBackoffMs() {
         long backoffMs = nextBackoffMs;
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -51,7 +51,7 @@
     private final CompletableFuture<DispatchResult> result;
     private final Set<MemberId> triedMembers = new HashSet<>();
 
-    /** Number in the current attempt id. Unlike the number of sends, it stays the same when an id is sent again. */
+    /** Number in the current attempt id. It does not change when the request is sent again under the same id. */
     private int attemptNumber = 1;
 
     private Optional<MemberId> lastTarget = Optional.empty();
@@ -239,10 +239,10 @@
     }
 
     /**
-     * Repeats a refused send after a backoff, or as soon as the owner changes. If the request must not wait any longer,
-     * it finishes with the refusal.
+     * Sends a refused request again after a backoff, or as soon as the owner changes. If the request must not wait any
+     * longer, it finishes with the refusal.
      *
-     * @param seen the snapshot on which the refused send was based
+     * @param seen the snapshot on which the refused attempt was based
      */
     void resendLater(CallerAnswer refusal, RoutingSnapshot seen) {
         lastAnswer = Optional.of(refusal);
@@ -257,7 +257,7 @@
     }
 
     /**
-     * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused send reached the backend
+     * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused attempt reached the backend
      * server.
      */
     void resendLaterWithinBudget(CallerAnswer refusal, RoutingSnapshot seen) {
