--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/OwnershipState.java
@@ -43,8 +43,7 @@
     private record Barrier(KeyRange range, Generation generation) {}
 
     /**
-     * A part of a served range that the table assigns to another member, while that member has not requested its
-     * release.
+     * A part of a served range that the table moves to another member, which has not requested the release yet.
      *
      * @param untilMs monotonic time at which the part is released even without a request; {@link #NOT_SET} before the
      *     first poll
@@ -71,14 +70,11 @@
     private Map<PendingRange.Id, PendingRange> pending = new LinkedHashMap<>();
 
     /**
-     * Creates a state that holds no ranges.
+     * Creates a state that holds no ranges. The options are those of {@code RangeOwnershipOptions}.
      *
-     * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
-     * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
      * @param releaseGraceMs how long a range that the table assigns to another member stays served while that member
      *     has not requested its release. The old owner often receives a table before the new owner; if it released the
      *     range immediately, no member would serve the range in between.
-     * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges
      */
     public OwnershipState(
             MemberId self,
@@ -203,10 +199,7 @@
         return actions;
     }
 
-    /**
-     * Goes on serving the ranges that a planned move assigns to another member until that member requests their
-     * release; the new owner cannot serve them before that.
-     */
+    /** Defers the release of moved ranges until the new owner, which cannot serve them earlier, requests it. */
     private void deferReleases() {
         List<DeferredRelease> next = new ArrayList<>();
         List<RangeAssignment> movedAway = table.assignments().stream()
@@ -226,9 +219,7 @@
         deferredReleases = next;
     }
 
-    /**
-     * Keeps the deadline of a part whose release is already deferred, so that a sequence of tables cannot extend it.
-     */
+    /** Keeps the deadline of an already deferred release, so that a sequence of tables cannot extend it. */
     private long deferredUntilMs(KeyRange part) {
         return deferredReleases.stream()
                 .filter(d -> d.range.overlaps(part))
@@ -268,8 +259,7 @@
     }
 
     /**
-     * Reports that a release request could not be sent, was not answered, or that the previous owner has not released
-     * the range yet.
+     * Reports that a release request failed or that the previous owner has not released the range yet.
      *
      * @return delay until the next attempt, in milliseconds
      */
@@ -300,11 +290,7 @@
         reconcileNeeded = true;
     }
 
-    /**
-     * Reports that the gate has released a range.
-     *
-     * @param records outcome records of the range, retained for its next owner
-     */
+    /** Reports that the gate has released a range, with the outcome records to retain for the next owner. */
     public void releaseCompleted(OwnershipAction.Release action, TransferredRecords records, long nowMs) {
         for (HeldRange heldRange : List.copyOf(heldRanges)) {
             if (heldRange.range().equals(action.range())) {
@@ -338,9 +324,7 @@
         heldRanges.replaceAll(h -> h.range().equals(range) ? change.apply(h) : h);
     }
 
-    /**
-     * Results are often reported in batches, so the state is reconciled once after a batch and not after each result.
-     */
+    /** Reconciles once after a batch of reported results instead of after each result. */
     private void reconcileIfNeeded() {
         if (reconcileNeeded) {
             reconcile();
@@ -416,9 +400,7 @@
         return overlapping;
     }
 
-    /**
-     * The assigned ranges that this daemon does not hold yet; known pending ranges keep the answers received so far.
-     */
+    /** The assigned ranges that this daemon does not hold yet; known pending ranges keep their answers. */
     private Map<PendingRange.Id, PendingRange> findPending() {
         Map<PendingRange.Id, PendingRange> next = new LinkedHashMap<>();
         if (sealed) {
