--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
@@ -205,7 +205,7 @@
         startedCalls.add(new StartedCall(call, hash, deadlineNanos));
     }
 
-    /** Number of unanswered submissions of the request or, if it has an idempotency key, of all requests with this key. */
+    /** Number of unanswered submissions of the request, or of all requests with its idempotency key if it has one. */
     private int unansweredSubmissions(CallerRequest request) {
         if (request.idempotencyKey().isEmpty()) {
             return unansweredById.getOrDefault(request.id(), 0);
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GatePropertiesTest.java
@@ -14,9 +14,9 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 
 /**
- * Random interleavings of submit, retry, cancel, resolve, acquire, release, loss and return of the lease, and failures of
- * the backend server. Guards against double execution, execution without a lease, range or slot, a wrong NOT_RUN, and a
- * release that completes too early. jqwik prints the seed.
+ * Random interleavings of submit, retry, cancel, resolve, acquire, release, loss and return of the lease, and failures
+ * of the backend server. Guards against double execution, execution without a lease, range or slot, a wrong NOT_RUN,
+ * and a release that completes too early. jqwik prints the seed.
  */
 class GatePropertiesTest {
     private static final int TRIES = 3_000;
@@ -39,7 +39,7 @@
         run(Set.of(Capability.DEADLINE, Capability.FENCE), OPTIONS, actions);
     }
 
-    /** Records are evicted constantly; then keys are protected by their stated age, and request ids by the evicted ids. */
+    /** Records are evicted constantly; keys are then protected by their stated age, request ids by the evicted ids. */
     @Property(tries = TRIES, edgeCases = EdgeCasesMode.NONE)
     void invariantsHoldWithFewRecords(@ForAll("actions") List<Action> actions) {
         run(GateFixture.ALL_CAPABILITIES, OPTIONS.withRecordLimits(600_000, 8, 100_000), actions);
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -81,7 +81,10 @@
         assertThat(codeOf(gate.submit(gate.newPost(UPPER_HALF_KEY)))).isEqualTo(ResultCode.NOT_OWNER);
     }
 
-    /** Guards against a release that completes while a call with a lost answer may still run. */
+    /**
+     * Guards against a release that completes while a call with a lost answer may still run. The deadline is 1 s; the
+     * call counts as ended 250 ms later if the server honours deadlines, and 60 s later otherwise.
+     */
     @ParameterizedTest
     @CsvSource({"'DEADLINE', 1300", "'VALIDITY', 61300", "'', 61300"})
     void releaseWaitsForLostCalls(String capabilities, long completeAfterMs) {
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
@@ -132,7 +132,7 @@
         assertThat(codeOf(gate.submit(post))).isEqualTo(ResultCode.BARRED);
     }
 
-    /** Guards against BARRED, which means not executed, for a request that the gate may have forgotten or never seen. */
+    /** Guards against BARRED, which means not executed, for a request that the gate may have forgotten or not seen. */
     @Test
     void resolveIsUnknownIfHistoryIsIncomplete() {
         gate.backend.onCall = Call::succeed;
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/HotKeyTrialTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/HotKeyTrialTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates the effect of a hot key on other keys in virtual time: 18 slots, exponentially distributed service time with
- * a mean of 10 ms, queue of 64, deadline 200 ms. The other keys request half of the capacity, the hot key the rest of the
- * offered load.
+ * Simulates the effect of a hot key on other keys in virtual time: 18 slots, exponentially distributed service time
+ * with a mean of 10 ms, queue of 64, deadline 200 ms. The other keys request half of the capacity, the hot key the rest
+ * of the offered load.
  */
 class HotKeyTrialTest {
     private static final int SLOTS = 18;
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates overload of a payment server: for several seconds more requests arrive than it can execute. They are payments
- * and short internal checks of high priority, and longer lookups of low priority.
+ * Simulates overload of a payment server: for several seconds more requests arrive than it can execute. They are
+ * payments and short internal checks of high priority, and longer lookups of low priority.
  */
 class OverloadReplayTest {
     private static final int SLOTS = 18;
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Guards against retries of refused callers at the same time: no interval of 100 ms may get more than three times as
-     * many retries as the server can execute in it.
+     * Guards against retries of refused callers at the same time: no interval of 100 ms may get more than three times
+     * as many retries as the server can execute in it.
      */
     @Test
     void retriesAreSpreadOverTime() {
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/RejectedRangeTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against repeatedly sending requests to a backend server that does not hold their range although it acknowledged
- * the grant, for example after a lost answer to a heartbeat. Each rejected request uses up retry budget of the service.
+ * Guards against repeatedly sending requests to a backend server that does not hold their range although it
+ * acknowledged the grant, for example after a lost answer to a heartbeat. Each rejected request uses up retry budget of
+ * the service.
  */
 class RejectedRangeTest {
     private static final int PARK_MS = 1_000;
@@ -67,7 +68,7 @@
         assertThat(gate.backend.calls).hasSize(callsBefore);
     }
 
-    /** The acknowledgement of a grant that was sent before the rejection does not prove that the server holds the range. */
+    /** The acknowledgement of a grant sent before the rejection does not prove that the server holds the range. */
     @Test
     void earlierGrantDoesNotEndTheWait() {
         gate.timers.advanceMs(350);
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
@@ -69,7 +69,9 @@
         assertThat(gate.core.status().serving()).isEmpty();
     }
 
-    /** Guards against granting the ranges of the previous server, whose fencing tokens others may have seen, to the next. */
+    /**
+     * Guards against granting the ranges of a detached server, whose fencing tokens others may know, to the next one.
+     */
     @Test
     void rangesOfADetachedServerAreNotGrantedToTheNext() {
         gate.startServing(1);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Admission.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Admission.java
@@ -21,8 +21,8 @@
      * @param grantUnavailable whether the latest grant failed and the backend server has no valid earlier one
      * @param mayHaveLostRecord whether an earlier attempt with the same idempotency key may have run without a record
      * @param remainingMs time until the deadline of the request
-     * @param keyShareExceeded whether the key of the request has used up its share of slots and queue at a time when that
-     *     delays other keys
+     * @param keyShareExceeded whether the key of the request has used up its share of slots and queue at a time when
+     *     that delays other keys
      * @param queued number of requests in the queue
      * @param occupiedSlots number of calls that run at the backend server
      * @param concurrencyLimit number of calls that may run at the backend server at present
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedIdFilter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ExecutedIdFilter.java
@@ -7,7 +7,8 @@
 import org.coriandercrank.kernel.id.RequestId;
 
 /**
- * Bloom filter of the request ids that were executed recently, in constant memory. An id is kept for at least one window.
+ * Bloom filter of the request ids that were executed recently, in constant memory. An id is kept for at least one
+ * window.
  *
  * <p>The filter may report an id that was not executed, but it never misses an id that was executed during the window.
  * It answers outcome queries about requests without an outcome record, such as repeatable requests. Not thread safe.
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
@@ -17,8 +17,8 @@
 /**
  * An admitted request and the submissions that wait for its answer.
  *
- * <p>The state only moves forward in the order of {@link State}. The call to the backend server is made at most once, on
- * the transition to RUNNING. Not thread safe.
+ * <p>The state only moves forward in the order of {@link State}. The call to the backend server is made at most once,
+ * on the transition to RUNNING. Not thread safe.
  */
 public final class Execution {
     /** Progress of an execution. */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
@@ -6,11 +6,11 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * Remembers for each part of the hash space the newest fence under which it was acquired, and whether it was released
- * since.
+ * Remembers for each part of the hash space the newest fencing token under which it was acquired, and whether it was
+ * released since.
  *
- * <p>Prevents a delayed acquire from taking effect: a fence is not accepted after a newer fence or after its own release.
- * The history is bounded; when it is full, the oldest record is discarded. Not thread safe.
+ * <p>Prevents a delayed acquire from taking effect: a token is not accepted after a newer token or after its own
+ * release. The history is bounded; when it is full, the oldest record is discarded. Not thread safe.
  */
 public final class FenceHistory {
     private static final int MAX_RECORDS = 4_096;
@@ -28,17 +28,17 @@
 
     private final List<FenceRecord> records = new ArrayList<>();
 
-    /** Whether a range may be acquired under a fence: no part was acquired under a newer one or released under this one. */
+    /** Whether a range may be acquired: no part was acquired under a newer token or released under this one. */
     public boolean allows(KeyRange range, Generation fence) {
         return records.stream().filter(r -> r.range().overlaps(range)).allMatch(r -> r.allows(fence));
     }
 
-    /** Records that a range was acquired under a fence. */
+    /** Records that a range was acquired under a fencing token. */
     public void onAcquire(KeyRange range, Generation fence) {
         add(new FenceRecord(range, fence, false));
     }
 
-    /** Records that a range was released under the fence of each of its parts. */
+    /** Records that a range was released under the fencing token of each of its parts. */
     public void onRelease(KeyRange range) {
         for (FenceRecord record : List.copyOf(records)) {
             if (record.range().overlaps(range)) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Starts an asynchronous call and handles its result on the thread of the gate. If the task queue of the gate is full,
-     * the result is queued again later: a lost result would occupy a slot for ever.
+     * Starts an asynchronous call and handles its result on the thread of the gate. If the task queue of the gate is
+     * full, the result is queued again later: a lost result would occupy a slot for ever.
      */
     public <T> void call(Supplier<CompletableFuture<T>> call, BiConsumer<T, Throwable> onResult) {
         CompletableFuture<T> result;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -94,9 +94,9 @@
     /**
      * Whether this gate still knows every execution that a query can refer to.
      *
-     * <p>A query reaches only the member that the request was sent to, and a gate does not outlive its member. Therefore
-     * only executions can be missing whose records were passed on with a released range. The query cannot refer to one of
-     * them any more once the range has been served again for the maximum deadline.
+     * <p>A query reaches only the member that the request was sent to, and a gate does not outlive its member.
+     * Therefore only executions can be missing whose records were passed on with a released range. The query cannot
+     * refer to one of them any more once the range has been served again for the maximum deadline.
      */
     private boolean isHistoryComplete(OutcomeQuery query, long nowNanos) {
         ServiceConfig config = context.serviceConfig();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
@@ -223,7 +223,7 @@
                 grantOutdated ? nowNanos : sent.sentAtNanos() + sent.validityNanos() / RENEWALS_PER_VALIDITY_PERIOD;
     }
 
-    /** Whether granted ranges with the fence of an entry cover it completely. */
+    /** Whether granted ranges with the fencing token of an entry cover it completely. */
     private static boolean isFullyGranted(RangeEntry entry, List<GrantedRange> granted) {
         List<KeyRange> pieces = granted.stream()
                 .filter(g -> g.fence().equals(entry.fence()) && g.range().overlaps(entry.range()))
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
@@ -9,12 +9,12 @@
 
 /**
  * Estimates the load of a backend server: the service time per request class, whether requests arrive faster than the
- * server can execute them, and when refused callers should retry. Requests with the same rules, or without rules, form a
- * request class. The current time is a parameter of the methods. Not thread safe.
+ * server can execute them, and when refused callers should retry. Requests with the same rules, or without rules, form
+ * a request class. The current time is a parameter of the methods. Not thread safe.
  *
- * <p>Overload is detected from the arriving work and not from the queueing time of served requests, because in a priority
- * queue requests of high priority never wait. The arriving work is smoothed, so that the requests of a short burst are
- * served late instead of being refused.
+ * <p>Overload is detected from the arriving work and not from the queueing time of served requests, because in a
+ * priority queue requests of high priority never wait. The arriving work is smoothed, so that the requests of a short
+ * burst are served late instead of being refused.
  */
 public final class LoadEstimator {
     private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
@@ -103,7 +103,7 @@
         return requestClass.map(RequestRules::latencyObjectiveMs).orElse(Long.MAX_VALUE);
     }
 
-    /** Whether a request of one class is started before a waiting request of another class although it arrives later. */
+    /** Whether a request of one class is started before an earlier request of another class. */
     private static boolean takesPrecedence(Optional<RequestRules> requestClass, Optional<RequestRules> waitingClass) {
         return priority(requestClass) < priority(waitingClass)
                 || (priority(requestClass) == priority(waitingClass)
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Time in milliseconds after which a refused caller should retry. Each caller gets a later time than the one before;
-     * the times are spaced by the rate at which the backend server can execute requests, so that the callers do not retry
-     * all at once.
+     * Time in milliseconds after which a refused caller should retry. Each caller gets a later time than the one
+     * before; the times are spaced by the rate at which the backend server can execute requests, so that the callers do
+     * not retry all at once.
      *
      * @param queueDrainMs time until the requests that wait now have been started
      */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
@@ -9,9 +9,9 @@
  * Order in which queued requests are started. Stateless.
  *
  * <p>Requests are ordered by priority. Within a priority, requests that can still be answered within their latency
- * objective precede those that cannot, and then the request whose objective ends first precedes; so during overload only
- * some of the requests miss their objective. Requests without rules have the highest priority and keep their order of
- * arrival.
+ * objective precede those that cannot, and then the request whose objective ends first precedes; so during overload
+ * only some of the requests miss their objective. Requests without rules have the highest priority and keep their order
+ * of arrival.
  */
 public final class QueueOrder {
     private QueueOrder() {}
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A key range that this gate holds under one fence. Acquiring the range again under a newer fence creates another entry,
- * so the two are never confused.
+ * A key range that this gate holds under one fencing token. Acquiring the range again under a newer token creates
+ * another entry, so the two are never confused.
  *
  * <p>The state only moves forward in the order of {@link State}. Not thread safe.
  */
@@ -25,7 +25,7 @@
         RELEASING,
         /** New grants do not contain the range; the backend server may still hold it. */
         REVOKING,
-        /** The backend server cannot start a request under the fence of this entry any more. */
+        /** The backend server cannot start a request under the fencing token of this entry any more. */
         REVOKED
     }
 
@@ -73,7 +73,7 @@
         return entry;
     }
 
-    /** Creates an entry for a part of this range with the same fence, state and history. */
+    /** Creates an entry for a part of this range with the same fencing token, state and history. */
     RangeEntry subrange(KeyRange newRange) {
         double share = newRange.share() / range.share();
         RangeEntry result =
@@ -122,14 +122,14 @@
 
     /**
      * Horizon since which neither this gate nor the previous owner has removed an outcome record of the range. Unlike
-     * {@link #recordHorizon()} it is not limited by a takeover, because a takeover happens seconds after the last execution
-     * by the lost owner.
+     * {@link #recordHorizon()} it is not limited by a takeover, because a takeover happens seconds after the last
+     * execution by the lost owner.
      */
     public RecordHorizon removalHorizon() {
         return removalHorizon;
     }
 
-    /** Advances both horizons after a record that was created at a time has been removed. */
+    /** Advances both horizons to the creation time of a removed record. */
     public void advanceHorizons(long sinceNanos) {
         recordHorizon = recordHorizon.later(RecordHorizon.startingAt(sinceNanos));
         removalHorizon = removalHorizon.later(RecordHorizon.startingAt(sinceNanos));
@@ -149,7 +149,7 @@
         servingSinceNanos = sinceNanos;
     }
 
-    /** Moves to a later state; throws {@link IllegalStateException} if the state is not later. */
+    /** Moves to a later state; throws {@link IllegalStateException} if the new state is not later. */
     public void transitionTo(State newState) {
         if (newState.compareTo(state) <= 0) {
             throw new IllegalStateException("range " + range + " cannot change from " + state + " to " + newState);
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Fails an acquire. The backend server may have received the grant, so the range is revoked. It may be acquired again
-     * under the same fence unless it is released before.
+     * Fails an acquire. The backend server may have received the grant, so the range is revoked. It may be acquired
+     * again under the same fencing token unless it is released before.
      */
     public void failAcquire(CrankException failure) {
         transitionTo(State.REVOKING);
@@ -171,7 +171,7 @@
         return acquireFailed;
     }
 
-    /** Starts the release of the range; afterwards it cannot be acquired again under this fence. */
+    /** Starts the release of the range; afterwards it cannot be acquired again under this fencing token. */
     public void startRelease() {
         acquireFailed = false;
         if (state.compareTo(State.RELEASING) < 0) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Takes over the fences and the grant expiry of an entry that this entry replaces. */
+    /** Takes over the fencing tokens and the grant expiry of an entry that this entry replaces. */
     void inheritGrantExpiry(RangeEntry replaced) {
         replacedFences.add(replaced.fence);
         replacedFences.addAll(replaced.replacedFences);
@@ -188,20 +188,20 @@
         }
     }
 
-    /** Whether a granted range overlaps this entry and has its fence or the fence of an entry that it replaced. */
+    /** Whether a granted range overlaps this entry and has its fencing token or that of an entry that it replaced. */
     public boolean isGrantedBy(GrantedRange granted) {
         return granted.range().overlaps(range)
                 && (granted.fence().equals(fence) || replacedFences.contains(granted.fence()));
     }
 
-    /** Records that a grant of the range may be valid at the backend server until a time; never shortens the period. */
+    /** Records until when a grant of the range may be valid at the backend server; an earlier time has no effect. */
     public void extendGrantExpiry(long expiresAtNanos) {
         grantExpiresAtNanos =
                 everGranted && grantExpiresAtNanos - expiresAtNanos > 0 ? grantExpiresAtNanos : expiresAtNanos;
         everGranted = true;
     }
 
-    /** Records that the backend server rejected the fence of the range although it had acknowledged the grant. */
+    /** Records that the backend server rejected the fencing token although it had acknowledged the grant. */
     public void markRejected(long nowNanos) {
         rejectedAtNanos = OptionalLong.of(nowNanos);
     }
@@ -211,7 +211,7 @@
         return rejectedAtNanos.isPresent();
     }
 
-    /** Handles the acknowledgement of a grant of the range that was sent at a time; earlier grants have no effect. */
+    /** Ends the need of another grant if the acknowledged grant of the range was not sent before the rejection. */
     public void onGrantAcknowledged(long sentAtNanos) {
         if (rejectedAtNanos.isPresent() && sentAtNanos - rejectedAtNanos.getAsLong() >= 0) {
             rejectedAtNanos = OptionalLong.empty();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -21,8 +21,8 @@
  * Acquires and releases ranges.
  *
  * <p>Invariant: a release completes only when every call of its range that was in flight or lost at the start of the
- * release is settled, and every entry that it took out of service is revoked or has expired at the backend server. Calls
- * under a newer fence do not delay a release. Not thread safe.
+ * release is settled, and every entry that it took out of service is revoked or has expired at the backend server.
+ * Calls under a newer fencing token do not delay a release. Not thread safe.
  */
 final class RangeService {
     /** A release in progress; it waits for the unsettled calls and the entries of its range. */
@@ -88,7 +88,7 @@
     /** Returns the reason why a range cannot be acquired, or null if it can. */
     private CrankException refusal(KeyRange range, Generation fence, List<RangeEntry> active) {
         if (!context.serviceConfig().keyed()) {
-            return new CrankException(ResultCode.BAD_REQUEST, "the service has no keys and therefore no ranges");
+            return new CrankException(ResultCode.BAD_REQUEST, "the service is unkeyed and has no ranges");
         }
         if (backend.isEmpty()) {
             return new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server is attached");
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Creates the entry for an acquired range and removes the entries that it replaces. If the replaced entries cover the
-     * whole range, the outcome records of this gate remain complete as far as they were.
+     * Creates the entry for an acquired range and removes the entries that it replaces. If the replaced entries cover
+     * the whole range, the outcome records of this gate remain complete as far as they were.
      */
     private RangeEntry createEntry(KeyRange range, Generation fence, TransferredRecords transferred) {
         long nowNanos = context.nowNanos();
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Removes and returns the entries within a range that are served under an older fence, or whose acquire under this fence
-     * failed.
+     * Removes and returns the entries within a range that are served under an older fencing token, or whose acquire
+     * under this token failed.
      */
     private List<RangeEntry> removeReplaced(KeyRange range, Generation fence) {
         List<RangeEntry> removed = new ArrayList<>();
@@ -230,7 +230,7 @@
         return !releases.isEmpty();
     }
 
-    /** Fails acquires without a lease, and revokes released ranges whose calls have ended or exceeded their deadline. */
+    /** Fails acquires if the lease has expired, and starts to revoke released ranges without pending calls. */
     void tick(long nowNanos) {
         if (!context.isLeaseValid()) {
             for (RangeEntry entry : ranges.inState(State.ACQUIRING)) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
@@ -21,7 +21,7 @@
     private static final int MAX_RELEASED_RANGES = 4_096;
 
     /**
-     * A range whose release under a fence has completed. Immutable.
+     * A range whose release under a fencing token has completed. Immutable.
      *
      * @param horizon horizon of the outcome records at the time of the release
      */
@@ -40,7 +40,7 @@
                 : Optional.empty();
     }
 
-    /** Returns the entry with the newest fence that contains a hash, in any state. */
+    /** Returns the entry with the newest fencing token that contains a hash, in any state. */
     public Optional<RangeEntry> newest(KeyHash hash) {
         RangeEntry newest = null;
         for (RangeEntry entry : entries) {
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns the part of an entry that lies within a range. If the entry extends beyond the range, it is replaced by one
-     * entry for the part within the range and others for the rest.
+     * Returns the part of an entry that lies within a range. If the entry extends beyond the range, it is replaced by
+     * one entry for the part within the range and others for the rest.
      */
     public RangeEntry splitOff(RangeEntry entry, KeyRange range) {
         if (range.contains(entry.range())) {
@@ -108,7 +108,9 @@
         return inside;
     }
 
-    /** Records for all entries with granted ranges that the grant may be valid at the backend server until a time. */
+    /**
+     * Records for all entries to which granted ranges apply until when the grant may be valid at the backend server.
+     */
     public void extendGrantExpiry(List<GrantedRange> granted, long expiresAtNanos) {
         for (RangeEntry entry : entries) {
             if (isGrantedBy(entry, granted)) {
@@ -122,7 +124,7 @@
         return granted.stream().anyMatch(entry::isGrantedBy);
     }
 
-    /** Advances the horizons after the record of a hash that was created at a time has been removed. */
+    /** Advances the horizons of the entries that contain a hash to the creation time of a removed record. */
     public void advanceHorizons(KeyHash hash, long sinceNanos) {
         for (RangeEntry entry : entries) {
             if (entry.range().contains(hash)) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordHorizon.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordHorizon.java
@@ -17,7 +17,7 @@
         return new RecordHorizon(false, startNanos);
     }
 
-    /** Creates the horizon of records that are complete for the last milliseconds; {@link Long#MAX_VALUE}: unlimited. */
+    /** Creates the horizon of records that are complete for a past time; {@link Long#MAX_VALUE} means unlimited. */
     public static RecordHorizon completeFor(long nowNanos, long completeForMs) {
         return completeForMs == Long.MAX_VALUE
                 ? UNLIMITED
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLossDetector.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordLossDetector.java
@@ -8,8 +8,8 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Detects requests with an idempotency key for which the outcome record of an earlier attempt may be missing. Not thread
- * safe.
+ * Detects requests with an idempotency key for which the outcome record of an earlier attempt may be missing. Not
+ * thread safe.
  */
 final class RecordLossDetector {
     private final GateContext context;
@@ -23,7 +23,7 @@
         unkeyedHorizon = RecordHorizon.startingAt(context.nowNanos());
     }
 
-    /** Advances the horizons after a record that was created at a time has been removed, for a service without keys. */
+    /** Advances the horizons of an unkeyed service to the creation time of a removed record. */
     void advanceUnkeyedHorizons(long sinceNanos) {
         unkeyedHorizon = unkeyedHorizon.later(RecordHorizon.startingAt(sinceNanos));
         unkeyedRemovalHorizon = unkeyedRemovalHorizon.later(RecordHorizon.startingAt(sinceNanos));
@@ -33,8 +33,8 @@
      * Whether an earlier attempt may have run although this gate has no record of it.
      *
      * <p>The stated age of the idempotency key is increased by an upper bound of the time that the request travelled. A
-     * stated age of 0 means a first attempt, or a retry within less than a millisecond. For it only removed records matter,
-     * so that first attempts are admitted right after a takeover.
+     * stated age of 0 means a first attempt, or a retry within less than a millisecond. For it only removed records
+     * matter, so that first attempts are admitted right after a takeover.
      */
     boolean mayHaveLostRecord(CallerRequest request, ServiceConfig config, KeyHash hash, long nowNanos) {
         Optional<RangeEntry> entry = ranges.serving(hash);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -80,8 +80,8 @@
     /**
      * Creates an empty table.
      *
-     * @param keyedRecordRemoved called with the key hash and creation time of each removed record that has an idempotency
-     *     key
+     * @param keyedRecordRemoved called with the key hash and creation time of each removed record that has an
+     *     idempotency key
      */
     public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> keyedRecordRemoved) {
         retentionNanos = TimeUnit.MILLISECONDS.toNanos(options.recordRetentionMs());
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
@@ -15,10 +15,10 @@
  * Queue of admitted requests; also tracks how many slots and queue places each key uses.
  *
  * <p>A key may use a configured share of the slots and the queue. Above this share, its requests are refused only while
- * requests of other keys wait or three quarters of the slots and the queue are in use, so a single hot key can still use
- * the whole server. Requests are started in the order of {@link QueueOrder}, but while requests of other keys wait, a key
- * whose running calls use up its share of the slots is skipped. A share of 100 percent turns this limit off. Not thread
- * safe.
+ * requests of other keys wait or three quarters of the slots and the queue are in use, so a single hot key can still
+ * use the whole server. Requests are started in the order of {@link QueueOrder}, but while requests of other keys wait,
+ * a key whose running calls use up its share of the slots is skipped. A share of 100 percent turns this limit off. Not
+ * thread safe.
  */
 public final class RequestQueue {
     private static final int NEARLY_FULL_PERCENT = 75;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -279,7 +279,7 @@
         }
     }
 
-    /** Whether the lease permits requests; a service without keys needs no lease, as its requests have no owner. */
+    /** Whether the lease permits requests; an unkeyed service needs no lease, as its requests have no owner. */
     private boolean hasRequiredLease(ServiceConfig config) {
         return !config.keyed() || context.isLeaseValid();
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
@@ -20,9 +20,9 @@
 /**
  * Active and finished executions by request id and idempotency key; detects requests that must not be executed again.
  *
- * <p>Invariant: a request id or idempotency key that has an active execution, or a record with outcome RUN or UNKNOWN, is
- * not executed again. Answers with outcome NOT_RUN are not recorded, so a later attempt may run. An outcome query bars the
- * id in this case, so that the reported outcome stays true. Not thread safe.
+ * <p>Invariant: a request id or idempotency key that has an active execution, or a record with outcome RUN or UNKNOWN,
+ * is not executed again. Answers with outcome NOT_RUN are not recorded, so a later attempt may run. An outcome query
+ * bars the id in this case, so that the reported outcome stays true. Not thread safe.
  */
 public final class RequestTable {
     /** An idempotency key together with the key hash of its request, which is its scope. */
@@ -179,10 +179,11 @@
      *
      * <ul>
      *   <li>FINISHED: the gate has a record of the answer, with outcome RUN or UNKNOWN.
-     *   <li>RUNNING: the request is queued or runs at the backend server, even if its callers were answered at the deadline.
+     *   <li>RUNNING: the request is queued or runs at the backend server, even if its callers were answered at the
+     *       deadline.
      *   <li>BARRED: the request was not executed and is refused from now on.
-     *   <li>UNKNOWN: the request was executed but its answer is not available, or the history of the gate is incomplete.
-     *       The id is barred too, so that later queries get the same answer.
+     *   <li>UNKNOWN: the request was executed but its answer is not available, or the history of the gate is
+     *       incomplete. The id is barred too, so that later queries get the same answer.
      * </ul>
      *
      * @param historyComplete whether the gate has received every request that the query can refer to
