--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/FakeGate.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
 
-/** A gate whose answers a test provides. Methods that ingress must not call throw. Thread safe. */
+/** A gate whose answers a test provides. Throws if the ingress calls a method that it must not use. Thread safe. */
 final class FakeGate {
     final List<CallerRequest> submitted = new CopyOnWriteArrayList<>();
     final List<RequestId> cancelled = new CopyOnWriteArrayList<>();
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void triesAnotherServerOfABalancedServiceAfterARefusal() {
+    void triesAnotherServerOfAnUnkeyedServiceAfterARefusal() {
         Member x = IngressFixture.member("x", "east", IngressFixture.UNKEYED_SERVICE, MemberState.ACTIVE);
         Member y = IngressFixture.member("y", "east", IngressFixture.UNKEYED_SERVICE, MemberState.ACTIVE);
         Member leaving = IngressFixture.member("z", "east", IngressFixture.UNKEYED_SERVICE, MemberState.LEAVING);
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimePolicy.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimePolicy.java
@@ -19,7 +19,7 @@
     /** Largest random increase of a cost, as a share of the cost. */
     private static final double JITTER_FRACTION = 0.1;
 
-    /** Cost of each own request in flight, so that requests alternate between idle servers that are equally fast. */
+    /** Cost of each request that this daemon has in flight to a server, so that equally fast idle servers alternate. */
     private static final double IN_FLIGHT_PENALTY_MS = 2;
 
     @Override
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
@@ -54,7 +54,7 @@
         Generation generation = dispatch.generationIn(snapshot);
         Attempt attempt = new Attempt(target, request.id(), snapshot, generation, history.sendCount(), reason);
         outstanding = Optional.of(attempt);
-        if (isBalanced()) {
+        if (isLoadBalanced()) {
             context.balancer().recordSend(target.member());
         }
         long remainingMs = dispatch.remainingMs();
@@ -93,7 +93,7 @@
     }
 
     private void recordLoad(Attempt attempt, GateLoad load) {
-        if (isBalanced()) {
+        if (isLoadBalanced()) {
             context.balancer().recordLoad(attempt.target().member(), load, context.nowNanos());
         }
     }
@@ -137,14 +137,14 @@
             dispatch.retry(true, "server-error", answer);
         } else if (!history.canSend() || answer.code() == ResultCode.OK) {
             dispatch.finish(answer);
-        } else if (isBalanced()) {
-            onBalancedRefusal(answer);
+        } else if (isLoadBalanced()) {
+            onLoadBalancedRefusal(answer);
         } else {
             onOwnerRefusal(attempt, answer, gateGeneration);
         }
     }
 
-    private void onBalancedRefusal(CallerAnswer answer) {
+    private void onLoadBalancedRefusal(CallerAnswer answer) {
         switch (answer.code()) {
             case OVERLOADED, BACKEND_UNAVAILABLE, DRAINING, LEASE_LAPSED, STARTING, NOT_OWNER, NO_OWNER ->
                 dispatch.retry(false, "refused", answer);
@@ -187,7 +187,7 @@
         history.recordNotRun();
         CallerAnswer refusal = dispatch.retryLaterAnswer(
                 ResultCode.OWNER_UNREACHABLE, attempt.target().member() + " cannot be reached: " + failure.code());
-        if (isBalanced()) {
+        if (isLoadBalanced()) {
             dispatch.retry(false, "unreachable", refusal);
         } else if (attempt.target()
                 .region()
@@ -216,7 +216,7 @@
     /** @param success whether the server handled the attempt well; empty if the result does not show it */
     private void recordResult(Attempt attempt, ResultCode code, Optional<Boolean> success) {
         outstanding = Optional.empty();
-        if (isBalanced()) {
+        if (isLoadBalanced()) {
             context.balancer().recordFinish(attempt.target().member());
             success.ifPresent(successful -> context.balancer()
                     .recordResult(
@@ -240,7 +240,7 @@
                         + " latencyMs=" + latencyMs);
     }
 
-    private boolean isBalanced() {
+    private boolean isLoadBalanced() {
         return dispatch.keyHash().isEmpty();
     }
 }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -143,7 +143,7 @@
         } else if (keyHash.isPresent()) {
             routeToOwner(context.dependencies().routingView().current(), keyHash.get(), reason);
         } else {
-            routeBalanced(context.dependencies().routingView().current(), reason);
+            routeLoadBalanced(context.dependencies().routingView().current(), reason);
         }
     }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    private void routeBalanced(RoutingSnapshot snapshot, String reason) {
+    private void routeLoadBalanced(RoutingSnapshot snapshot, String reason) {
         BalancingPolicy policy = context.dependencies().pluginRegistry().get(Kind.BALANCING, service.balancingPolicy());
         Optional<Member> chosen =
                 context.balancer().choose(snapshot, service, policy, triedMembers, repeatable, context.nowNanos());
