--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/FenceHistory.java
@@ -40,19 +40,19 @@
 
     /** Records that a range was released under the fencing token of each of its parts. */
     public void onRelease(KeyRange range) {
-        for (FenceRecord record : List.copyOf(records)) {
-            if (record.range().overlaps(range)) {
-                add(new FenceRecord(RangeTable.intersection(record.range(), range), record.fence(), true));
+        for (FenceRecord fenceRecord : List.copyOf(records)) {
+            if (fenceRecord.range().overlaps(range)) {
+                add(new FenceRecord(RangeTable.intersection(fenceRecord.range(), range), fenceRecord.fence(), true));
             }
         }
     }
 
-    private void add(FenceRecord record) {
-        if (records.stream().anyMatch(record::isSupersededBy)) {
+    private void add(FenceRecord fenceRecord) {
+        if (records.stream().anyMatch(fenceRecord::isSupersededBy)) {
             return;
         }
-        records.removeIf(r -> r.isSupersededBy(record));
-        records.add(record);
+        records.removeIf(r -> r.isSupersededBy(fenceRecord));
+        records.add(fenceRecord);
         if (records.size() > MAX_RECORDS) {
             records.remove(0);
         }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/LoadEstimator.java
@@ -133,7 +133,7 @@
      * before; the times are spaced by the rate at which the backend server can execute requests, so that the callers do
      * not retry all at once.
      *
-     * @param queueDrainMs time until the requests that wait now have been started
+     * @param queueDrainMs time until the currently queued requests have been started
      */
     public long retryAfterMs(long queueDrainMs, int concurrencyLimit, long nowNanos) {
         long queueDrainedNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(queueDrainMs);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Takes over the fencing tokens and the grant expiry of an entry that this entry replaces. */
+    /** Inherits the fencing tokens and the grant expiry of an entry that this entry replaces. */
     void inheritGrantExpiry(RangeEntry replaced) {
         replacedFences.add(replaced.fence);
         replacedFences.addAll(replaced.replacedFences);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Starts a release.
+     * Starts the release of a range; the future completes with the outcome records and handover tokens of the range.
      *
      * @param candidateCalls calls of any range that run or whose answer was lost
      */
@@ -190,7 +190,7 @@
         return release.result;
     }
 
-    /** Makes releases that wait for an entry that was split wait for its parts instead. */
+    /** Replaces a split entry with its parts in the releases that wait for it. */
     private void replaceSplitEntry(RangeEntry split) {
         for (Release release : releases) {
             if (release.entries.remove(split)) {
