--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
@@ -69,13 +69,13 @@
     public Execution(
             CallerRequest request,
             KeyHash hash,
-            long digest,
+            long requestDigest,
             boolean repeatable,
             long arrivedAtNanos,
             long deadlineNanos) {
         this.request = request;
         this.hash = hash;
-        this.requestDigest = digest;
+        this.requestDigest = requestDigest;
         this.repeatable = repeatable;
         this.arrivedAtNanos = arrivedAtNanos;
         this.deadlineNanos = deadlineNanos;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
@@ -22,8 +22,8 @@
  * a valid lease only an empty grant with validity 0 is sent, and only to revoke ranges.
  *
  * <p>The gate does not know when exactly the validity of a grant starts at the backend server, so it keeps two bounds
- * for the end of the validity. To send requests it relies on the earliest end, counted from the time of sending the
- * grant. To complete releases it relies on the latest end, counted from the time of the answer or of the timeout. Not
+ * for the end of the validity. Requests and the lease rely on the earliest end, counted from the time of sending the
+ * grant. Releases rely on the latest end, counted from the time of the answer or of the timeout. Not
  * thread safe.
  */
 final class GrantManager {
@@ -41,12 +41,15 @@
     private AttachedBackend backend;
     private SentGrant outstandingGrant;
     private long sequence;
+
     /** Whether the ranges to be granted have changed since the last grant was sent, or that grant failed. */
     private boolean grantOutdated;
 
     private boolean lastGrantFailed;
+
     /** Whether the attached backend server has acknowledged a grant that was not a pure revocation. */
     private boolean grantAcknowledged;
+
     /** Earliest end of the validity of the acknowledged grant at the backend server. */
     private long grantValidUntilNanos;
 
@@ -58,6 +61,7 @@
         this.onChange = onChange;
     }
 
+    /** Uses another backend server and schedules a grant of the ranges that exist already. */
     void attach(AttachedBackend newBackend) {
         backend = newBackend;
         outstandingGrant = null;
