--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -23,8 +23,8 @@
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.Site;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.LocalCluster;
+import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * Measures a fleet at rest and the spreading of configuration changes. Not thread safe.
@@ -50,7 +50,7 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         List<CrankBackend> backends = new ArrayList<>();
         Path directory = ServiceSite.createDirectory();
-        try (Site site = new Site(directory, specs(size));
+        try (LocalCluster site = new LocalCluster(directory, specs(size));
                 FleetProbe probe = new FleetProbe(site, group);
                 ObjectStore store =
                         PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), 5_000)) {
@@ -82,7 +82,7 @@
         return specs;
     }
 
-    private static CrankBackend backend(SiteHost host) {
+    private static CrankBackend backend(ClusterHost host) {
         BackendSettings backend = SettingsLoader.load(
                 new BackendSettings(),
                 List.of(
@@ -114,7 +114,7 @@
                 (after.storeWatches() - before.storeWatches()) / seconds));
     }
 
-    private void measureChanges(int size, Site site, FleetProbe probe, ObjectStore store) {
+    private void measureChanges(int size, LocalCluster site, FleetProbe probe, ObjectStore store) {
         for (int change = 1; change <= settings.changes(); change++) {
             Sample before = probe.sample();
             Revision base = store.get("config/current").join().orElseThrow().revision();
@@ -150,15 +150,15 @@
         return result.revision();
     }
 
-    private static boolean hasBackend(FleetProbe probe, SiteHost host) {
+    private static boolean hasBackend(FleetProbe probe, ClusterHost host) {
         return probe.status(host).flatMap(DaemonStatus::backendName).isPresent();
     }
 
-    private static boolean serves(FleetProbe probe, SiteHost host) {
+    private static boolean serves(FleetProbe probe, ClusterHost host) {
         return probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false);
     }
 
-    private static boolean follows(FleetProbe probe, SiteHost host, Revision revision) {
+    private static boolean follows(FleetProbe probe, ClusterHost host, Revision revision) {
         return probe.status(host)
                 .map(s -> s.configurationRevision().compareTo(revision) >= 0)
                 .orElse(false);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetProbe.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetProbe.java
@@ -17,8 +17,8 @@
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.testkit.Site;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.LocalCluster;
+import org.coriandercrank.testkit.ClusterHost;
 
 /** Reads counters of the daemons and of the store of a site. Not thread safe. */
 final class FleetProbe implements AutoCloseable {
@@ -28,16 +28,16 @@
     private static final double MS_PER_CLOCK_TICK = 10;
     private static final double BYTES_PER_KB = 1_024;
 
-    private final Site site;
+    private final LocalCluster site;
     private final EventLoopGroup group;
     private final Map<HostAddress, HttpClient> clients = new HashMap<>();
 
-    FleetProbe(Site site, EventLoopGroup group) {
+    FleetProbe(LocalCluster site, EventLoopGroup group) {
         this.site = site;
         this.group = group;
     }
 
-    Optional<DaemonStatus> status(SiteHost host) {
+    Optional<DaemonStatus> status(ClusterHost host) {
         return get(host.adminAddress(), "/v1/status").map(r -> JsonCodec.decode(r.body(), DaemonStatus.class));
     }
 
@@ -48,7 +48,7 @@
         double heap = 0;
         double resident = 0;
         long nowNanos = System.nanoTime();
-        for (SiteHost host : site.hosts()) {
+        for (ClusterHost host : site.hosts()) {
             long pid = host.daemon().pid();
             cpuMs += cpuMs(pid);
             resident += residentBytes(pid);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * Measures placement policies under moving hot keys while a server joins, one is drained and one host is killed.
@@ -125,7 +125,7 @@
 
     private Events causeEvents(ServiceSite site, long startNanos) {
         waitFor(startNanos, JOIN_AT);
-        SiteHost joining = site.host(HOSTS);
+        ClusterHost joining = site.host(HOSTS);
         long joinNanos = System.nanoTime();
         site.startHost(joining, backendFlags());
         waitFor(startNanos, DRAIN_AT);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
@@ -30,8 +30,8 @@
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.Site;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.LocalCluster;
+import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * A site with one service under load. Not thread safe.
@@ -53,14 +53,14 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final Map<String, CrankBackend> backends = new HashMap<>();
     private final List<String> daemonFlags;
-    private final Site site;
+    private final LocalCluster site;
     private final FleetProbe probe;
     private final ObjectStore store;
 
     /** Starts the store; hosts are started by {@link #startHost} and {@link #startDaemon}. */
     ServiceSite(List<HostSpec> specs, List<String> daemonFlags) {
         this.daemonFlags = List.copyOf(daemonFlags);
-        site = new Site(createDirectory(), specs);
+        site = new LocalCluster(createDirectory(), specs);
         probe = new FleetProbe(site, group);
         store = PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), STORE_TIMEOUT_MS);
     }
@@ -73,22 +73,22 @@
         return store;
     }
 
-    SiteHost host(int index) {
+    ClusterHost host(int index) {
         return site.host(index);
     }
 
     List<HostAddress> callerAddresses(int hosts) {
         return site.hosts().subList(0, hosts).stream()
-                .map(SiteHost::callerAddress)
+                .map(ClusterHost::callerAddress)
                 .toList();
     }
 
-    void startDaemon(SiteHost host) {
+    void startDaemon(ClusterHost host) {
         host.startDaemon(daemonFlags);
     }
 
     /** Starts the daemon and the backend server of a host without waiting for them. */
-    void startHost(SiteHost host, List<String> backendFlags) {
+    void startHost(ClusterHost host, List<String> backendFlags) {
         startDaemon(host);
         List<String> flags = new ArrayList<>(List.of(
                 "--name=" + host.spec().name(),
@@ -101,20 +101,20 @@
         backends.put(host.spec().name(), CrankBackend.start(settings));
     }
 
-    void awaitBackend(SiteHost host) {
+    void awaitBackend(ClusterHost host) {
         Waits.until(
                 "backend server of " + host.spec().name(),
                 () -> probe.status(host).flatMap(DaemonStatus::backendName).isPresent());
     }
 
-    void awaitServing(SiteHost host) {
+    void awaitServing(ClusterHost host) {
         Waits.until(
                 "ranges of " + host.spec().name(),
                 () -> probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false));
     }
 
     /** Ends daemon and backend server of a host at once. */
-    void killHost(SiteHost host) {
+    void killHost(ClusterHost host) {
         host.daemon().kill();
         backends.get(host.spec().name()).close();
     }
@@ -133,7 +133,7 @@
     }
 
     List<Execution> executions() {
-        return LedgerReader.read(site.hosts().stream().map(SiteHost::ledgerFile).toList());
+        return LedgerReader.read(site.hosts().stream().map(ClusterHost::ledgerFile).toList());
     }
 
     /** A new directory for logs and ledgers; it is kept after the run. */
--- a/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
+++ b/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
@@ -174,7 +174,7 @@
 
     @Test
     void refusedConnectionMeansNotHandled() throws Exception {
-        proxy.cut();
+        proxy.rejectConnections();
 
         assertThat(resultCode(call(1))).isEqualTo(ResultCode.PEER_UNREACHABLE);
         assertThat(handledRequests).hasValue(0);
@@ -182,9 +182,9 @@
 
     @Test
     void blockedConnectionBeforeHelloMeansNotHandled() throws Exception {
-        proxy.blockBoth();
+        proxy.blockBothDirections();
         ResultCode code = resultCode(call(1));
-        proxy.heal();
+        proxy.clearFaults();
         Thread.sleep(200);
 
         assertThat(code).isEqualTo(ResultCode.PEER_UNREACHABLE);
@@ -201,7 +201,7 @@
         });
         CompletableFuture<LoadReport> call = caller.call(target, new LoadQuery(CALLER_ID), LoadReport.class, 5_000);
         arrived.get(5, TimeUnit.SECONDS);
-        proxy.cut();
+        proxy.rejectConnections();
 
         assertThat(resultCode(call)).isEqualTo(ResultCode.LINK_LOST);
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.ownership.GateStatus.ServingRange;
 import org.coriandercrank.load.CallRecord;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.TestInstance;
@@ -35,24 +35,24 @@
     enum Fault {
         FROZEN {
             @Override
-            void begin(TestSite site, SiteHost host) {
+            void begin(TestCluster site, ClusterHost host) {
                 host.backend().freeze();
             }
 
             @Override
-            void end(TestSite site, SiteHost host) {
+            void end(TestCluster site, ClusterHost host) {
                 host.backend().resume();
             }
         },
         KILLED_AND_RESTARTED {
             @Override
-            void begin(TestSite site, SiteHost host) {
+            void begin(TestCluster site, ClusterHost host) {
                 host.backend().kill();
             }
 
             @Override
-            void end(TestSite site, SiteHost host) {
-                host.startBackend(TestSite.DEFAULT_BACKEND_FLAGS);
+            void end(TestCluster site, ClusterHost host) {
+                host.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
         },
         SLOW("{\"kind\":\"slow\",\"delayMs\":400}"),
@@ -62,14 +62,14 @@
         SHEDDING("{\"kind\":\"shed\"}"),
         HEALTHY_BY_ITS_REPORT_ONLY("{\"kind\":\"shed\"}") {
             @Override
-            void begin(TestSite site, SiteHost host) {
+            void begin(TestCluster site, ClusterHost host) {
                 report(site, host, "{\"healthy\":true,\"draining\":false,\"load\":0}");
                 super.begin(site, host);
             }
         },
         UNHEALTHY_BY_ITS_REPORT_ONLY {
             @Override
-            void begin(TestSite site, SiteHost host) {
+            void begin(TestCluster site, ClusterHost host) {
                 report(site, host, "{\"healthy\":false,\"draining\":true,\"load\":1000}");
             }
         };
@@ -84,25 +84,25 @@
             this.fault = fault;
         }
 
-        void begin(TestSite site, SiteHost host) {
+        void begin(TestCluster site, ClusterHost host) {
             site.backendFault(host, fault);
         }
 
-        void end(TestSite site, SiteHost host) {
+        void end(TestCluster site, ClusterHost host) {
             site.backendFault(host, "{\"kind\":\"up\"}");
             site.call("DELETE", host.backendAddress(), "/admin/health", "");
         }
 
-        private static void report(TestSite site, SiteHost host, String health) {
+        private static void report(TestCluster site, ClusterHost host, String health) {
             site.call("POST", host.backendAddress(), "/admin/health", health);
         }
     }
 
-    private TestSite site;
+    private TestCluster site;
 
     @BeforeAll
     void startSite(@TempDir Path directory) {
-        site = TestSite.start(directory, "r1/a", "r1/a", "r1/b");
+        site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
     }
 
     @AfterAll
@@ -113,13 +113,13 @@
     @ParameterizedTest
     @EnumSource
     void faultOfAServerStaysTruthfulLocalAndEnds(Fault fault) {
-        SiteHost faulty = site.host(0);
+        ClusterHost faulty = site.host(0);
         site.waitUntil("the server has ranges", () -> !ownedKeys(faulty).isEmpty());
         Set<String> keysOfFaulty = ownedKeys(faulty);
         Traffic traffic = Traffic.start(site, site.callerAddresses(), BEFORE_MS + FAULT_MS + AFTER_MS, 0);
-        TestSite.sleep(BEFORE_MS);
+        TestCluster.sleep(BEFORE_MS);
         fault.begin(site, faulty);
-        TestSite.sleep(FAULT_MS);
+        TestCluster.sleep(FAULT_MS);
         fault.end(site, faulty);
         long recoveredMs = msUntilServed(keysOfFaulty);
         LoadReport report = traffic.finish();
@@ -138,7 +138,7 @@
         }
     }
 
-    private Set<String> ownedKeys(SiteHost host) {
+    private Set<String> ownedKeys(ClusterHost host) {
         List<ServingRange> serving = site.status(host).serving();
         return IntStream.range(0, Traffic.KEYS)
                 .mapToObj(number -> "key-" + number)
@@ -153,7 +153,7 @@
     }
 
     private boolean isServed(String key) {
-        return site.call("GET", site.host(1).callerAddress(), "/v1/" + TestSite.SERVICE + "/" + key, "")
+        return site.call("GET", site.host(1).callerAddress(), "/v1/" + TestCluster.SERVICE + "/" + key, "")
                 .headers()
                 .firstValue("crank-result")
                 .orElse("")
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
@@ -4,7 +4,7 @@
 
 import java.nio.file.Path;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -22,25 +22,25 @@
     enum Loss {
         KILLED {
             @Override
-            void strike(SiteHost host) {
+            void strike(ClusterHost host) {
                 host.backend().kill();
             }
         },
         SILENT {
             @Override
-            void strike(SiteHost host) {
+            void strike(ClusterHost host) {
                 host.backend().freeze();
             }
         },
         KILLED_AND_RESTARTED_AT_ONCE {
             @Override
-            void strike(SiteHost host) {
+            void strike(ClusterHost host) {
                 host.backend().kill();
-                host.startBackend(TestSite.DEFAULT_BACKEND_FLAGS);
+                host.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
         };
 
-        abstract void strike(SiteHost host);
+        abstract void strike(ClusterHost host);
     }
 
     @TempDir
@@ -49,10 +49,10 @@
     @ParameterizedTest
     @EnumSource
     void keysOfALostServerAreServedElsewhere(Loss loss) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            SiteHost struck = site.host(0);
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+            ClusterHost struck = site.host(0);
             Traffic traffic = Traffic.start(site, site.callerAddresses(), DURATION_MS, 40);
-            TestSite.sleep(BEFORE_MS);
+            TestCluster.sleep(BEFORE_MS);
             loss.strike(struck);
             LoadReport report = traffic.finish();
 
@@ -70,8 +70,8 @@
     @ParameterizedTest
     @EnumSource(names = {"KILLED", "SILENT"})
     void returningServerGetsKeysAgain(Loss loss) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/b", "r1/b")) {
-            SiteHost struck = site.host(0);
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/b", "r1/b")) {
+            ClusterHost struck = site.host(0);
             loss.strike(struck);
             site.waitUntil(
                     "the lost server has no ranges",
@@ -80,7 +80,7 @@
             if (loss == Loss.SILENT) {
                 struck.backend().resume();
             } else {
-                struck.startBackend(TestSite.DEFAULT_BACKEND_FLAGS);
+                struck.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
             site.waitUntil(
                     "the returned server serves ranges",
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
@@ -4,7 +4,7 @@
 
 import java.nio.file.Path;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,28 +26,28 @@
     enum Pair {
         STORE_DOWN_AND_DAEMON_KILLED(OUTAGE_MS) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.storeFault("{\"kind\":\"down\"}");
                 site.host(0).daemon().kill();
-                TestSite.sleep(OUTAGE_MS);
+                TestCluster.sleep(OUTAGE_MS);
                 site.storeFault("{\"kind\":\"up\"}");
             }
         },
         WRITES_UNANSWERED_AND_HOST_KILLED(0) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.storeFault("{\"kind\":\"unanswered\"}");
                 site.host(0).kill();
             }
         },
         PLANNER_AND_OWNER_KILLED(0) {
             @Override
-            void strike(TestSite site) {
-                SiteHost planner = site.hosts().stream()
+            void strike(TestCluster site) {
+                ClusterHost planner = site.hosts().stream()
                         .filter(host -> site.status(host).planner())
                         .findFirst()
                         .orElseThrow();
-                SiteHost owner = site.hosts().stream()
+                ClusterHost owner = site.hosts().stream()
                         .filter(host -> host != planner)
                         .findFirst()
                         .orElseThrow();
@@ -57,44 +57,44 @@
         },
         STORE_SLOW_AND_HOST_KILLED(0) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.storeFault("{\"kind\":\"slow\",\"delayMs\":300}");
                 site.host(0).kill();
             }
         },
         TWO_DAEMONS_KILLED_ONE_SECOND_APART(0) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.host(0).daemon().kill();
-                TestSite.sleep(1_000);
+                TestCluster.sleep(1_000);
                 site.host(1).daemon().kill();
             }
         },
         STORE_DOWN_AND_DAEMON_FROZEN(FREEZE_MS + 1_000) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.storeFault("{\"kind\":\"down\"}");
                 site.host(0).daemon().freeze();
-                TestSite.sleep(FREEZE_MS);
+                TestCluster.sleep(FREEZE_MS);
                 site.host(0).daemon().resume();
-                TestSite.sleep(1_000);
+                TestCluster.sleep(1_000);
                 site.storeFault("{\"kind\":\"up\"}");
             }
         },
         WRITES_DELAYED_AND_OWNER_PARTITIONED(0) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.storeFault("{\"kind\":\"delayed-write\",\"delayMs\":300}");
                 site.hosts().subList(1, 5).forEach(other -> site.site().partition(site.host(0), other));
-                site.host(0).storeProxy().blockBoth();
-                TestSite.sleep(FREEZE_MS + 1_000);
+                site.host(0).storeProxy().blockBothDirections();
+                TestCluster.sleep(FREEZE_MS + 1_000);
                 site.storeFault("{\"kind\":\"up\"}");
-                site.site().heal();
+                site.site().clearFaults();
             }
         },
         SILENT_CONNECTIONS_AND_PLANNED_STOP(0) {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
                 site.host(0).daemon().requestStop();
             }
@@ -107,7 +107,7 @@
             this.outageMs = outageMs;
         }
 
-        abstract void strike(TestSite site);
+        abstract void strike(TestCluster site);
     }
 
     @TempDir
@@ -142,7 +142,7 @@
     }
 
     private void check(Pair pair) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
             boolean planned = pair == Pair.SILENT_CONNECTIONS_AND_PLANNED_STOP;
             Traffic traffic = Traffic.start(
                     site,
@@ -150,7 +150,7 @@
                     DURATION_MS + pair.outageMs,
                     planned ? 0 : REPEATS,
                     planned ? DEADLINE_MS : 1_000);
-            TestSite.sleep(1_000);
+            TestCluster.sleep(1_000);
             pair.strike(site);
             LoadReport report = traffic.finish();
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/FaultySettingsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/FaultySettingsTest.java
@@ -72,7 +72,7 @@
     void allFaultsAreReportedTogether(Case program) {
         try (ChildProcess process =
                 ChildProcess.start("program", directory, program.mainClass(), program.arguments())) {
-            assertThat(process.waitForEnd()).as(process.output()).isEqualTo(EXIT_SETTINGS);
+            assertThat(process.waitForExit()).as(process.output()).isEqualTo(EXIT_SETTINGS);
             assertThat(process.output()).contains(program.faults());
         }
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.coriandercrank.load.LoadReport;
 import org.coriandercrank.testkit.FaultProxy.Direction;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,42 +25,42 @@
     enum Cut {
         ALL_BYTES_TO_THE_OWNER {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
-                others.forEach(other -> site.site().cutOneWay(other, owner));
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
+                others.forEach(other -> site.site().blockOneWay(other, owner));
             }
         },
         ALL_BYTES_FROM_THE_OWNER {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
-                others.forEach(other -> site.site().cutOneWay(owner, other));
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
+                others.forEach(other -> site.site().blockOneWay(owner, other));
             }
         },
         CALLS_TO_THE_OWNER {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
                 owner.peerProxy().block(Direction.TO_TARGET);
             }
         },
         ANSWERS_OF_THE_OWNER {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
                 owner.peerProxy().block(Direction.FROM_TARGET);
             }
         },
         CALLS_OF_ALL_TO_THE_STORE {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
                 site.hosts().forEach(host -> host.storeProxy().block(Direction.TO_TARGET));
             }
         },
         ANSWERS_OF_THE_STORE_TO_ALL {
             @Override
-            void strike(TestSite site, SiteHost owner, List<SiteHost> others) {
+            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
                 site.hosts().forEach(host -> host.storeProxy().block(Direction.FROM_TARGET));
             }
         };
 
-        abstract void strike(TestSite site, SiteHost owner, List<SiteHost> others);
+        abstract void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others);
 
         boolean ofStore() {
             return name().contains("STORE");
@@ -90,13 +90,13 @@
     }
 
     private LoadReport run(Cut cut) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
             Traffic traffic =
                     Traffic.start(site, site.callerAddresses().subList(2, 4), DURATION_MS, cut.ofStore() ? 0 : 40);
-            TestSite.sleep(1_000);
+            TestCluster.sleep(1_000);
             cut.strike(site, site.host(0), site.hosts().subList(1, 4));
-            TestSite.sleep(CUT_MS);
-            site.site().heal();
+            TestCluster.sleep(CUT_MS);
+            site.site().clearFaults();
             LoadReport report = traffic.finish();
             report.lines().forEach(line -> System.out.println(cut + ": " + line));
             return report;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
@@ -13,7 +13,7 @@
 import org.coriandercrank.load.HistoryChecker;
 import org.coriandercrank.load.LedgerReader;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -67,17 +67,17 @@
     }
 
     private Moves run() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
             long durationMs = WARM_UP_MS + (2 * ROUNDS + 1) * BETWEEN_MOVES_MS;
             Traffic traffic =
                     Traffic.start(site, site.callerAddresses(), durationMs, 0, DEADLINE_MS, RATE_PER_SECOND, KEYS);
             RepeatingCaller caller = new RepeatingCaller(site, site.callerAddresses());
-            SiteHost moved = site.host(1);
-            TestSite.sleep(WARM_UP_MS);
+            ClusterHost moved = site.host(1);
+            TestCluster.sleep(WARM_UP_MS);
             for (int i = 0; i < ROUNDS; i++) {
-                TestSite.sleep(BETWEEN_MOVES_MS);
+                TestCluster.sleep(BETWEEN_MOVES_MS);
                 site.drain(moved, true);
-                TestSite.sleep(BETWEEN_MOVES_MS);
+                TestCluster.sleep(BETWEEN_MOVES_MS);
                 site.drain(moved, false);
             }
             site.waitUntil(
@@ -100,16 +100,16 @@
 
     @Test
     void serverThatJoinsAndLeavesFailsNoCall() {
-        try (TestSite site =
-                TestSite.start(directory, 3, List.of(TestSite.DEFAULT_BACKEND_FLAGS), "r1/a", "r1/a", "r1/b", "r1/b")) {
+        try (TestCluster site =
+                TestCluster.start(directory, 3, List.of(TestCluster.DEFAULT_BACKEND_FLAGS), "r1/a", "r1/a", "r1/b", "r1/b")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses().subList(0, 3), 10_000, 0);
-            TestSite.sleep(1_000);
-            SiteHost guest = site.host(3);
+            TestCluster.sleep(1_000);
+            ClusterHost guest = site.host(3);
             site.startHost(3);
             site.waitUntil(
                     "the new server serves ranges",
                     () -> site.answers(guest) && !site.status(guest).serving().isEmpty());
-            TestSite.sleep(1_500);
+            TestCluster.sleep(1_500);
             guest.daemon().stop();
             LoadReport report = traffic.finish();
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
@@ -26,7 +26,7 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.note.NoteApplier;
 import org.coriandercrank.note.NoteParser;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -73,7 +73,7 @@
 
     @Test
     void configurationIsTheSequenceOfAcceptedNotes() throws Exception {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b");
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
                 RevisionWatch watch = new RevisionWatch(site)) {
             Configuration start = configuration(site);
             CompletableFuture<Void> faults = CompletableFuture.runAsync(() -> runFaults(site));
@@ -98,11 +98,11 @@
     /** Guards against a restarted daemon that takes an older configuration from a peer or from the store. */
     @Test
     void daemonRestartedInAnOutageShowsNoOlderRevision() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b");
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
                 RevisionWatch watch = new RevisionWatch(site)) {
             submitInForce(site);
             long shown = submissions.get("last").revision();
-            SiteHost host = site.host(2);
+            ClusterHost host = site.host(2);
             site.storeFault("{\"kind\":\"down\"}");
             host.daemon().kill();
             host.startDaemon(List.of());
@@ -119,7 +119,7 @@
     }
 
     /** Revision that a daemon shows, or -1 if it does not answer. */
-    private static long revision(TestSite site, SiteHost host) {
+    private static long revision(TestCluster site, ClusterHost host) {
         try {
             return site.status(host).configurationRevision().value();
         } catch (UncheckedIOException e) {
@@ -127,39 +127,39 @@
         }
     }
 
-    private void runFaults(TestSite site) {
+    private void runFaults(TestCluster site) {
         for (int i = 0; !raceOver; i++) {
             site.storeFault(FAULTS.get(i % FAULTS.size()));
-            TestSite.sleep(1_600);
+            TestCluster.sleep(1_600);
         }
         site.storeFault(UP);
     }
 
-    private void runSubmitter(TestSite site, Random random) {
+    private void runSubmitter(TestCluster site, Random random) {
         for (int number = nextNote.getAndIncrement(); number < NOTES; number = nextNote.getAndIncrement()) {
             if (number == RESTART_AT_NOTE) {
-                SiteHost host = site.host(2);
+                ClusterHost host = site.host(2);
                 host.daemon().kill();
                 host.startDaemon(List.of());
             }
-            TestSite.sleep(random.nextLong(MAX_PAUSE_MS));
+            TestCluster.sleep(random.nextLong(MAX_PAUSE_MS));
             submit(site, "race-" + number, text("race-" + number, number, currentRevision(site)));
         }
     }
 
     private static String text(String id, int number, long basedOn) {
         return "{\"id\":\"" + id + "\",\"basedOn\":" + basedOn + ",\"add\":{\"backends\":[{\"backendName\":\"" + id
-                + "\",\"weightPercent\":" + number + "}]},\"change\":{\"services\":[{\"name\":\"" + TestSite.SERVICE
+                + "\",\"weightPercent\":" + number + "}]},\"change\":{\"services\":[{\"name\":\"" + TestCluster.SERVICE
                 + "\",\"maxQueueLength\":" + (100 + number) + "}]}}";
     }
 
     /** Submits a text until it has a definite answer. */
-    private void submit(TestSite site, String id, String text) {
+    private void submit(TestCluster site, String id, String text) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESOLVE_LIMIT_MS);
         List<ResultCode> results = new ArrayList<>();
         JsonNode answer;
         do {
-            TestSite.CtlRun run = site.ctlWithFile(
+            TestCluster.CtlRun run = site.ctlWithFile(
                     text, "note", "submit", "--json=true", "--wait-ms=0", "--timeout-ms=600", "--store-timeout-ms=300");
             answer = lastLine(run.output());
             results.add(ResultCode.valueOf(answer.path("name").asText()));
@@ -169,7 +169,7 @@
     }
 
     /** The last acceptance, with the store up, must reach every daemon in time. */
-    private void submitInForce(TestSite site) {
+    private void submitInForce(TestCluster site) {
         submit(site, "last", text("last", NOTES, currentRevision(site)));
         long acceptedNanos = System.nanoTime();
         long revision = submissions.get("last").revision();
@@ -226,16 +226,16 @@
                 .count();
     }
 
-    private static long currentRevision(TestSite site) {
+    private static long currentRevision(TestCluster site) {
         return Long.parseLong(
                 readConfiguration(site).headers().firstValue("crank-revision").orElseThrow());
     }
 
-    private static Configuration configuration(TestSite site) {
+    private static Configuration configuration(TestCluster site) {
         return JsonCodec.decode(readConfiguration(site).body(), Configuration.class);
     }
 
-    private static HttpResponse<byte[]> readConfiguration(TestSite site) {
+    private static HttpResponse<byte[]> readConfiguration(TestCluster site) {
         while (true) {
             try {
                 HttpResponse<byte[]> answer =
@@ -245,7 +245,7 @@
                 }
             } catch (UncheckedIOException e) {
                 // The store is in one of the faults above.
-                TestSite.sleep(20);
+                TestCluster.sleep(20);
             }
         }
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -21,35 +21,35 @@
     enum Loss {
         DAEMON_KILLED {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.host(0).daemon().kill();
             }
         },
         HOST_KILLED {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.host(0).kill();
             }
         },
         FAILURE_DOMAIN_KILLED {
             @Override
-            void strike(TestSite site) {
+            void strike(TestCluster site) {
                 site.host(0).kill();
                 site.host(1).kill();
             }
         },
         HOST_FROZEN_AND_BACK {
             @Override
-            void strike(TestSite site) {
-                SiteHost host = site.host(0);
+            void strike(TestCluster site) {
+                ClusterHost host = site.host(0);
                 host.freeze();
-                TestSite.sleep(FREEZE_MS);
+                TestCluster.sleep(FREEZE_MS);
                 host.resume();
-                TestSite.sleep(SETTLE_MS);
+                TestCluster.sleep(SETTLE_MS);
             }
         };
 
-        abstract void strike(TestSite site);
+        abstract void strike(TestCluster site);
     }
 
     @TempDir
@@ -58,12 +58,12 @@
     @ParameterizedTest
     @EnumSource
     void keysAreServedAgainAndNeverByTwo(Loss loss) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
             List<HostAddress> survivors =
                     List.of(site.host(3).callerAddress(), site.host(4).callerAddress());
             long durationMs = loss == Loss.HOST_FROZEN_AND_BACK ? FREEZE_MS + 2 * SETTLE_MS : 10_000;
             Traffic traffic = Traffic.start(site, survivors, durationMs, 40);
-            TestSite.sleep(2_000);
+            TestCluster.sleep(2_000);
             loss.strike(site);
             LoadReport report = traffic.finish();
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -20,21 +20,21 @@
 
     @Test
     void cutBetweenRegionsStopsNoOwner() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r2/c", "r2/c", "r2/d")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r2/c", "r2/c", "r2/d")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses(), 12_000, 0);
-            TestSite.sleep(1_000);
-            List<SiteHost> near = site.hosts().subList(0, 3);
-            List<SiteHost> far = site.hosts().subList(3, 6);
+            TestCluster.sleep(1_000);
+            List<ClusterHost> near = site.hosts().subList(0, 3);
+            List<ClusterHost> far = site.hosts().subList(3, 6);
             near.forEach(one -> far.forEach(other -> site.site().partition(one, other)));
-            far.forEach(host -> host.storeProxy().blockBoth());
-            TestSite.sleep(6_000);
+            far.forEach(host -> host.storeProxy().blockBothDirections());
+            TestCluster.sleep(6_000);
 
-            for (SiteHost host : site.hosts()) {
+            for (ClusterHost host : site.hosts()) {
                 DaemonStatus status = site.status(host);
                 assertThat(status.leaseRemainingMs()).as(host.spec().name()).isPositive();
                 assertThat(status.serving()).as(host.spec().name()).isNotEmpty();
             }
-            site.site().heal();
+            site.site().clearFaults();
             LoadReport report = traffic.finish();
             report.lines().forEach(line -> System.out.println("region cut: " + line));
             assertThat(report.violations()).isEmpty();
@@ -43,14 +43,14 @@
 
     @Test
     void isolatedOwnerIsReplacedAndNeverExecutesBesideItsSuccessor() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            SiteHost isolated = site.host(0);
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            ClusterHost isolated = site.host(0);
             Traffic traffic = Traffic.start(site, site.callerAddresses().subList(1, 4), 15_000, 40);
-            TestSite.sleep(1_000);
+            TestCluster.sleep(1_000);
             site.hosts().subList(1, 4).forEach(other -> site.site().partition(isolated, other));
-            isolated.storeProxy().blockBoth();
-            TestSite.sleep(8_000);
-            site.site().heal();
+            isolated.storeProxy().blockBothDirections();
+            TestCluster.sleep(8_000);
+            site.site().clearFaults();
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println("isolated owner: " + line));
@@ -63,10 +63,10 @@
     @Tag("known-red")
     @Test
     void silentConnectionsDelayCallsByAtMostTheDetectionTime() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses(), 10_000, 0);
             for (int i = 0; i < 3; i++) {
-                TestSite.sleep(2_000);
+                TestCluster.sleep(2_000);
                 site.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
             }
             LoadReport report = traffic.finish();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PlannedStopTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PlannedStopTest.java
@@ -8,7 +8,7 @@
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LedgerReader;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -22,9 +22,9 @@
 
     @Test
     void plannedStopOfADaemonFailsNoRequest() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses().subList(1, 4), 10_000, 0);
-            TestSite.sleep(2_000);
+            TestCluster.sleep(2_000);
             site.host(0).daemon().stop();
             LoadReport report = traffic.finish();
 
@@ -36,10 +36,10 @@
 
     @Test
     void stopOfAllDaemonsAtOnceDoesNotWaitForSuccessors() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
             long startedNanos = System.nanoTime();
             site.hosts().forEach(host -> host.daemon().requestStop());
-            site.hosts().forEach(host -> host.daemon().waitForEnd());
+            site.hosts().forEach(host -> host.daemon().waitForExit());
 
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos))
                     .isLessThan(ALL_STOPPED_LIMIT_MS);
@@ -49,10 +49,10 @@
 
     @Test
     void drainedServerGetsNoNewWorkAndNoRequestFails() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            SiteHost leaving = site.host(1);
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            ClusterHost leaving = site.host(1);
             Traffic traffic = Traffic.start(site, site.callerAddresses(), 12_000, 0);
-            TestSite.sleep(2_000);
+            TestCluster.sleep(2_000);
             long noteNanos = System.nanoTime();
             site.submit("{\"id\":\"drain\",\"basedOn\":" + currentRevision(site)
                     + ",\"add\":{\"backends\":[{\"backendName\":\""
@@ -70,7 +70,7 @@
         }
     }
 
-    private static long currentRevision(TestSite site) {
+    private static long currentRevision(TestCluster site) {
         return site.status(site.host(0)).configurationRevision().value();
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawCaller.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawCaller.java
@@ -62,7 +62,7 @@
     static void leaveAfter(HostAddress address, String request, long waitMs) {
         try (Socket socket = open(address)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            TestSite.sleep(waitMs);
+            TestCluster.sleep(waitMs);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingCaller.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingCaller.java
@@ -35,7 +35,7 @@
         }
     }
 
-    private final TestSite site;
+    private final TestCluster site;
     private final List<HostAddress> targets;
     private final Random random = new Random(SEED);
     private final String runId = "repeat" + Long.toString(System.nanoTime(), Character.MAX_RADIX);
@@ -45,7 +45,7 @@
     private final CompletableFuture<Result> result;
     private volatile boolean stopped;
 
-    RepeatingCaller(TestSite site, List<HostAddress> targets) {
+    RepeatingCaller(TestCluster site, List<HostAddress> targets) {
         this.site = site;
         this.targets = targets;
         this.result = CompletableFuture.supplyAsync(this::run);
@@ -98,7 +98,7 @@
         HttpResponse<byte[]> reply = site.call(
                 "POST",
                 targets.get(random.nextInt(targets.size())),
-                "/v1/" + TestSite.SERVICE + "/" + operation.key(),
+                "/v1/" + TestCluster.SERVICE + "/" + operation.key(),
                 operation.key() + "=" + operation.idempotencyKey(),
                 "Crank-Request-Id: " + requestId,
                 "Crank-Deadline-Ms: 3000",
@@ -116,7 +116,7 @@
         calls.add(new CallRecord(
                 operation.number(),
                 requestId,
-                TestSite.SERVICE,
+                TestCluster.SERVICE,
                 operation.key(),
                 "POST",
                 false,
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionWatch.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionWatch.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.status.DaemonStatus;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * Polls the status endpoints of all daemons and notes each revision of the configuration that goes back. Thread safe.
@@ -26,7 +26,7 @@
     /** The highest revision that a host has shown, and the member that showed a revision last. Immutable. */
     private record Shown(MemberId member, long revision) {}
 
-    private final TestSite site;
+    private final TestCluster site;
     private final Map<String, Shown> shown = new HashMap<>();
     private final Set<MemberId> members = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
@@ -35,21 +35,21 @@
     private int polls;
     private volatile boolean stopped;
 
-    RevisionWatch(TestSite site) {
+    RevisionWatch(TestCluster site) {
         this.site = site;
         thread.start();
     }
 
     private void run() {
         while (!stopped) {
-            for (SiteHost host : site.hosts()) {
+            for (ClusterHost host : site.hosts()) {
                 try {
                     accept(host.spec().name(), site.status(host));
                 } catch (UncheckedIOException | CrankException e) {
                     failedPolls.incrementAndGet();
                 }
             }
-            TestSite.sleep(PERIOD_MS);
+            TestCluster.sleep(PERIOD_MS);
         }
     }
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StopLogTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StopLogTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void plannedStopIsLoggedToItsEnd() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a")) {
             site.host(0).daemon().stop();
 
             assertThat(site.host(0).daemon().output().lines())
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
@@ -19,9 +19,9 @@
             quoteCharacter = '`',
             value = {"`{\"kind\":\"down\"}`, 60000", "`{\"kind\":\"slow\",\"delayMs\":5000}`, 60000"})
     void ownersKeepServingThroughAnOutage(String fault, long outageMs) {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses(), outageMs, 0);
-            TestSite.sleep(1_000);
+            TestCluster.sleep(1_000);
             site.storeFault(fault);
             LoadReport report = traffic.finish();
 
@@ -33,10 +33,10 @@
 
     @Test
     void daemonCutOffFromTheStoreAloneKeepsServing() {
-        try (TestSite site = TestSite.start(directory, "r1/a", "r1/a", "r1/b")) {
+        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
             Traffic traffic = Traffic.start(site, site.callerAddresses(), 15_000, 0);
-            TestSite.sleep(1_000);
-            site.host(0).storeProxy().cut();
+            TestCluster.sleep(1_000);
+            site.host(0).storeProxy().rejectConnections();
             LoadReport report = traffic.finish();
 
             assertThat(report.violations()).isEmpty();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestSite.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestCluster.java
@@ -21,11 +21,11 @@
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.Site;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.LocalCluster;
+import org.coriandercrank.testkit.ClusterHost;
 
 /** A site of real processes with the calls that tests make. Only the calls may be made by several threads. */
-final class TestSite implements AutoCloseable {
+final class TestCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
 
     static final List<String> DEFAULT_BACKEND_FLAGS = List.of("--service-ms", "2");
@@ -37,13 +37,13 @@
     private static final long POLL_MS = 50;
 
     private final Path directory;
-    private final Site site;
+    private final LocalCluster site;
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
-    private TestSite(Path directory, List<HostSpec> specs) {
+    private TestCluster(Path directory, List<HostSpec> specs) {
         this.directory = directory;
-        this.site = new Site(directory, specs);
+        this.site = new LocalCluster(directory, specs);
     }
 
     /**
@@ -51,7 +51,7 @@
      *
      * @param places region and failure domain of each host, as {@code region/domain}
      */
-    static TestSite start(Path directory, String... places) {
+    static TestCluster start(Path directory, String... places) {
         return start(directory, places.length, List.of(DEFAULT_BACKEND_FLAGS), places);
     }
 
@@ -61,26 +61,26 @@
      * @param startedHosts number of hosts that start now; {@link #startHost} starts the others
      * @param backendFlags flags of the backend servers, repeated in turn over the hosts
      */
-    static TestSite start(Path directory, int startedHosts, List<List<String>> backendFlags, String... places) {
+    static TestCluster start(Path directory, int startedHosts, List<List<String>> backendFlags, String... places) {
         List<HostSpec> specs = new ArrayList<>();
         for (String place : places) {
             String[] parts = place.split("/", 2);
             specs.add(new HostSpec("desk-" + (specs.size() + 1), parts[0], parts[1], SERVICE));
         }
-        TestSite site = new TestSite(directory, specs);
+        TestCluster site = new TestCluster(directory, specs);
         site.startFirst(startedHosts, backendFlags, KEYED_SERVICE_NOTE);
         return site;
     }
 
     /** Starts all hosts, submits a note and waits until every host of the keyed service serves ranges. */
-    static TestSite start(Path directory, List<HostSpec> specs, String note) {
-        TestSite site = new TestSite(directory, specs);
+    static TestCluster start(Path directory, List<HostSpec> specs, String note) {
+        TestCluster site = new TestCluster(directory, specs);
         site.startFirst(specs.size(), List.of(DEFAULT_BACKEND_FLAGS), note);
         return site;
     }
 
     private void startFirst(int startedHosts, List<List<String>> backendFlags, String note) {
-        List<SiteHost> first = hosts().subList(0, startedHosts);
+        List<ClusterHost> first = hosts().subList(0, startedHosts);
         for (int i = 0; i < startedHosts; i++) {
             host(i).startDaemon(List.of());
             host(i).startBackend(backendFlags.get(i % backendFlags.size()));
@@ -100,32 +100,32 @@
         host(index).startBackend(DEFAULT_BACKEND_FLAGS);
     }
 
-    Site site() {
+    LocalCluster site() {
         return site;
     }
 
-    List<SiteHost> hosts() {
+    List<ClusterHost> hosts() {
         return site.hosts();
     }
 
-    SiteHost host(int index) {
+    ClusterHost host(int index) {
         return site.host(index);
     }
 
     List<HostAddress> callerAddresses() {
-        return hosts().stream().map(SiteHost::callerAddress).toList();
+        return hosts().stream().map(ClusterHost::callerAddress).toList();
     }
 
     List<Path> ledgers() {
-        return hosts().stream().map(SiteHost::ledgerFile).toList();
+        return hosts().stream().map(ClusterHost::ledgerFile).toList();
     }
 
-    DaemonStatus status(SiteHost host) {
+    DaemonStatus status(ClusterHost host) {
         return JsonCodec.decode(
                 call("GET", host.adminAddress(), "/v1/status", "").body(), DaemonStatus.class);
     }
 
-    boolean answers(SiteHost host) {
+    boolean answers(ClusterHost host) {
         try {
             return status(host).backendName().isPresent();
         } catch (UncheckedIOException e) {
@@ -158,12 +158,12 @@
     }
 
     /** Adds a fault to the backend server of a host, as its protocol page describes. */
-    void backendFault(SiteHost host, String json) {
+    void backendFault(ClusterHost host, String json) {
         call("POST", host.backendAddress(), "/admin/faults", json);
     }
 
     /** Adds or withdraws the rule that drains the backend server of a host. */
-    void drain(SiteHost host, boolean drained) {
+    void drain(ClusterHost host, boolean drained) {
         String name = host.spec().name();
         String change = drained
                 ? "\"add\":{\"backends\":[{\"backendName\":\"" + name + "\",\"drain\":true}]}"
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/Traffic.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/Traffic.java
@@ -26,28 +26,28 @@
 
     private static final long LIMIT_SECONDS = 180;
 
-    private final TestSite site;
+    private final TestCluster site;
     private final LoadDriver driver;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final CompletableFuture<List<CallRecord>> calls;
 
-    private Traffic(TestSite site, List<HostAddress> targets, LoadPlan plan) {
+    private Traffic(TestCluster site, List<HostAddress> targets, LoadPlan plan) {
         this.site = site;
         this.driver = new LoadDriver(group, targets, plan, LoadDriver::routed);
         this.calls = CompletableFuture.supplyAsync(driver::run);
     }
 
     /** Starts traffic on evenly used keys, half of it writes; failed operations are repeated. */
-    static Traffic start(TestSite site, List<HostAddress> targets, long durationMs, int maxRepeats) {
+    static Traffic start(TestCluster site, List<HostAddress> targets, long durationMs, int maxRepeats) {
         return start(site, targets, durationMs, maxRepeats, DEADLINE_MS);
     }
 
-    static Traffic start(TestSite site, List<HostAddress> targets, long durationMs, int maxRepeats, long deadlineMs) {
+    static Traffic start(TestCluster site, List<HostAddress> targets, long durationMs, int maxRepeats, long deadlineMs) {
         return start(site, targets, durationMs, maxRepeats, deadlineMs, RATE_PER_SECOND, KEYS);
     }
 
     static Traffic start(
-            TestSite site,
+            TestCluster site,
             List<HostAddress> targets,
             long durationMs,
             int maxRepeats,
@@ -55,7 +55,7 @@
             int ratePerSecond,
             int keys) {
         LoadPlan plan = new LoadPlan(
-                TestSite.SERVICE,
+                TestCluster.SERVICE,
                 true,
                 ratePerSecond,
                 durationMs,
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -10,7 +10,7 @@
 import org.coriandercrank.load.LoadReport;
 import org.coriandercrank.load.Violation;
 import org.coriandercrank.load.Violation.Kind;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -58,14 +58,14 @@
      * @param weaker the checks that may fail
      */
     record Fault(FaultKind kind, List<Integer> hosts, Set<Kind> weaker) {
-        void strike(TestSite site, List<SiteHost> struck) {
+        void strike(TestCluster site, List<ClusterHost> struck) {
             switch (kind) {
                 case DAEMON_KILLED -> struck.forEach(host -> host.daemon().kill());
                 case PLANNED_MOVE -> struck.forEach(host -> site.drain(host, true));
                 case HOST_FROZEN_AND_BACK -> {
-                    struck.forEach(SiteHost::freeze);
-                    TestSite.sleep(FREEZE_MS);
-                    struck.forEach(SiteHost::resume);
+                    struck.forEach(ClusterHost::freeze);
+                    TestCluster.sleep(FREEZE_MS);
+                    struck.forEach(ClusterHost::resume);
                 }
             }
         }
@@ -106,18 +106,18 @@
         List<List<String>> flags = CAPABILITIES.stream()
                 .map(capabilities -> List.of("--service-ms", fault.kind().serviceMs, "--capabilities", capabilities))
                 .toList();
-        try (TestSite site = TestSite.start(directory, 5, flags, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            List<SiteHost> struck = fault.hosts().stream().map(site::host).toList();
+        try (TestCluster site = TestCluster.start(directory, 5, flags, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+            List<ClusterHost> struck = fault.hosts().stream().map(site::host).toList();
             boolean planned = fault.kind() == FaultKind.PLANNED_MOVE;
             Traffic traffic = Traffic.start(
                     site,
                     site.hosts().stream()
                             .filter(host -> !struck.contains(host))
-                            .map(SiteHost::callerAddress)
+                            .map(ClusterHost::callerAddress)
                             .toList(),
                     planned ? 4_000 : DURATION_MS,
                     planned ? 0 : 40);
-            TestSite.sleep(1_000);
+            TestCluster.sleep(1_000);
             fault.strike(site, struck);
             LoadReport report = traffic.finish();
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WholePathTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WholePathTest.java
@@ -20,7 +20,7 @@
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LedgerReader;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.SiteHost;
+import org.coriandercrank.testkit.ClusterHost;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -31,7 +31,7 @@
 
 /** Guards against faults between the parts of the path from caller to backend server, with real processes. */
 class WholePathTest {
-    private static final String KEYED = "/v1/" + TestSite.SERVICE + "/";
+    private static final String KEYED = "/v1/" + TestCluster.SERVICE + "/";
     private static final String UNKEYED_SERVICE = "shadebook";
     private static final int BODY_LIMIT_BYTES = 4_096;
     private static final int KEYED_HOSTS = 3;
@@ -40,20 +40,20 @@
     @TempDir
     static Path directory;
 
-    private static TestSite site;
+    private static TestCluster site;
 
     @BeforeAll
     static void startSite() {
         List<HostSpec> specs = List.of(
-                new HostSpec("desk-1", "r1", "a", TestSite.SERVICE),
-                new HostSpec("desk-2", "r1", "a", TestSite.SERVICE),
-                new HostSpec("desk-3", "r1", "b", TestSite.SERVICE),
+                new HostSpec("desk-1", "r1", "a", TestCluster.SERVICE),
+                new HostSpec("desk-2", "r1", "a", TestCluster.SERVICE),
+                new HostSpec("desk-3", "r1", "b", TestCluster.SERVICE),
                 new HostSpec("book-1", "r1", "a", UNKEYED_SERVICE),
                 new HostSpec("book-2", "r1", "a", UNKEYED_SERVICE));
-        site = TestSite.start(
+        site = TestCluster.start(
                 directory,
                 specs,
-                "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + TestSite.SERVICE
+                "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + TestCluster.SERVICE
                         + "\",\"keyed\":true,\"maxBodyBytes\":" + BODY_LIMIT_BYTES + "},{\"name\":\"" + UNKEYED_SERVICE
                         + "\",\"keyed\":false}]}}");
         site.waitUntil(
@@ -69,7 +69,7 @@
     }
 
     private static HttpResponse<byte[]> call(
-            SiteHost host, String method, String path, String body, String... headers) {
+            ClusterHost host, String method, String path, String body, String... headers) {
         return site.call(method, host.callerAddress(), path, body, headers);
     }
 
@@ -97,12 +97,12 @@
         Set<String> owners = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             String path = KEYED + "ticket-" + i;
-            SiteHost writer = site.host(i % site.hosts().size());
+            ClusterHost writer = site.host(i % site.hosts().size());
             HttpResponse<byte[]> written = call(writer, "PUT", path, "state " + i);
             assertExecuted(written);
             String owner = header(written, "Crank-Owner");
             owners.add(owner);
-            for (SiteHost reader : site.hosts()) {
+            for (ClusterHost reader : site.hosts()) {
                 HttpResponse<byte[]> read = call(reader, "GET", path, "");
                 assertExecuted(read);
                 assertThat(text(read)).isEqualTo("state " + i);
@@ -127,7 +127,7 @@
 
     @Test
     void methodsReachTheServer() {
-        SiteHost host = site.host(0);
+        ClusterHost host = site.host(0);
         String path = KEYED + "methods";
         assertExecuted(call(host, "PUT", path, "a"));
         assertExecuted(call(host, "POST", path, "b"));
@@ -198,7 +198,7 @@
                 path(100, "path", "/v2/counter-desk/k"),
                 path(101, "service", "/v1/nowhere/k"),
                 path(101, "service", "/v1//k"),
-                path(102, "key", "/v1/" + TestSite.SERVICE),
+                path(102, "key", "/v1/" + TestCluster.SERVICE),
                 path(102, "key", KEYED),
                 path(102, "key", KEYED + "%zz"),
                 path(102, "key", KEYED + "a%00"),
@@ -207,8 +207,8 @@
                 path(104, "header", KEYED + "k".repeat(9_000)),
                 header(100, "Crank-Key", "Crank-Service: " + UNKEYED_SERVICE, "Crank-Key: k"),
                 header(100, "Crank-Service", "Crank-Service: a", "Crank-Service: b"),
-                header(102, "key", "Crank-Service: " + TestSite.SERVICE),
-                header(102, "Crank-Key", "Crank-Service: " + TestSite.SERVICE, "Crank-Key: a", "Crank-Key: b"),
+                header(102, "key", "Crank-Service: " + TestCluster.SERVICE),
+                header(102, "Crank-Key", "Crank-Service: " + TestCluster.SERVICE, "Crank-Key: a", "Crank-Key: b"),
                 header(104, "header", "X-Big: " + "x".repeat(17_000)),
                 header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: soon"),
                 header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 0"),
@@ -256,7 +256,7 @@
     @Test
     void callerThatLeavesCancelsItsRequest() {
         slow(() -> {
-            for (SiteHost host : site.hosts().subList(0, KEYED_HOSTS)) {
+            for (ClusterHost host : site.hosts().subList(0, KEYED_HOSTS)) {
                 String id = "left-" + host.spec().name();
                 RawCaller.leaveAfter(
                         host.callerAddress(),
@@ -265,10 +265,10 @@
                         SLOW_MS / 4);
             }
             assertExecuted(call(site.host(0), "PUT", KEYED + "stay", "x", "Crank-Request-Id: stayed"));
-            TestSite.sleep(SLOW_MS);
+            TestCluster.sleep(SLOW_MS);
         });
         assertThat(executions("stayed")).hasSize(1);
-        for (SiteHost host : site.hosts().subList(0, KEYED_HOSTS)) {
+        for (ClusterHost host : site.hosts().subList(0, KEYED_HOSTS)) {
             assertThat(executions("left-" + host.spec().name())).isEmpty();
         }
     }
@@ -276,7 +276,7 @@
     @Test
     void passedDeadlineIsAnsweredInTimeAndTruthfully() {
         slow(() -> {
-            for (SiteHost host : site.hosts()) {
+            for (ClusterHost host : site.hosts()) {
                 String id = "late-" + host.spec().name();
                 long startNanos = System.nanoTime();
                 HttpResponse<byte[]> answer = callLate(host, id);
@@ -285,7 +285,7 @@
                 assertThat(answer.statusCode()).isGreaterThanOrEqualTo(500);
                 assertThat(tookMs).isBetween(200L, SLOW_MS);
                 assertThat(header(answer, "Crank-Outcome")).isIn("not-run", "unknown");
-                TestSite.sleep(SLOW_MS + 200);
+                TestCluster.sleep(SLOW_MS + 200);
                 if (header(answer, "Crank-Outcome").equals("not-run")) {
                     assertThat(executions(id)).isEmpty();
                 }
@@ -306,7 +306,7 @@
         assertThat(answers).allMatch(answer -> answer.startsWith("504 "));
     }
 
-    private static HttpResponse<byte[]> callLate(SiteHost host, String id) {
+    private static HttpResponse<byte[]> callLate(ClusterHost host, String id) {
         return call(host, "PUT", KEYED + "late", "x", "Crank-Request-Id: " + id, "Crank-Deadline-Ms: 300");
     }
 
@@ -363,7 +363,7 @@
     @ParameterizedTest
     @MethodSource("wrongFrames")
     void wrongFrameEndsOnlyItsConnection(byte[] frame) {
-        SiteHost host = site.host(0);
+        ClusterHost host = site.host(0);
         RawCaller.bytes(host.peerAddress(), frame);
 
         assertThat(host.daemon().isAlive()).isTrue();
@@ -389,7 +389,7 @@
                         + "\"capabilities\":[\"FLIGHT\"]}"
             })
     void unreadableAnnouncementIsRefusedAndChangesNothing(String body) {
-        SiteHost host = site.host(0);
+        ClusterHost host = site.host(0);
         HttpResponse<byte[]> answer = site.call("POST", host.adminAddress(), "/v1/backend", body);
 
         assertThat(answer.statusCode()).as(text(answer)).isEqualTo(400);
@@ -399,7 +399,7 @@
 
     @Test
     void adminEndpointsAnswer() {
-        for (SiteHost host : site.hosts()) {
+        for (ClusterHost host : site.hosts()) {
             HostAddress admin = host.adminAddress();
             assertThat(text(site.call("GET", admin, "/live", ""))).isEqualTo("live\n");
             HttpResponse<byte[]> ready = site.call("GET", admin, "/ready", "");
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
@@ -71,13 +71,13 @@
     /** Ends the process at once, without its cooperation. */
     public void kill() {
         process.destroyForcibly();
-        waitForEnd();
+        waitForExit();
     }
 
     /** Asks the process to end and waits for it; returns its exit code. */
     public int stop() {
         process.destroy();
-        return waitForEnd();
+        return waitForExit();
     }
 
     /** Asks the process to end without waiting. */
@@ -86,7 +86,7 @@
     }
 
     /** Waits for the end of the process and returns its exit code. */
-    public int waitForEnd() {
+    public int waitForExit() {
         try {
             if (!process.waitFor(STOP_WAIT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/SiteHost.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ClusterHost.java
@@ -7,11 +7,11 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * A host of a {@link Site} with the processes that run on it now. Not thread safe.
+ * A host of a {@link LocalCluster} with the processes that run on it now. Not thread safe.
  *
  * <p>Other daemons reach it through {@link #peerProxy()}; its daemon reaches the store through {@link #storeProxy()}.
  */
-public final class SiteHost implements AutoCloseable {
+public final class ClusterHost implements AutoCloseable {
     private static final String DAEMON_CLASS = "org.coriandercrank.daemon.Crankd";
     private static final String BACKEND_CLASS = "org.coriandercrank.standin.CrankBackend";
     private static final int PEER_PORT = 7001;
@@ -27,7 +27,7 @@
     private Optional<ChildProcess> daemon = Optional.empty();
     private Optional<ChildProcess> backend = Optional.empty();
 
-    SiteHost(HostSpec spec, String ip, Path directory, HostAddress store) {
+    ClusterHost(HostSpec spec, String ip, Path directory, HostAddress store) {
         this.spec = spec;
         this.ip = ip;
         this.directory = directory;
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
@@ -38,10 +38,10 @@
     private final Set<ProxyConnection> connections = ConcurrentHashMap.newKeySet();
     private final Set<Direction> blocked = ConcurrentHashMap.newKeySet();
     private final Set<BlockedSource> blockedSources = ConcurrentHashMap.newKeySet();
-    private final AtomicLong bytes = new AtomicLong();
+    private final AtomicLong forwardedBytes = new AtomicLong();
     private final Channel listener;
     private volatile HostAddress target;
-    private volatile boolean refusing;
+    private volatile boolean rejecting;
     private volatile long delayMs;
 
     public FaultProxy(HostAddress target) {
@@ -68,13 +68,13 @@
     }
 
     /** Sends new connections to another target. */
-    public void retarget(HostAddress newTarget) {
+    public void setTarget(HostAddress newTarget) {
         target = newTarget;
     }
 
     /** Closes all connections and closes each new one at once. */
-    public void cut() {
-        refusing = true;
+    public void rejectConnections() {
+        rejecting = true;
         connections.forEach(ProxyConnection::close);
     }
 
@@ -96,7 +96,7 @@
         updateAll();
     }
 
-    public void blockBoth() {
+    public void blockBothDirections() {
         block(Direction.TO_TARGET);
         block(Direction.FROM_TARGET);
     }
@@ -107,13 +107,13 @@
     }
 
     /** Adds a delay to all bytes from now on. */
-    public void delay(long newDelayMs) {
+    public void setDelayMs(long newDelayMs) {
         delayMs = newDelayMs;
     }
 
     /** Ends all faults except silenced connections. */
-    public void heal() {
-        refusing = false;
+    public void clearFaults() {
+        rejecting = false;
         delayMs = 0;
         blocked.clear();
         blockedSources.clear();
@@ -121,15 +121,15 @@
     }
 
     /** Bytes passed on in both directions. */
-    public long bytes() {
-        return bytes.get();
+    public long forwardedBytes() {
+        return forwardedBytes.get();
     }
 
     private void updateAll() {
-        connections.forEach(connection -> connection.update(blocks(connection)));
+        connections.forEach(connection -> connection.update(blockedDirections(connection)));
     }
 
-    private Set<Direction> blocks(ProxyConnection connection) {
+    private Set<Direction> blockedDirections(ProxyConnection connection) {
         Set<Direction> all = EnumSet.noneOf(Direction.class);
         all.addAll(blocked);
         blockedSources.stream()
@@ -139,7 +139,7 @@
     }
 
     private void accept(SocketChannel front) {
-        if (refusing) {
+        if (rejecting) {
             front.close();
             return;
         }
@@ -156,7 +156,7 @@
                 })
                 .connect(target.ip(), target.port())
                 .addListener((ChannelFutureListener) future -> {
-                    if (future.isSuccess() && !refusing) {
+                    if (future.isSuccess() && !rejecting) {
                         start(front, future.channel());
                     } else {
                         front.close();
@@ -166,10 +166,10 @@
     }
 
     private void start(Channel front, Channel back) {
-        ProxyConnection connection = new ProxyConnection(front, back, () -> delayMs, bytes::addAndGet);
+        ProxyConnection connection = new ProxyConnection(front, back, () -> delayMs, forwardedBytes::addAndGet);
         connections.add(connection);
         front.closeFuture().addListener(done -> connections.remove(connection));
-        connection.start(blocks(connection));
+        connection.start(blockedDirections(connection));
     }
 
     @Override
