--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
@@ -59,8 +59,7 @@
         reachable = open(program.address());
         store = reachable;
         // The first calls of a JVM load classes and can exceed the time-out.
-        Await.eventually(
-                () -> store.get("warm-up").handle((v, e) -> e == null).join());
+        Await.eventually(() -> store.get("warm-up").handle((v, e) -> e == null).join());
     }
 
     @AfterEach
@@ -166,8 +165,7 @@
                 ObjectStore broken = open(server.address())) {
             assertThat(Await.code(broken.get("a"))).isEqualTo(get);
             assertThat(Await.code(broken.list("a"))).isEqualTo(list);
-            assertThat(Await.code(broken.put("a", bytes("1"), Revision.NONE)))
-                    .isEqualTo(put);
+            assertThat(Await.code(broken.put("a", bytes("1"), Revision.NONE))).isEqualTo(put);
         }
     }
 }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
@@ -159,8 +159,7 @@
         Await.value(store().delete("members/a", first));
         WatchBatch deletion = Await.value(store().watch("members/", change.upTo(), 4_000));
         assertThat(deletion.changes()).extracting(StoredObject::deleted).containsExactly(true);
-        assertThat(Await.value(store().watch("members/", deletion.upTo(), 30))
-                        .changes())
+        assertThat(Await.value(store().watch("members/", deletion.upTo(), 30)).changes())
                 .isEmpty();
     }
 
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -8,10 +8,10 @@
 import org.coriandercrank.adapters.internal.BackendResponses;
 import org.coriandercrank.adapters.internal.ServerClockEstimate;
 import org.coriandercrank.adapters.internal.UrlEncoding;
-import org.coriandercrank.http.HttpRequest;
-import org.coriandercrank.http.HttpClientException;
 import org.coriandercrank.http.HttpClient;
+import org.coriandercrank.http.HttpClientException;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.BackendCall;
 import org.coriandercrank.kernel.backend.BackendHealth;
@@ -37,17 +37,17 @@
     private static final int MAX_CONTROL_CONNECTIONS = 2;
 
     /** From this limit on, two connections for control calls are a small share. */
-    private static final int CONNECTIONS_FOR_TWO_CONTROL = 8;
+    private static final int MIN_CONNECTIONS_FOR_TWO_CONTROL = 8;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_BODY_BYTES = 16_777_216;
 
     /** Below the 60 s after which common servers close idle connections, so that a reused one is rarely stale. */
-    private static final long IDLE_CLOSE_MS = 30_000;
+    private static final long IDLE_TIMEOUT_MS = 30_000;
 
-    private static final int MAX_WAITING_CONTROL_CALLS = 1_024;
+    private static final int MAX_QUEUED_CONTROL_CALLS = 1_024;
     private static final long CONTROL_TIMEOUT_MS = 1_000;
-    private static final long WARM_PERIOD_MS = 5_000;
+    private static final long WARM_UP_INTERVAL_MS = 5_000;
 
     /** Time given to a server to report at the deadline that it did not execute the call. */
     private static final long DEADLINE_GRACE_MS = 100;
@@ -56,40 +56,41 @@
     private static final long MAX_DEADLINE_MS = 86_400_000;
 
     /** The server process was replaced since its clock was last seen; its answer carries the new clock. */
-    private static final int STATUS_OTHER_CLOCK = 412;
+    private static final int STATUS_CLOCK_MISMATCH = 412;
 
-    private final HttpClient requests;
-    private final HttpClient control;
+    private final HttpClient requestClient;
+    private final HttpClient controlClient;
     private final int requestConnections;
     private final int warmConnections;
-    private final TimerService.Subscription warming;
+    private final TimerService.Subscription warmUpTimer;
     private final ServerClockEstimate serverClock;
 
     /** Connects; the group and the timers are the property of the caller. */
     public HttpBackendServer(EventLoopGroup group, TimerService timers, BackendInfo info) {
         int max = info.maxConnections();
-        int controlConnections = max == 1 ? 0 : max < CONNECTIONS_FOR_TWO_CONTROL ? 1 : MAX_CONTROL_CONNECTIONS;
+        int controlConnections = max == 1 ? 0 : max < MIN_CONNECTIONS_FOR_TWO_CONTROL ? 1 : MAX_CONTROL_CONNECTIONS;
         requestConnections = max - controlConnections;
         warmConnections = Math.min(info.slots(), requestConnections);
-        requests = new HttpClient(group, info.address(), options(requestConnections, requestConnections));
-        control = controlConnections == 0
-                ? requests
-                : new HttpClient(group, info.address(), options(controlConnections, MAX_WAITING_CONTROL_CALLS));
+        requestClient = new HttpClient(group, info.address(), options(requestConnections, requestConnections));
+        controlClient = controlConnections == 0
+                ? requestClient
+                : new HttpClient(group, info.address(), options(controlConnections, MAX_QUEUED_CONTROL_CALLS));
         serverClock = new ServerClockEstimate(timers.clock());
-        requests.warmUp(warmConnections);
-        warming = timers.every(WARM_PERIOD_MS, Runnable::run, () -> requests.warmUp(warmConnections));
+        requestClient.warmUp(warmConnections);
+        warmUpTimer = timers.every(WARM_UP_INTERVAL_MS, Runnable::run, () -> requestClient.warmUp(warmConnections));
     }
 
-    private static HttpClientOptions options(int maxConnections, int maxWaiting) {
-        return new HttpClientOptions(maxConnections, maxWaiting, CONNECT_TIMEOUT_MS, MAX_BODY_BYTES, IDLE_CLOSE_MS);
+    private static HttpClientOptions options(int maxConnections, int maxQueuedRequests) {
+        return new HttpClientOptions(
+                maxConnections, maxQueuedRequests, CONNECT_TIMEOUT_MS, MAX_BODY_BYTES, IDLE_TIMEOUT_MS);
     }
 
     @Override
     public CompletableFuture<CallerAnswer> execute(BackendCall call) {
         CallerRequest request = call.request();
-        HttpRequest httpCall = new HttpRequest(request.method(), request.path(), headers(call), request.body());
+        HttpRequest httpRequest = new HttpRequest(request.method(), request.path(), headers(call), request.body());
         long timeoutMs = Math.min(request.remainingMs(), MAX_DEADLINE_MS) + DEADLINE_GRACE_MS;
-        return BackendResponses.execution(request.id(), requests.send(httpCall, timeoutMs));
+        return BackendResponses.toAnswer(request.id(), requestClient.send(httpRequest, timeoutMs));
     }
 
     /** Headers of the protocol replace those of the caller with the same names. */
@@ -117,17 +118,19 @@
 
     @Override
     public CompletableFuture<Long> grant(Grant grant) {
-        CompletableFuture<HttpResponse> answer = serverClock.isKnown()
+        CompletableFuture<HttpResponse> firstResponse = serverClock.isKnown()
                 ? sendGrant(grant)
-                : controlCall(HttpRequest.of("GET", "/control/clock")).thenCompose(reply -> sendGrant(grant));
-        return answer.thenCompose(reply -> reply.status() == STATUS_OTHER_CLOCK
+                : controlCall(HttpRequest.of("GET", "/control/clock")).thenCompose(response -> sendGrant(grant));
+        return firstResponse
+                .thenCompose(response -> response.status() == STATUS_CLOCK_MISMATCH
                         ? sendGrant(grant)
-                        : CompletableFuture.completedFuture(reply))
-                .thenApply(BackendResponses::sequence);
+                        : CompletableFuture.completedFuture(response))
+                .thenApply(BackendResponses::grantSequence);
     }
 
     private CompletableFuture<HttpResponse> sendGrant(Grant grant) {
-        return controlCall(new HttpRequest("PUT", "/control/grant", serverClock.sentAtHeader(), JsonCodec.encode(grant)));
+        return controlCall(
+                new HttpRequest("PUT", "/control/grant", serverClock.sentAtHeader(), JsonCodec.encode(grant)));
     }
 
     @Override
@@ -137,9 +140,9 @@
 
     @Override
     public CompletableFuture<BackendHealth> health() {
-        return controlCall(HttpRequest.of("GET", "/health")).thenApply(reply -> {
-            BackendResponses.requireOk(reply);
-            JsonNode node = JsonCodec.decode(reply.body(), JsonNode.class);
+        return controlCall(HttpRequest.of("GET", "/health")).thenApply(response -> {
+            BackendResponses.requireOk(response);
+            JsonNode node = JsonCodec.decode(response.body(), JsonNode.class);
             return new BackendHealth(
                     node.path("healthy").asBoolean(),
                     node.path("draining").asBoolean(),
@@ -149,26 +152,29 @@
 
     @Override
     public CompletableFuture<ProbeResult> probe() {
-        return control.send(HttpRequest.of("GET", "/health"), CONTROL_TIMEOUT_MS).handle((reply, failure) -> {
-            if (failure == null) {
-                return ProbeResult.ANSWERED;
-            }
-            return HttpClientException.isConnectionRefused(failure) ? ProbeResult.REFUSED : ProbeResult.SILENT;
-        });
+        return controlClient
+                .send(HttpRequest.of("GET", "/health"), CONTROL_TIMEOUT_MS)
+                .handle((response, failure) -> {
+                    if (failure == null) {
+                        return ProbeResult.ANSWERED;
+                    }
+                    return HttpClientException.isConnectionRefused(failure) ? ProbeResult.REFUSED : ProbeResult.SILENT;
+                });
     }
 
-    private CompletableFuture<HttpResponse> controlCall(HttpRequest call) {
-        return BackendResponses.control(control.send(call, CONTROL_TIMEOUT_MS)).whenComplete((reply, failure) -> {
-            if (failure == null) {
-                serverClock.observe(reply);
-            }
-        });
+    private CompletableFuture<HttpResponse> controlCall(HttpRequest request) {
+        return BackendResponses.requireResponse(controlClient.send(request, CONTROL_TIMEOUT_MS))
+                .whenComplete((response, failure) -> {
+                    if (failure == null) {
+                        serverClock.observe(response);
+                    }
+                });
     }
 
     @Override
     public void close() {
-        warming.cancel();
-        requests.close();
-        control.close();
+        warmUpTimer.cancel();
+        requestClient.close();
+        controlClient.close();
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.coriandercrank.adapters.internal.StoreResponses;
 import org.coriandercrank.adapters.internal.UrlEncoding;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -33,14 +33,14 @@
     private static final int WATCH_CONNECTIONS = 8;
 
     /** A listing holds values in base64 and can exceed the limit of one object many times. */
-    private static final int MAX_ANSWER_BYTES = 67_108_864;
+    private static final int MAX_RESPONSE_BYTES = 67_108_864;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
-    private static final int MAX_WAITING = 1_024;
-    private static final long IDLE_CLOSE_MS = 30_000;
+    private static final int MAX_QUEUED_CALLS = 1_024;
+    private static final long IDLE_TIMEOUT_MS = 30_000;
 
-    private final HttpClient calls;
-    private final HttpClient watches;
+    private final HttpClient callClient;
+    private final HttpClient watchClient;
     private final long callTimeoutMs;
 
     /**
@@ -52,23 +52,24 @@
     public HttpObjectStore(EventLoopGroup group, HostAddress address, long callTimeoutMs) {
         this.callTimeoutMs = callTimeoutMs;
         HttpClientOptions options = new HttpClientOptions(
-                CALL_CONNECTIONS, MAX_WAITING, CONNECT_TIMEOUT_MS, MAX_ANSWER_BYTES, IDLE_CLOSE_MS);
-        this.calls = new HttpClient(group, address, options);
-        this.watches = new HttpClient(group, address, options.withMaxConnections(WATCH_CONNECTIONS));
+                CALL_CONNECTIONS, MAX_QUEUED_CALLS, CONNECT_TIMEOUT_MS, MAX_RESPONSE_BYTES, IDLE_TIMEOUT_MS);
+        this.callClient = new HttpClient(group, address, options);
+        this.watchClient = new HttpClient(group, address, options.withMaxConnections(WATCH_CONNECTIONS));
     }
 
     @Override
     public CompletableFuture<Optional<StoredObject>> get(String name) {
         return StoreResponses.read(
-                calls.send(HttpRequest.of("GET", objectTarget(name)), callTimeoutMs),
-                reply -> StoreResponses.object(name, reply));
+                callClient.send(HttpRequest.of("GET", objectTarget(name)), callTimeoutMs),
+                response -> StoreResponses.object(name, response));
     }
 
     @Override
     public CompletableFuture<WatchBatch> list(String prefix) {
         QueryStringEncoder target = new QueryStringEncoder("/v1/list");
         target.addParam("prefix", prefix);
-        return StoreResponses.read(calls.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreResponses::batch);
+        return StoreResponses.read(
+                callClient.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreResponses::batch);
     }
 
     @Override
@@ -78,12 +79,13 @@
                     ResultCode.STORE_UNAVAILABLE,
                     "value of " + name + " has " + value.length + " bytes, limit " + MAX_VALUE_BYTES));
         }
-        return StoreResponses.write(name, calls.send(write("PUT", name, value, expected), callTimeoutMs));
+        return StoreResponses.write(name, callClient.send(writeRequest("PUT", name, value, expected), callTimeoutMs));
     }
 
     @Override
     public CompletableFuture<Void> delete(String name, Revision expected) {
-        return StoreResponses.write(name, calls.send(write("DELETE", name, new byte[0], expected), callTimeoutMs))
+        return StoreResponses.write(
+                        name, callClient.send(writeRequest("DELETE", name, new byte[0], expected), callTimeoutMs))
                 .thenApply(revision -> null);
     }
 
@@ -94,22 +96,23 @@
         target.addParam("after", after.toString());
         target.addParam("wait-ms", Long.toString(waitMs));
         return StoreResponses.read(
-                watches.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs), StoreResponses::batch);
+                watchClient.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs),
+                StoreResponses::batch);
     }
 
     @Override
     public void close() {
-        calls.close();
-        watches.close();
+        callClient.close();
+        watchClient.close();
     }
 
-    private static HttpRequest write(String method, String name, byte[] value, Revision expected) {
+    private static HttpRequest writeRequest(String method, String name, byte[] value, Revision expected) {
         return new HttpRequest(
                 method,
                 objectTarget(name),
                 List.of(
                         new Header("content-type", "application/octet-stream"),
-                        new Header(StoreResponses.EXPECTED_HEADER, expected.toString())),
+                        new Header(StoreResponses.EXPECTED_REVISION_HEADER, expected.toString())),
                 value);
     }
 
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendResponses.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendResponses.java
@@ -29,34 +29,35 @@
     private static final String REASON = "crank-reason";
 
     /** Statuses by which a server or something in front of it says that it has no result of the call. */
-    private static final Set<Integer> NO_RESULT_STATUSES = Set.of(502, 503, 504);
+    private static final Set<Integer> GATEWAY_ERROR_STATUSES = Set.of(502, 503, 504);
 
-    private static final int FIRST_STATUS = 200;
-    private static final int LAST_STATUS = 599;
+    private static final int MIN_FINAL_STATUS = 200;
+    private static final int MAX_FINAL_STATUS = 599;
 
     private BackendResponses() {}
 
     /** Outcome of an execution. */
-    public static CompletableFuture<CallerAnswer> execution(RequestId id, CompletableFuture<HttpResponse> call) {
-        return call.handle((reply, failure) -> {
+    public static CompletableFuture<CallerAnswer> toAnswer(
+            RequestId id, CompletableFuture<HttpResponse> responseFuture) {
+        return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw failure(id.value(), failure);
             }
-            if (reply.header(NOT_RUN).filter("true"::equals).isPresent()) {
-                throw refusal(id, reply);
+            if (response.header(NOT_RUN).filter("true"::equals).isPresent()) {
+                throw rejection(id, response);
             }
-            if (reply.status() < FIRST_STATUS
-                    || reply.status() > LAST_STATUS
-                    || NO_RESULT_STATUSES.contains(reply.status())) {
+            if (response.status() < MIN_FINAL_STATUS
+                    || response.status() > MAX_FINAL_STATUS
+                    || GATEWAY_ERROR_STATUSES.contains(response.status())) {
                 throw new CrankException(
-                        ResultCode.OUTCOME_UNKNOWN, id + ": backend server answered " + reply.status());
+                        ResultCode.OUTCOME_UNKNOWN, id + ": backend server answered " + response.status());
             }
-            return CallerAnswer.executed(reply.status(), reply.headers(), reply.body());
+            return CallerAnswer.executed(response.status(), response.headers(), response.body());
         });
     }
 
-    private static CrankException refusal(RequestId id, HttpResponse reply) {
-        String reason = reply.header(REASON).orElse("none");
+    private static CrankException rejection(RequestId id, HttpResponse response) {
+        String reason = response.header(REASON).orElse("none");
         ResultCode code = switch (reason) {
             case "fence", "range", "validity" -> ResultCode.FENCE_REJECTED;
             case "overload" -> ResultCode.OVERLOADED;
@@ -67,12 +68,12 @@
     }
 
     /** Answer of a control call; its failures tell whether the call was sent. */
-    public static CompletableFuture<HttpResponse> control(CompletableFuture<HttpResponse> call) {
-        return call.handle((reply, failure) -> {
+    public static CompletableFuture<HttpResponse> requireResponse(CompletableFuture<HttpResponse> responseFuture) {
+        return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw failure("control call", failure);
             }
-            return reply;
+            return response;
         });
     }
 
@@ -85,11 +86,11 @@
     }
 
     /** Sequence in the answer to a grant, accepted (200) or rejected as old (409). */
-    public static long sequence(HttpResponse reply) {
-        if (reply.status() != 409) {
-            requireOk(reply);
+    public static long grantSequence(HttpResponse response) {
+        if (response.status() != 409) {
+            requireOk(response);
         }
-        JsonNode sequence = JsonCodec.decode(reply.body(), JsonNode.class).path("sequence");
+        JsonNode sequence = JsonCodec.decode(response.body(), JsonNode.class).path("sequence");
         if (!sequence.isIntegralNumber()) {
             throw new CrankException(ResultCode.OUTCOME_UNKNOWN, "answer to a grant has no sequence");
         }
@@ -97,12 +98,12 @@
     }
 
     /** Fails unless the server accepted a control call. */
-    public static void requireOk(HttpResponse reply) {
-        if (reply.status() != 200) {
-            boolean notRun = reply.header(NOT_RUN).filter("true"::equals).isPresent();
+    public static void requireOk(HttpResponse response) {
+        if (response.status() != 200) {
+            boolean notRun = response.header(NOT_RUN).filter("true"::equals).isPresent();
             throw new CrankException(
                     notRun ? ResultCode.BACKEND_UNAVAILABLE : ResultCode.OUTCOME_UNKNOWN,
-                    "control call answered with status " + reply.status());
+                    "control call answered with status " + response.status());
         }
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
@@ -32,8 +32,8 @@
     }
 
     /** Takes over the clock of an answer, if the server states one as {@code instance:nanos}. */
-    public void observe(HttpResponse reply) {
-        String value = reply.header(CLOCK_HEADER).orElse("");
+    public void observe(HttpResponse response) {
+        String value = response.header(CLOCK_HEADER).orElse("");
         int colon = value.indexOf(':');
         if (colon < 0) {
             return;
@@ -48,11 +48,11 @@
 
     /** The present time on the server's clock, as a header; empty if the server never stated its clock. */
     public List<Header> sentAtHeader() {
-        Observation known = latest;
-        if (known == null) {
+        Observation observation = latest;
+        if (observation == null) {
             return List.of();
         }
-        long serverNanos = known.serverNanos + clock.nowNanos() - known.localNanos;
-        return List.of(new Header(SENT_AT_HEADER, known.instance + ":" + serverNanos));
+        long serverNanos = observation.serverNanos + clock.nowNanos() - observation.localNanos;
+        return List.of(new Header(SENT_AT_HEADER, observation.instance + ":" + serverNanos));
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
@@ -19,7 +19,7 @@
  * of a write, an unreadable answer included, is {@code WRITE_UNANSWERED}.
  */
 public final class StoreResponses {
-    public static final String EXPECTED_HEADER = "crank-expected-revision";
+    public static final String EXPECTED_REVISION_HEADER = "crank-expected-revision";
 
     private static final String REVISION_HEADER = "crank-revision";
     private static final String NOT_RUN_HEADER = "crank-not-run";
@@ -28,30 +28,30 @@
 
     /** Outcome of a read; a read has no effect, so every lost answer is {@code STORE_UNAVAILABLE}. */
     public static <T> CompletableFuture<T> read(
-            CompletableFuture<HttpResponse> call, Function<HttpResponse, T> successReader) {
-        return call.handle((reply, failure) -> {
+            CompletableFuture<HttpResponse> responseFuture, Function<HttpResponse, T> decoder) {
+        return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw new CrankException(ResultCode.STORE_UNAVAILABLE, "read failed: " + failure.getMessage(), failure);
             }
-            if (reply.status() >= 500 && reply.status() < 600) {
-                throw new CrankException(ResultCode.STORE_UNAVAILABLE, "store answered " + reply.status());
+            if (response.status() >= 500 && response.status() < 600) {
+                throw new CrankException(ResultCode.STORE_UNAVAILABLE, "store answered " + response.status());
             }
-            return successReader.apply(reply);
+            return decoder.apply(response);
         });
     }
 
     /** Outcome of a conditional write: the new revision. */
-    public static CompletableFuture<Revision> write(String name, CompletableFuture<HttpResponse> call) {
-        return call.handle((reply, failure) -> {
+    public static CompletableFuture<Revision> write(String name, CompletableFuture<HttpResponse> responseFuture) {
+        return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw writeFailure(name, failure);
             }
-            if (reply.status() == 200) {
-                return revision(reply)
+            if (response.status() == 200) {
+                return revision(response)
                         .orElseThrow(() -> new CrankException(
                                 ResultCode.WRITE_UNANSWERED, "answer to write of " + name + " has no revision"));
             }
-            throw refusal(name, reply);
+            throw rejection(name, response);
         });
     }
 
@@ -63,35 +63,36 @@
                 failure);
     }
 
-    private static CrankException refusal(String name, HttpResponse reply) {
-        int status = reply.status();
+    private static CrankException rejection(String name, HttpResponse response) {
+        int status = response.status();
         if (status == 409) {
             return new CrankException(
                     ResultCode.REVISION_CONFLICT,
                     name + " has revision "
-                            + revision(reply).map(Revision::toString).orElse("unknown"));
+                            + revision(response).map(Revision::toString).orElse("unknown"));
         }
-        boolean noEffect = reply.header(NOT_RUN_HEADER).filter("true"::equals).isPresent() || status == 413;
+        boolean notExecuted =
+                response.header(NOT_RUN_HEADER).filter("true"::equals).isPresent() || status == 413;
         return new CrankException(
-                noEffect ? ResultCode.STORE_UNAVAILABLE : ResultCode.WRITE_UNANSWERED,
+                notExecuted ? ResultCode.STORE_UNAVAILABLE : ResultCode.WRITE_UNANSWERED,
                 "write of " + name + " answered with status " + status);
     }
 
     /** The object of a get, or empty for status 404. */
-    public static Optional<StoredObject> object(String name, HttpResponse reply) {
-        if (reply.status() == 404 && reply.header(REVISION_HEADER).isPresent()) {
+    public static Optional<StoredObject> object(String name, HttpResponse response) {
+        if (response.status() == 404 && response.header(REVISION_HEADER).isPresent()) {
             return Optional.empty();
         }
-        requireOk(reply);
-        Revision revision = revision(reply)
+        requireOk(response);
+        Revision revision = revision(response)
                 .orElseThrow(() -> new CrankException(ResultCode.STORE_MALFORMED, "answer has no revision"));
-        return Optional.of(StoredObject.of(name, revision, reply.body()));
+        return Optional.of(StoredObject.of(name, revision, response.body()));
     }
 
     /** The batch of a listing or watch. */
-    public static WatchBatch batch(HttpResponse reply) {
-        requireOk(reply);
-        WatchBatch batch = JsonCodec.decode(reply.body(), WatchBatch.class);
+    public static WatchBatch batch(HttpResponse response) {
+        requireOk(response);
+        WatchBatch batch = JsonCodec.decode(response.body(), WatchBatch.class);
         boolean incomplete = batch.upTo() == null
                 || batch.changes().stream()
                         .anyMatch(
@@ -102,15 +103,15 @@
         return batch;
     }
 
-    private static void requireOk(HttpResponse reply) {
-        if (reply.status() != 200) {
-            throw new CrankException(ResultCode.STORE_MALFORMED, "unexpected status " + reply.status());
+    private static void requireOk(HttpResponse response) {
+        if (response.status() != 200) {
+            throw new CrankException(ResultCode.STORE_MALFORMED, "unexpected status " + response.status());
         }
     }
 
-    private static Optional<Revision> revision(HttpResponse reply) {
+    private static Optional<Revision> revision(HttpResponse response) {
         try {
-            return reply.header(REVISION_HEADER).map(Long::parseLong).map(Revision::new);
+            return response.header(REVISION_HEADER).map(Long::parseLong).map(Revision::new);
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
@@ -35,7 +35,7 @@
     @Test
     void neighboursOfOneFenceAreOneRow() {
         GrantRowMerger rows = new GrantRowMerger(MANY);
-        assertThat(rows.join(
+        assertThat(rows.merge(
                         List.of(row(20, 29, 7), row(0, 9, 7), row(10, 19, 7), row(30, 39, 8), row(40, 49, 8, "5c")),
                         List.of()))
                 .containsExactly(row(0, 29, 7), row(30, 39, 8), row(40, 49, 8, "5c"));
@@ -45,22 +45,22 @@
     void neighboursOfDifferentFencesAreOneRowOnlyAboveTheBound() {
         GrantRowMerger rows = new GrantRowMerger(2);
         List<GrantedRange> granted = List.of(row(0, 9, 7), row(10, 19, 9), row(20, 29, 8));
-        assertThat(rows.join(granted, List.of())).containsExactly(row(0, 29, 9));
+        assertThat(rows.merge(granted, List.of())).containsExactly(row(0, 29, 9));
     }
 
     /** Seen on the bench: a range left a joined row, and its former neighbour was rejected for ten seconds. */
     @Test
     void restOfAJoinedRowKeepsItsFence() {
         GrantRowMerger rows = new GrantRowMerger(1);
-        rows.join(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
-        assertThat(rows.join(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
-        assertThat(rows.join(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
+        rows.merge(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
+        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
+        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
     }
 
     @Test
     void restartedDaemonKeepsTheFencesThatTheServerHolds() {
         GrantRowMerger rows = new GrantRowMerger(MANY);
-        assertThat(rows.join(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
+        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
     }
 
     /** Each heartbeat is answered on the thread that reads callers' requests, which would be read late. */
@@ -73,7 +73,7 @@
         GrantRowMerger rows = new GrantRowMerger(MANY);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
             for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
-                assertThat(rows.join(granted, granted)).hasSize(20_000);
+                assertThat(rows.merge(granted, granted)).hasSize(20_000);
             }
         });
     }
@@ -95,7 +95,7 @@
             }
             List<GrantedRange> granted = new ArrayList<>();
             owned.forEach((k, fence) -> granted.add(row(k, k, fence)));
-            for (GrantedRange told : rows.join(granted, List.of())) {
+            for (GrantedRange told : rows.merge(granted, List.of())) {
                 for (long k = told.range().first().value();
                         k <= told.range().last().value();
                         k++) {
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import org.coriandercrank.daemon.ServerIncarnation;
 import org.coriandercrank.daemon.MemberLifecycle;
 import org.coriandercrank.daemon.MemberLifecycle.Action;
+import org.coriandercrank.daemon.ServerIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** Guards which member a daemon is while its backend server crashes, returns, leaves or falls silent. */
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/Crankd.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/Crankd.java
@@ -5,7 +5,7 @@
 import org.coriandercrank.kernel.log.LogSetup;
 import org.coriandercrank.kernel.settings.CommandLine;
 
-/** The program {@code crankd}. A TERM signal starts a planned stop. */
+/** The program {@code crankd}. SIGTERM starts a graceful shutdown. */
 public final class Crankd {
     private Crankd() {}
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Collectors;
-import org.coriandercrank.control.ControlPlane;
 import org.coriandercrank.control.ControlDependencies;
+import org.coriandercrank.control.ControlPlane;
 import org.coriandercrank.control.ControlStatus;
 import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.daemon.internal.LocalGate;
@@ -24,9 +24,9 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.table.AssignmentTable;
@@ -36,12 +36,12 @@
 import org.coriandercrank.placement.PlacementContext;
 
 /**
- * All parts of a daemon: links to other daemons, control plane, owner gate, caller side, and the parts that belong to the
- * present member id.
+ * All components of a daemon: connections to other daemons, control plane, owner gate, ingress, and the components that
+ * belong to the current member id.
  *
- * <p>Thread safe. A daemon whose member was sealed or retired joins again under another id. The gate and the caller side
- * outlive the member, so callers keep their connections and the gate its memory of requests. The caller runs
- * {@link #replaceMember} on one thread at a time.
+ * <p>Thread safe. A daemon whose member record was sealed rejoins under another member id. The gate and the ingress are
+ * kept across member ids, so callers keep their connections and the gate keeps its outcome records. Calls of
+ * {@link #replaceMember} must not overlap.
  */
 public final class DaemonHost implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -58,11 +58,11 @@
     private final AtomicReference<BackendInfo> attachedBackend = new AtomicReference<>();
 
     /**
-     * Makes the parts without starting them.
+     * Creates the components without starting them.
      *
-     * @param whenSealed called on the control thread when others sealed the member; must not block
+     * @param onSealed called on the control thread after another daemon sealed the member; must not block
      */
-    public DaemonHost(HostOptions options, HostServices services, Runnable whenSealed) {
+    public DaemonHost(HostOptions options, HostServices services, Runnable onSealed) {
         this.options = options;
         this.services = services;
         AtomicReference<ControlPlane> controlReference = new AtomicReference<>();
@@ -82,72 +82,81 @@
         control.addIncarnationListener((id, reason) -> {
             logger.atWarning().log("event=sealed member=%s reason=\"%s\"", id, reason);
             sealOwnership();
-            whenSealed.run();
+            onSealed.run();
         });
     }
 
-    /** Starts all parts; blocks until the ports are bound. Returns the address for callers with the port in use. */
+    /**
+     * Starts all components; blocks until the ports are bound.
+     *
+     * @return the address for callers, with the port that was bound
+     */
     public HostAddress start(HostAddress callerListen) {
         if (options.joinsOnStart()) {
             startMember();
         }
         control.start();
-        HostAddress callers = ingress.start(callerListen);
+        HostAddress callerAddress = ingress.start(callerListen);
         logger.atInfo().log("event=started member=%s", control.self());
-        return callers;
+        return callerAddress;
     }
 
     private void startMember() {
-        MemberComponents parts = new MemberComponents(
+        MemberComponents components = new MemberComponents(
                 placementContext(), control.lease(), gate, services.plugins(), options.ownership(), options.planner());
-        MemberComponents former = memberComponents.getAndSet(parts);
-        if (former != null) {
-            former.close();
+        MemberComponents previous = memberComponents.getAndSet(components);
+        if (previous != null) {
+            previous.close();
         }
-        parts.start();
+        components.start();
     }
 
-    /** Joins under an id; for a daemon that does not join at once, and after the former member has ended. */
-    public CompletableFuture<Void> join(JoinParameters choice) {
-        return control.rejoin(choice).thenAccept(id -> startMember());
+    /**
+     * Joins under a member id. For a daemon that does not join when it starts, and after its previous member has ended.
+     */
+    public CompletableFuture<Void> join(JoinParameters parameters) {
+        return control.rejoin(parameters).thenAccept(id -> startMember());
     }
 
-    /** Joins again under a generated id after others sealed the member; announces the backend server again. */
+    /** Rejoins under a generated member id after the member was sealed, and announces the backend server again. */
     public CompletableFuture<Void> replaceMember() {
         return control.rejoin()
                 .thenAccept(id -> startMember())
                 .thenRun(() -> backend().ifPresent(control::backendAnnounced));
     }
 
-    /** Gives up all ranges; nothing is held by a host without a member. */
+    /** Gives up all ranges; a daemon without a member owns none. */
     private void sealOwnership() {
         Optional.ofNullable(memberComponents.get()).ifPresent(MemberComponents::seal);
     }
 
-    /** Gives up all ranges and seals the own record; completes when it is sealed. */
+    /** Gives up all ranges and seals the record of the own member; completes when the record is sealed. */
     public CompletableFuture<Void> sealMember() {
         sealOwnership();
         return control.sealSelf();
     }
 
-    /** Ends the member at once; the next one takes its ranges over and seals its record. */
+    /**
+     * Gives up all ranges and ends the member without sealing its record; the next member takes its ranges over and
+     * seals the record.
+     */
     public CompletableFuture<Void> abandonMember() {
         sealOwnership();
         return control.abandon();
     }
 
-    /** Uses a backend server in place of the one before, without announcing it. */
+    /** Replaces the backend server; does not announce it to other daemons. */
     public void attach(BackendInfo info, BackendServer server) {
         attachedBackend.set(info);
         gate.attach(info, server);
     }
 
-    /** Announces the attached backend server, so that it may get ranges and requests. */
+    /** Announces the attached backend server to other daemons, so that it can be assigned ranges and requests. */
     public void announce() {
         backend().ifPresent(control::backendAnnounced);
     }
 
-    /** Drops the backend server, which has certainly ended or whose grants have certainly lapsed. */
+    /** Removes the backend server, whose process has definitely ended or whose grants have definitely expired. */
     public void detach() {
         attachedBackend.set(null);
         gate.detach();
@@ -169,7 +178,7 @@
         return control.routing().current().configurationRevision().isNewerThan(Revision.NONE);
     }
 
-    /** State for operators. */
+    /** Returns the state that is shown to operators. */
     public DaemonStatus status() {
         ControlStatus controlStatus = control.status();
         GateStatus gateStatus = gate.status();
@@ -178,7 +187,7 @@
                 .collect(Collectors.toMap(AssignmentTable::service, AssignmentTable::generation));
         long leaseRemainingMs =
                 (control.lease().validUntilNanos() - services.timers().clock().nowNanos()) / NANOS_PER_MS;
-        MemberComponents parts = memberComponents.get();
+        MemberComponents components = memberComponents.get();
         return new DaemonStatus(
                 control.self(),
                 options.identity().region(),
@@ -187,7 +196,7 @@
                 snapshot.configurationRevision(),
                 tables,
                 leaseRemainingMs,
-                parts != null && parts.holdsPlannerRole(),
+                components != null && components.holdsPlannerRole(),
                 controlStatus.relay(),
                 backend().map(BackendInfo::name),
                 gateStatus.queued(),
@@ -195,40 +204,46 @@
                 gateStatus.serving());
     }
 
-    /** Asks the planner to move all ranges away; done when the record says so. */
+    /**
+     * Sets the member state to leaving, so that the planner moves all ranges to other members; completes when the member
+     * record has that state.
+     */
     public CompletableFuture<Void> leave() {
         return control.leave();
     }
 
-    /** Sends the backend server no further request; it is about to end. */
+    /** Stops sending requests to the backend server, which is about to end. */
     public void stopSending() {
         gate.stopSending();
     }
 
-    /** Takes no new work for the backend server; completes when nothing is queued or in flight there. */
+    /** Rejects new requests to the backend server; completes when no request to it is queued or in flight. */
     public CompletableFuture<Void> drainGate() {
         return gate.drain();
     }
 
-    /** Serves on, and asks callers to close their connections with the next answer. */
+    /** Continues to serve callers, but closes each of their connections with its next response. */
     public void disableKeepAlive() {
         ingress.disableKeepAlive();
     }
 
-    /** Accepts no further connections of callers. */
+    /** Stops accepting connections from callers. */
     public void stopAccepting() {
         ingress.stopAccepting();
     }
 
-    /** Refuses new requests of callers; completes when the earlier ones are answered. */
+    /** Rejects new requests from callers; completes when all earlier requests are answered. */
     public CompletableFuture<Void> drainIngress() {
         return ingress.drain();
     }
 
-    /** Completes when no table mentions this member, or nobody else could take its ranges, or after a time. */
-    public CompletableFuture<Void> awaitNoRanges(long waitMs) {
+    /**
+     * Completes when no assignment table references this member, when no other member can take over its ranges, or
+     * after the timeout.
+     */
+    public CompletableFuture<Void> awaitNoRanges(long timeoutMs) {
         return control.routing()
-                .await(snapshot -> hasNoRanges(snapshot) || hasNoSuccessor(snapshot), waitMs)
+                .await(snapshot -> hasNoRanges(snapshot) || hasNoSuccessor(snapshot), timeoutMs)
                 .thenApply(snapshot -> null);
     }
 
@@ -236,7 +251,7 @@
         return snapshot.tables().values().stream().noneMatch(table -> table.references(control.self()));
     }
 
-    /** Without another server of the service the ranges stay assigned until one joins; waiting is pointless. */
+    /** Without another backend server of the service, the ranges stay assigned to this member until one joins. */
     private boolean hasNoSuccessor(RoutingSnapshot snapshot) {
         Optional<ServiceName> service = backend().map(BackendInfo::service);
         return snapshot.members().values().stream()
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopExecutor.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/EventLoopExecutor.java
@@ -7,9 +7,10 @@
 import org.coriandercrank.kernel.concurrent.SerialExecutor;
 
 /**
- * A duty on the event loop of the network, for hosts on which each wake-up of a thread costs more than the work of a task.
+ * Serial executor on the network event loop, for hosts on which waking up a thread costs more than running a task.
  *
- * <p>Thread safe. A task never runs within the call that offers it, so tasks of several duties do not interleave.
+ * <p>Thread safe. A task never runs within the call that offers it, so tasks of several executors on one event loop do
+ * not interleave.
  */
 public final class EventLoopExecutor implements SerialExecutor {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -17,9 +18,10 @@
     private final String name;
     private final EventLoop loop;
     private final int capacity;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queuedTasks = new AtomicInteger();
     private volatile boolean closed;
 
+    /** @param capacity maximum number of queued tasks */
     public EventLoopExecutor(String name, EventLoop loop, int capacity) {
         this.name = name;
         this.loop = loop;
@@ -28,9 +30,9 @@
 
     @Override
     public boolean offer(Runnable task) {
-        if (closed || waiting.incrementAndGet() > capacity) {
+        if (closed || queuedTasks.incrementAndGet() > capacity) {
             if (!closed) {
-                waiting.decrementAndGet();
+                queuedTasks.decrementAndGet();
             }
             return false;
         }
@@ -38,14 +40,14 @@
             loop.execute(() -> run(task));
         } catch (RejectedExecutionException e) {
             logger.atFine().withCause(e).log("event=duty-ended duty=%s", name);
-            waiting.decrementAndGet();
+            queuedTasks.decrementAndGet();
             return false;
         }
         return true;
     }
 
     private void run(Runnable task) {
-        waiting.decrementAndGet();
+        queuedTasks.decrementAndGet();
         try {
             task.run();
         } catch (RuntimeException | Error e) {
@@ -56,7 +58,7 @@
     @Override
     public void execute(Runnable task) {
         if (!offer(task)) {
-            throw new RejectedExecutionException(name + " takes no task");
+            throw new RejectedExecutionException(name + ": the task queue is full or the executor is closed");
         }
     }
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
@@ -9,31 +9,37 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Joins the granted ranges of one incarnation of a server to rows, of which the server takes a bounded number.
+ * Merges the granted ranges of one incarnation of a backend server into rows, because the server accepts only a limited
+ * number of rows.
  *
- * <p>Neighbours of one fence are one row. Only above the bound are neighbours of different fences joined, under the newest.
- * A server refuses a row if it has seen a newer fence on one of its keys, so the fence of a key never falls: what is left
- * of a row that was joined keeps the fence of that row. This is safe, because each fence names a generation of the table in
- * which this server owned the row, and later owners get newer ones. Not thread safe.
+ * <p>Adjacent ranges with the same fencing token are always merged. Adjacent ranges with different fencing tokens are
+ * merged only if there would otherwise be more rows than the limit; the row then has the newest of their tokens.
+ *
+ * <p>Invariant: the fencing token of a key never decreases, because a server rejects a row if it has seen a newer token
+ * on one of its keys. A range that is no longer merged with its neighbour therefore keeps the token of the merged row.
+ * This is safe because each token is the generation of an assignment table in which this server owned the row, and later
+ * owners receive newer tokens. Not thread safe.
  */
 final class GrantRowMerger {
     private final int maxRows;
+
+    /** Rows returned by the latest call of {@link #merge(List, List)}. */
     private List<GrantedRange> lastSent = List.of();
 
-    /** @param maxRows rows above which neighbours of different fences are joined */
+    /** @param maxRows number of rows above which adjacent ranges with different fencing tokens are merged */
     GrantRowMerger(int maxRows) {
         this.maxRows = maxRows;
     }
 
     /**
-     * The rows for the next answer, sorted.
+     * Returns the rows for the next response, sorted by range.
      *
-     * @param held rows that the server says it holds, among them those that a former process of the daemon granted
+     * @param held rows that the server reports as held, including rows granted by an earlier process of the daemon
      */
-    List<GrantedRange> join(List<GrantedRange> granted, List<GrantedRange> held) {
-        List<GrantedRange> sorted = raised(raised(sorted(granted), lastSent), sorted(held));
-        List<GrantedRange> rows = joined(sorted, (a, b) -> a.fence().equals(b.fence()));
-        lastSent = rows.size() <= maxRows ? rows : joined(sorted, (a, b) -> true);
+    List<GrantedRange> merge(List<GrantedRange> granted, List<GrantedRange> held) {
+        List<GrantedRange> sorted = withNewestFences(withNewestFences(sorted(granted), lastSent), sorted(held));
+        List<GrantedRange> rows = mergeAdjacent(sorted, (a, b) -> a.fence().equals(b.fence()));
+        lastSent = rows.size() <= maxRows ? rows : mergeAdjacent(sorted, (a, b) -> true);
         return lastSent;
     }
 
@@ -42,13 +48,15 @@
     }
 
     /**
-     * The ranges, each with the newest of its fence and those of rows that overlap it. One pass over both, because servers
-     * hold hundreds of ranges and send a heartbeat every 100 ms while they give some up.
+     * Returns the ranges, each with the newest of its own fencing token and the tokens of the rows that overlap it. Takes
+     * one pass over both lists, because servers hold hundreds of ranges and send a heartbeat every 100 ms while they
+     * release some of them.
      *
-     * @param ranges sorted, none overlaps another, as those of {@code rows}
+     * @param ranges sorted and without overlaps
+     * @param rows sorted and without overlaps
      */
-    private static List<GrantedRange> raised(List<GrantedRange> ranges, List<GrantedRange> rows) {
-        List<GrantedRange> raised = new ArrayList<>(ranges.size());
+    private static List<GrantedRange> withNewestFences(List<GrantedRange> ranges, List<GrantedRange> rows) {
+        List<GrantedRange> result = new ArrayList<>(ranges.size());
         int first = 0;
         for (GrantedRange range : ranges) {
             while (first < rows.size()
@@ -59,18 +67,18 @@
             for (int i = first; i < rows.size() && rows.get(i).range().overlaps(range.range()); i++) {
                 fence = rows.get(i).fence().isNewerThan(fence) ? rows.get(i).fence() : fence;
             }
-            raised.add(fence.equals(range.fence()) ? range : new GrantedRange(range.range(), fence, range.handover()));
+            result.add(fence.equals(range.fence()) ? range : new GrantedRange(range.range(), fence, range.handover()));
         }
-        return raised;
+        return result;
     }
 
-    private static List<GrantedRange> joined(
-            List<GrantedRange> sorted, BiPredicate<GrantedRange, GrantedRange> mayJoin) {
+    private static List<GrantedRange> mergeAdjacent(
+            List<GrantedRange> sorted, BiPredicate<GrantedRange, GrantedRange> mayMerge) {
         List<GrantedRange> rows = new ArrayList<>();
         for (GrantedRange range : sorted) {
             int last = rows.size() - 1;
-            if (last >= 0 && areNeighbours(rows.get(last), range) && mayJoin.test(rows.get(last), range)) {
-                rows.set(last, join(rows.get(last), range));
+            if (last >= 0 && mayShareRow(rows.get(last), range) && mayMerge.test(rows.get(last), range)) {
+                rows.set(last, merge(rows.get(last), range));
             } else {
                 rows.add(range);
             }
@@ -78,12 +86,12 @@
         return rows;
     }
 
-    /** A range with a token of its last server stays a row of its own. */
-    private static boolean areNeighbours(GrantedRange a, GrantedRange b) {
+    /** A range with a handover token of its previous owner is never merged. */
+    private static boolean mayShareRow(GrantedRange a, GrantedRange b) {
         return a.handover().isEmpty() && b.handover().isEmpty() && KeyRanges.adjacent(a.range(), b.range());
     }
 
-    private static GrantedRange join(GrantedRange a, GrantedRange b) {
+    private static GrantedRange merge(GrantedRange a, GrantedRange b) {
         Generation fence = a.fence().isNewerThan(b.fence()) ? a.fence() : b.fence();
         return new GrantedRange(KeyRanges.join(a.range(), b.range()), fence);
     }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -15,18 +15,18 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Grants for a backend server that takes them with the answers to its own heartbeats.
+ * Delivers grants to a backend server in the responses to its heartbeats.
  *
- * <p>Thread safe. The validity of a grant counts from its offer, so that what the server gets in a later answer never
- * outlasts what the gate relies on. A grant is acknowledged when it was answered to a heartbeat by which the server holds
- * nothing else; a server that still has to give up ranges acknowledges it with its next heartbeat.
+ * <p>Thread safe. The validity of a grant starts when it is offered, so a grant that is delivered in a later response
+ * never outlasts the validity that the gate assumes. A grant is acknowledged once it was sent in response to a heartbeat
+ * that reports no other range as held; a server that must first release ranges acknowledges it with a later heartbeat.
  */
 public final class HeartbeatGrants {
     /**
-     * What a heartbeat is answered with. Immutable.
+     * Grant in the response to a heartbeat. Immutable.
      *
-     * @param ranges rows for the server, sorted, see {@link GrantRowMerger}
-     * @param validityMs time for which the server may hold the ranges, from the heartbeat on
+     * @param ranges granted rows, sorted by range, see {@link GrantRowMerger}
+     * @param validityMs how long the server may hold the rows, counted from the heartbeat
      */
     public record Renewal(List<GrantedRange> ranges, long validityMs) {}
 
@@ -36,7 +36,8 @@
     private final long maxHoldNanos;
     private final GrantRowMerger rowMerger;
     private final List<Handover> handovers = new ArrayList<>();
-    /** What the server held by its latest heartbeat; everything before the first one. */
+
+    /** Ranges that the latest heartbeat reported as held; all ranges before the first heartbeat. */
     private List<KeyRange> held = List.of(KeyRange.ALL);
 
     private long heldReportedNanos;
@@ -46,10 +47,10 @@
     private CompletableFuture<Long> acknowledgement = new CompletableFuture<>();
 
     /**
-     * Grants for one incarnation of a server.
+     * Creates the grants of one incarnation of a server.
      *
-     * @param maxHoldMs longest validity that a former process of the daemon may have granted
-     * @param maxRows rows that fit into an answer
+     * @param maxHoldMs longest validity that an earlier process of the daemon may have granted
+     * @param maxRows maximum number of rows in a response
      */
     public HeartbeatGrants(MonotonicClock clock, long maxHoldMs, int maxRows) {
         this.clock = clock;
@@ -58,29 +59,32 @@
         heldReportedNanos = clock.nowNanos();
     }
 
-    /** Offers a grant in place of the one before; completes with its sequence when the server has taken it. */
+    /**
+     * Replaces the grant to be delivered. Completes with the sequence of the grant when the server acknowledges it; fails
+     * if a newer grant replaces it before.
+     */
     public CompletableFuture<Long> offer(Grant grant) {
-        CompletableFuture<Long> former;
+        CompletableFuture<Long> superseded;
         CompletableFuture<Long> result = new CompletableFuture<>();
         synchronized (this) {
-            former = acknowledgement;
+            superseded = acknowledgement;
             pendingGrant = grant;
             pendingSinceNanos = clock.nowNanos();
             acknowledgement = result;
         }
-        former.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
+        superseded.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
         return result;
     }
 
     /**
-     * The answer to a heartbeat; empty if it renews nothing.
+     * Processes a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews nothing.
      *
-     * @param heartbeatSequence grows with each heartbeat; one that was overtaken renews nothing
-     * @param reported rows that the server says it holds or still works on
-     * @param freed what the server left of ranges that it has released since its last heartbeat
+     * @param heartbeatSequence increases with each heartbeat; a heartbeat that arrives after a later one renews nothing
+     * @param reported rows that the server holds or still executes requests for
+     * @param released handover tokens of the ranges that the server has released since its previous heartbeat
      */
-    public Optional<Renewal> onHeartbeat(long heartbeatSequence, List<GrantedRange> reported, List<Handover> freed) {
-        CompletableFuture<Long> completed = null;
+    public Optional<Renewal> onHeartbeat(long heartbeatSequence, List<GrantedRange> reported, List<Handover> released) {
+        CompletableFuture<Long> toComplete = null;
         Renewal renewal;
         long sequence;
         synchronized (this) {
@@ -88,7 +92,7 @@
                 return Optional.empty();
             }
             lastHeartbeatSequence = heartbeatSequence;
-            addHandovers(freed);
+            addHandovers(released);
             held = reported.stream().map(GrantedRange::range).toList();
             heldReportedNanos = clock.nowNanos();
             if (pendingGrant == null) {
@@ -100,36 +104,40 @@
             if (validityMs <= 0 && !revokes) {
                 return Optional.empty();
             }
-            renewal = new Renewal(rowMerger.join(pendingGrant.ranges(), reported), Math.max(0, validityMs));
+            renewal = new Renewal(rowMerger.merge(pendingGrant.ranges(), reported), Math.max(0, validityMs));
             sequence = pendingGrant.sequence();
             List<KeyRange> granted =
                     pendingGrant.ranges().stream().map(GrantedRange::range).toList();
-            boolean nothingElse = held.stream()
+            boolean holdsOnlyGranted = held.stream()
                     .allMatch(range -> KeyRanges.subtract(range, granted).isEmpty());
-            completed = nothingElse ? acknowledgement : null;
+            toComplete = holdsOnlyGranted ? acknowledgement : null;
         }
-        if (completed != null) {
-            completed.complete(sequence);
+        if (toComplete != null) {
+            toComplete.complete(sequence);
         }
         return Optional.of(renewal);
     }
 
-    /** Whether the server may hold part of a range, by its latest heartbeat and the longest validity. */
+    /**
+     * Whether the server may still hold part of a range: its latest heartbeat reported so, and the longest validity has
+     * not passed since. Before the first heartbeat it may hold any range.
+     */
     public synchronized boolean mayHold(KeyRange range) {
-        return clock.nowNanos() - heldReportedNanos < maxHoldNanos && held.stream().anyMatch(range::overlaps);
+        return clock.nowNanos() - heldReportedNanos < maxHoldNanos
+                && held.stream().anyMatch(range::overlaps);
     }
 
-    /** What the server left of released ranges that overlap a range; each is returned once. */
+    /** Returns and removes the handover tokens of released ranges that overlap a range. */
     public synchronized List<Handover> takeHandovers(KeyRange range) {
-        List<Handover> taken =
+        List<Handover> matching =
                 handovers.stream().filter(h -> h.range().overlaps(range)).toList();
-        handovers.removeAll(taken);
-        return taken;
+        handovers.removeAll(matching);
+        return matching;
     }
 
-    /** A range that was released again has a newer token. */
-    private void addHandovers(List<Handover> freed) {
-        for (Handover newest : freed) {
+    /** Adds tokens; the token of a range replaces earlier tokens of ranges within it. */
+    private void addHandovers(List<Handover> released) {
+        for (Handover newest : released) {
             handovers.removeIf(h -> newest.range().contains(h.range()));
             handovers.add(newest);
         }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostOptions.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostOptions.java
@@ -13,11 +13,11 @@
 import org.coriandercrank.placement.RangeOwnershipOptions;
 
 /**
- * What a {@link DaemonHost} is and how its parts behave. Immutable.
+ * Identity of a {@link DaemonHost} and options of its components. Immutable.
  *
- * @param peerListen address for links from other daemons
- * @param protocol how callers write requests; empty for the product's own protocol
- * @param joinsOnStart whether the daemon joins when it starts, or waits for {@link DaemonHost#join}
+ * @param peerListen address on which connections from other daemons are accepted
+ * @param protocol protocol of the callers; empty for the product's own protocol
+ * @param joinsOnStart whether the daemon joins when it starts; otherwise it joins on {@link DaemonHost#join}
  */
 public record HostOptions(
         HostIdentity identity,
@@ -34,7 +34,7 @@
         Objects.requireNonNull(identity, "identity");
     }
 
-    /** Default options of the product's own programs. */
+    /** Default options of {@code crankd}. */
     public static HostOptions defaults(HostIdentity identity, HostAddress peerListen, ControlOptions control) {
         return new HostOptions(
                 identity,
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
@@ -2,18 +2,18 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.channel.EventLoopGroup;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * What a {@link DaemonHost} uses of its process, which closes it. Immutable.
+ * Services of the process that a {@link DaemonHost} uses and does not close. Immutable.
  *
- * @param leaseClock clock of the own lease, see {@link org.coriandercrank.control.ControlDependencies}
- * @param executors makes the duties of the parts
+ * @param leaseClock clock that measures the own lease, see {@link org.coriandercrank.control.ControlDependencies}
+ * @param executors creates the executors of the components
  */
 public record HostServices(
         EventLoopGroup group,
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -6,54 +6,67 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides from the heartbeats of the backend server on this host which member the daemon is.
+ * State machine that decides, from the heartbeats of the backend server on this host, under which member id the daemon
+ * takes part.
  *
- * <p>A pure state machine with time as argument; not thread safe. Invariants: a member belongs to one incarnation of the
- * server; a server that was silent for longer than its grants can last, or that returns after it announced its leaving,
- * gets another member; a heartbeat of an earlier incarnation than the present one, or one that was overtaken by a later
- * one, changes nothing.
+ * <p>Methods take the current time as an argument and return the actions to perform. Not thread safe. Invariants:
+ *
+ * <ul>
+ *   <li>A member belongs to one incarnation of the server.
+ *   <li>A server gets a new member if it was silent for longer than its grants can be valid, or if it stays after it
+ *       announced that it was leaving.
+ *   <li>A heartbeat of an earlier incarnation, or one that arrives after a later one of the same incarnation, has no
+ *       effect.
+ * </ul>
  */
 public final class MemberLifecycle {
-    /** What the daemon has to do, in order. */
+    /** An action that the daemon must perform; actions are performed in the order in which they are returned. */
     public sealed interface Action {
         /**
-         * Use the server and join as a member of its own.
+         * Attach the server and join as a new member.
          *
-         * @param joinAfterMs time in which the server may still hold what it got under the member before
+         * @param life number of members that this incarnation has had without another incarnation in between, from 1 on;
+         *     part of the member id
+         * @param joinAfterMs delay before the join, in which the server may still hold ranges of its previous member
          */
         record Attach(ServerIncarnation server, int life, long joinAfterMs) implements Action {}
 
         /**
-         * Drop the server and end the member.
+         * Detach the server and end the member.
          *
-         * @param replaced whether another member of this host follows at once
+         * @param replaced whether another member of this host follows immediately
          */
         record Detach(String reason, boolean replaced) implements Action {}
 
-        /** Ask the planner to move all ranges away; the server still works. */
+        /** Request that the planner move all ranges to other members; the server still receives requests. */
         record Leave(ServerIncarnation server) implements Action {}
 
-        /** Send the server no further request. */
+        /** Stop sending requests to the server. */
         record Drain(ServerIncarnation server) implements Action {}
 
-        /** Join without a server, so that requests of this host are routed. */
+        /** Join without a server, so that requests from callers on this host are routed. */
         record JoinAlone() implements Action {}
     }
 
     /**
-     * Times. Immutable.
+     * Durations. Immutable.
      *
-     * @param silenceTimeoutMs time without a heartbeat after which no grant can be valid any more
+     * @param silenceTimeoutMs time without a heartbeat after which no grant of the server is valid
      * @param joinAloneDelayMs time without a server after which the daemon joins without one
-     * @param drainDelayMs time after the announcement of its leaving in which the server still gets requests
+     * @param drainDelayMs time for which a server still receives requests after it announced that it is leaving
      */
     public record Timeouts(long silenceTimeoutMs, long joinAloneDelayMs, long drainDelayMs) {}
 
     private final Timeouts timeouts;
     private Optional<ServerIncarnation> current = Optional.empty();
     private Optional<ServerIncarnation> previous = Optional.empty();
+
+    /** Sequence of the latest heartbeat of the current server. */
     private long lastSequence;
+
+    /** Number of successive members of the current server. */
     private int attachCount;
+
     private boolean leaving;
     private boolean drained;
     private boolean joinedAlone;
@@ -61,29 +74,31 @@
     private long leavingSinceNanos;
     private long withoutServerSinceNanos;
 
-    public MemberLifecycle(Timeouts times, long nowNanos) {
-        this.timeouts = times;
+    public MemberLifecycle(Timeouts timeouts, long nowNanos) {
+        this.timeouts = timeouts;
         this.withoutServerSinceNanos = nowNanos;
     }
 
-    /** The server that the daemon uses. */
+    /** Returns the server that is attached. */
     public Optional<ServerIncarnation> current() {
         return current;
     }
 
     /**
-     * A heartbeat.
+     * Processes a heartbeat.
      *
-     * @param sequence grows with each heartbeat of an incarnation; one that does not was held up and says nothing new
+     * @param sequence increases with each heartbeat of an incarnation; a heartbeat with a lower sequence was delayed and
+     *     is ignored
+     * @param serverLeaving whether the heartbeat announces that the server will end
      */
-    public List<Action> onHeartbeat(ServerIncarnation server, long sequence, boolean serverLeaves, long nowNanos) {
+    public List<Action> onHeartbeat(ServerIncarnation server, long sequence, boolean serverLeaving, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         boolean sameServer = current.equals(Optional.of(server));
         if (isOutdated(server) || (sameServer && sequence <= lastSequence)) {
             return actions;
         }
         lastSequence = sequence;
-        boolean returned = leaving && !serverLeaves && sameServer;
+        boolean returned = leaving && !serverLeaving && sameServer;
         if (returned || (current.isPresent() && !sameServer)) {
             detach(returned ? "server-returned" : "server-replaced", true, nowNanos, actions);
         }
@@ -91,13 +106,13 @@
         if (current.isEmpty()) {
             attach(server, returned ? timeouts.silenceTimeoutMs() : 0, actions);
         }
-        if (serverLeaves) {
+        if (serverLeaving) {
             leave(nowNanos, actions);
         }
         return actions;
     }
 
-    /** The server with an id said that it will end. */
+    /** Processes the announcement of the server with an id that it will end. */
     public List<Action> onDeregister(String id, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         if (current.isPresent() && current.get().id().equals(id)) {
@@ -106,7 +121,7 @@
         return actions;
     }
 
-    /** Others sealed the member; a living server goes on under another one. */
+    /** Processes that another daemon sealed the member. A server that is not leaving continues under a new member. */
     public List<Action> onMemberSealed(long nowNanos) {
         List<Action> actions = new ArrayList<>();
         Optional<ServerIncarnation> server = current;
@@ -123,7 +138,7 @@
         return actions;
     }
 
-    /** What is due by time. */
+    /** Returns the actions that are due because of elapsed time. */
     public List<Action> onTick(long nowNanos) {
         List<Action> actions = new ArrayList<>();
         if (current.isPresent() && hasElapsed(lastHeartbeatNanos, timeouts.silenceTimeoutMs(), nowNanos)) {
@@ -133,7 +148,9 @@
             drained = true;
             actions.add(new Action.Drain(current.orElseThrow()));
         }
-        if (current.isEmpty() && !joinedAlone && hasElapsed(withoutServerSinceNanos, timeouts.joinAloneDelayMs(), nowNanos)) {
+        if (current.isEmpty()
+                && !joinedAlone
+                && hasElapsed(withoutServerSinceNanos, timeouts.joinAloneDelayMs(), nowNanos)) {
             joinedAlone = true;
             actions.add(new Action.JoinAlone());
         }
@@ -172,7 +189,7 @@
         actions.add(new Action.Detach(reason, replaced));
     }
 
-    private static boolean hasElapsed(long sinceNanos, long ms, long nowNanos) {
-        return nowNanos - sinceNanos >= TimeUnit.MILLISECONDS.toNanos(ms);
+    private static boolean hasElapsed(long sinceNanos, long durationMs, long nowNanos) {
+        return nowNanos - sinceNanos >= TimeUnit.MILLISECONDS.toNanos(durationMs);
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/ServerIncarnation.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/ServerIncarnation.java
@@ -1,9 +1,9 @@
 package org.coriandercrank.daemon;
 
 /**
- * One life of a backend server: a server that starts again, also under its former id, is another one. Immutable.
+ * One process of a backend server. A server that restarts is another incarnation, even under the same id. Immutable.
  *
- * @param bornMs time of the start, in milliseconds since the epoch
+ * @param bornMs start time of the process, in milliseconds since the epoch
  */
 public record ServerIncarnation(String id, long bornMs) {
     public ServerIncarnation {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
@@ -3,8 +3,8 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.status.DaemonStatus;
@@ -18,13 +18,13 @@
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    /** What the endpoints show and change. Thread safe. */
+    /** Operations of the daemon that the endpoints call. Thread safe. */
     interface Operations {
         DaemonStatus status();
 
         Readiness readiness();
 
-        /** Takes the announcement of a backend server; fails if it cannot be used. */
+        /** Accepts the announcement of a backend server; throws if the server cannot be used. */
         void announce(BackendInfo info);
     }
 
@@ -37,18 +37,18 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
-        return CompletableFuture.completedFuture(answer(call));
+    public CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> closed) {
+        return CompletableFuture.completedFuture(respond(request));
     }
 
-    private HttpResponse answer(HttpRequest call) {
-        return switch (call.method() + " " + call.path()) {
+    private HttpResponse respond(HttpRequest request) {
+        return switch (request.method() + " " + request.path()) {
             case "GET /v1/status" ->
                 HttpResponse.json(OK, JsonCodec.encode(operations.get().status()));
             case "GET /live" -> HttpResponse.text(OK, "live\n");
             case "GET /ready" -> ready(operations.get().readiness());
             case "GET /metrics" -> HttpResponse.text(OK, metrics.scrape());
-            case "POST /v1/backend" -> announce(call);
+            case "POST /v1/backend" -> announce(request);
             default -> HttpResponse.text(NOT_FOUND, "no such endpoint\n");
         };
     }
@@ -58,9 +58,9 @@
         return HttpResponse.text(status, readiness + "\n");
     }
 
-    private HttpResponse announce(HttpRequest call) {
+    private HttpResponse announce(HttpRequest request) {
         try {
-            operations.get().announce(JsonCodec.decode(call.body(), BackendInfo.class));
+            operations.get().announce(JsonCodec.decode(request.body(), BackendInfo.class));
             return HttpResponse.text(OK, "accepted\n");
         } catch (CrankException e) {
             return HttpResponse.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/BackendFailureDetector.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/BackendFailureDetector.java
@@ -6,16 +6,19 @@
 import org.coriandercrank.kernel.backend.ProbeResult;
 
 /**
- * Decides from the signs of life of a backend server whether it is gone, so that its ranges go elsewhere.
+ * Detects from probe results that a backend server has failed, so that its ranges are moved to other servers.
  *
- * <p>A pure state machine with time as argument; not thread safe. Silence counts from the first call without an answer,
- * so a suspension of the daemon is not taken for silence of the server.
+ * <p>A state machine whose methods take the current time as an argument; not thread safe. Silence is measured from the
+ * first probe without an answer, so a suspension of the daemon does not count as silence of the server.
  */
 final class BackendFailureDetector {
-    /** A server whose port is closed for so long does not just restart. */
+    /** A server whose port refuses connections for this long has failed; a restart takes less. */
     private static final long REFUSED_TIMEOUT_MS = 1_000;
 
-    /** Two more calls without an answer; a grant lapses in less, and the ranges must be served again within 5 s. */
+    /**
+     * Long enough for two more probes without an answer, and longer than a grant is valid. The ranges must be served
+     * again within 5 s.
+     */
     private static final long SILENCE_TIMEOUT_MS = 1_200;
 
     private final boolean honoursValidity;
@@ -23,24 +26,24 @@
     private OptionalLong silentSinceNanos = OptionalLong.empty();
 
     /**
-     * A server that was just announced.
+     * Creates the detector for a server that was just announced.
      *
-     * @param honoursValidity whether it stops serving when its grant lapses; otherwise its silence proves nothing, because
-     *     it may go on with its ranges
+     * @param honoursValidity whether the server stops serving when its grant expires; otherwise silence is not a failure,
+     *     because the server may still serve its ranges
      */
     BackendFailureDetector(boolean honoursValidity) {
         this.honoursValidity = honoursValidity;
     }
 
-    /** The server announced itself. */
+    /** Records that the server announced itself, which ends any silence and refusal. */
     void onAnnounced() {
         refusedSinceNanos = OptionalLong.empty();
         silentSinceNanos = OptionalLong.empty();
     }
 
-    /** Takes the result of a call; returns why the server is gone, if it is. */
-    Optional<String> onProbeResult(ProbeResult presence, long nowNanos) {
-        switch (presence) {
+    /** Records the result of a probe; returns the reason if the server has failed. */
+    Optional<String> onProbeResult(ProbeResult result, long nowNanos) {
+        switch (result) {
             case ANSWERED -> onAnnounced();
             case REFUSED -> refusedSinceNanos = OptionalLong.of(refusedSinceNanos.orElse(nowNanos));
             case SILENT -> silentSinceNanos = OptionalLong.of(silentSinceNanos.orElse(nowNanos));
@@ -53,7 +56,7 @@
                 : Optional.empty();
     }
 
-    private static boolean hasElapsed(OptionalLong sinceNanos, long ms, long nowNanos) {
-        return sinceNanos.isPresent() && nowNanos - sinceNanos.getAsLong() >= TimeUnit.MILLISECONDS.toNanos(ms);
+    private static boolean hasElapsed(OptionalLong sinceNanos, long timeoutMs, long nowNanos) {
+        return sinceNanos.isPresent() && nowNanos - sinceNanos.getAsLong() >= TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -22,10 +22,10 @@
 import org.coriandercrank.kernel.backend.BackendServer;
 import org.coriandercrank.kernel.backend.ProbeResult;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
-import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.table.BackendInfo;
@@ -34,15 +34,15 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * A daemon process with the product's own adapters and admin endpoint.
+ * The process of the program {@code crankd}: a {@link DaemonHost} with the product's own adapters and admin endpoint.
  *
- * <p>Thread safe; a sealed member is replaced on the duty thread {@code lifecycle}.
+ * <p>Thread safe; a sealed member is replaced on the executor {@code lifecycle}.
  */
 public final class Daemon implements AdminEndpoint.Operations, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int TASK_QUEUE_CAPACITY = 64;
 
-    /** Period in which the backend server is asked for a sign of life. */
+    /** Interval between probes of the backend server. */
     private static final long PROBE_INTERVAL_MS = 250;
 
     private static final int PLACEMENT_LOG_LINES_PER_SECOND = 1_000;
@@ -58,15 +58,15 @@
     private final DaemonHost host;
     private volatile boolean leaving;
 
-    /** The attached backend server; touched on the lifecycle duty, as are the fields below. */
+    /** The attached backend server; accessed only on the lifecycle executor, as are the fields below. */
     private Optional<MonitoredServer> monitored = Optional.empty();
 
     private boolean probePending;
 
-    /** Whether the member has ended and its replacement has not joined. */
+    /** Whether the member has ended and its replacement has not joined yet. */
     private boolean replacementPending;
 
-    /** A backend server and its signs of life. Immutable. */
+    /** A backend server and its failure detector. */
     private record MonitoredServer(BackendInfo info, BackendServer server, BackendFailureDetector failureDetector) {}
 
     /** Starts a daemon; blocks until its ports are bound. */
@@ -107,7 +107,8 @@
         return HostOptions.defaults(
                 identity,
                 settings.peerListen(),
-                ControlOptions.DEFAULT.withLeaseTiming(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
+                ControlOptions.DEFAULT.withLeaseTiming(
+                        settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
     }
 
     @Override
@@ -124,11 +125,12 @@
     }
 
     /**
-     * Uses a backend server that announced itself; an unchanged announcement has no effect.
+     * Attaches a backend server that announced itself. A repeated, unchanged announcement only resets the failure
+     * detector.
      *
-     * <p>The member is announced as owner of the server only after the server answered, or failed to answer, one health
-     * call. This call opens connections and loads classes; without it the first grant could exceed its time-out of
-     * 300 ms while ranges were already moving here. The health itself is not used, because it may mislead.
+     * <p>The server is announced to other daemons only after one health call has completed or failed. This call opens
+     * connections and loads classes; without it the first grant could exceed its timeout of 300 ms while ranges are
+     * already being moved to this daemon. The reported health itself is ignored, because it may be wrong.
      */
     @Override
     public void announce(BackendInfo info) {
@@ -140,7 +142,8 @@
                 plugins.get(Kind.BACKEND, settings.backendAdapter()).connect(info);
         host.attach(info, server);
         boolean honoursValidity = info.capabilities().contains(Capability.VALIDITY);
-        lifecycle.execute(() -> monitored = Optional.of(new MonitoredServer(info, server, new BackendFailureDetector(honoursValidity))));
+        lifecycle.execute(() -> monitored =
+                Optional.of(new MonitoredServer(info, server, new BackendFailureDetector(honoursValidity))));
         server.health().whenComplete((health, failure) -> {
             if (host.backend().equals(Optional.of(info))) {
                 host.announce();
@@ -149,7 +152,7 @@
         });
     }
 
-    /** A planned stop, bounded by the drain time-out of the settings; blocks. */
+    /** Shuts down gracefully, within the drain timeout of the settings; blocks. */
     public void leave() {
         leaving = true;
         logger.atInfo().log("event=leaving member=%s", host.self());
@@ -165,7 +168,10 @@
         }
     }
 
-    /** Ranges move away and requests in flight finish, then the record is sealed; the caller bounds the time. */
+    /**
+     * Waits until all ranges have moved to other members and all requests are answered, then seals the member record. The
+     * caller limits the total time.
+     */
     private CompletableFuture<Void> shutDownGracefully() {
         host.stopAccepting();
         return host.leave()
@@ -178,28 +184,28 @@
         if (probePending || monitored.isEmpty()) {
             return;
         }
-        MonitoredServer asked = monitored.orElseThrow();
+        MonitoredServer probed = monitored.orElseThrow();
         probePending = true;
-        asked.server()
+        probed.server()
                 .probe()
-                .whenComplete((presence, failure) -> lifecycle.execute(() -> {
+                .whenComplete((result, failure) -> lifecycle.execute(() -> {
                     probePending = false;
-                    onProbeResult(asked, failure == null ? presence : ProbeResult.SILENT);
+                    onProbeResult(probed, failure == null ? result : ProbeResult.SILENT);
                 }));
     }
 
-    private void onProbeResult(MonitoredServer asked, ProbeResult presence) {
-        if (leaving || !monitored.equals(Optional.of(asked))) {
+    private void onProbeResult(MonitoredServer probed, ProbeResult result) {
+        if (leaving || !monitored.equals(Optional.of(probed))) {
             return;
         }
-        asked.failureDetector()
-                .onProbeResult(presence, timers.clock().nowNanos())
-                .ifPresent(reason -> detachServer(asked.info(), reason));
+        probed.failureDetector()
+                .onProbeResult(result, timers.clock().nowNanos())
+                .ifPresent(reason -> detachServer(probed.info(), reason));
     }
 
     /**
-     * Ends the member of a lost server, so that others take its ranges. The next member owns nothing until a server
-     * announces itself again.
+     * Detaches a failed server and ends its member, so that other members take its ranges over. The next member owns no
+     * ranges until a server announces itself again.
      */
     private void detachServer(BackendInfo info, String reason) {
         logger.atWarning().log("event=backend-lost backend=%s member=%s reason=%s", info.name(), host.self(), reason);
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/DaemonSettings.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/DaemonSettings.java
@@ -5,8 +5,8 @@
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Region;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 
 /** Settings of {@code crankd}. Not thread safe; read-only after loading. */
@@ -23,19 +23,22 @@
     @Option(name = "--failure-domain", metaVar = "NAME", usage = "failure domain of this host")
     private String failureDomain;
 
-    @Option(name = "--peer-listen", metaVar = "IP:PORT", usage = "address for links from other daemons")
+    @Option(name = "--peer-listen", metaVar = "IP:PORT", usage = "address for connections from other daemons")
     private String peerListen;
 
     @Option(
             name = "--peer-advertise",
             metaVar = "IP:PORT",
-            usage = "address that other daemons use; default: the address listened on")
+            usage = "address that other daemons connect to; default: the listen address")
     private String peerAdvertise = "";
 
     @Option(name = "--caller-listen", metaVar = "IP:PORT", usage = "address for callers")
     private String callerListen;
 
-    @Option(name = "--admin-listen", metaVar = "IP:PORT", usage = "address for operators, metrics, backend server")
+    @Option(
+            name = "--admin-listen",
+            metaVar = "IP:PORT",
+            usage = "address for operators, metrics and the backend server")
     private String adminListen;
 
     @Option(name = "--store", metaVar = "IP:PORT", usage = "address of the object store")
@@ -44,22 +47,25 @@
     @Option(name = "--store-adapter", metaVar = "NAME", usage = "name of the store adapter")
     private String storeAdapter = "http";
 
-    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "time-out of a call of the store")
+    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "timeout of a call to the store")
     private long storeTimeoutMs = 1_000;
 
     @Option(name = "--backend-adapter", metaVar = "NAME", usage = "name of the backend server adapter")
     private String backendAdapter = "http";
 
-    @Option(name = "--ttl-ms", metaVar = "MS", usage = "time for which a vote on the lease counts")
+    @Option(name = "--ttl-ms", metaVar = "MS", usage = "how long a vote on the lease is valid")
     private long ttlMs = 2_000;
 
-    @Option(name = "--heartbeat-ms", metaVar = "MS", usage = "period of heartbeats to witnesses")
+    @Option(name = "--heartbeat-ms", metaVar = "MS", usage = "interval between heartbeats to witnesses")
     private long heartbeatMs = 500;
 
-    @Option(name = "--margin-percent", metaVar = "PERCENT", usage = "waiting time of takers relative to the TTL")
+    @Option(
+            name = "--margin-percent",
+            metaVar = "PERCENT",
+            usage = "time after which others treat a vote as expired, in percent of the TTL")
     private int marginPercent = 105;
 
-    @Option(name = "--drain-timeout-ms", metaVar = "MS", usage = "longest time of a planned stop")
+    @Option(name = "--drain-timeout-ms", metaVar = "MS", usage = "maximum duration of a graceful shutdown")
     private long drainTimeoutMs = 30_000;
 
     @Option(name = "--io-threads", metaVar = "N", usage = "threads for network input and output")
@@ -71,7 +77,7 @@
     @Option(
             name = "--routing-log-lines-per-second",
             metaVar = "N",
-            usage = "most lines per second for routing decisions; 0 writes none")
+            usage = "maximum number of log lines per second for routing decisions; 0 writes none")
     private int routingLogLinesPerSecond = 200;
 
     private Region parsedRegion;
@@ -84,28 +90,28 @@
     private Level parsedLogLevel;
 
     @Override
-    public void validate(ValidationErrors faults) {
-        faults.parse("--host-name", hostName, MemberId::new);
+    public void validate(ValidationErrors errors) {
+        errors.parse("--host-name", hostName, MemberId::new);
         if (hostName != null && hostName.length() > MAX_HOST_NAME_LENGTH) {
-            faults.add("--host-name", "must have at most " + MAX_HOST_NAME_LENGTH + " characters");
+            errors.add("--host-name", "must have at most " + MAX_HOST_NAME_LENGTH + " characters");
         }
-        parsedRegion = faults.parse("--region", region, Region::new);
-        parsedFailureDomain = faults.parse("--failure-domain", failureDomain, FailureDomain::new);
-        parsedPeerListen = faults.parse("--peer-listen", peerListen, HostAddress::parse);
+        parsedRegion = errors.parse("--region", region, Region::new);
+        parsedFailureDomain = errors.parse("--failure-domain", failureDomain, FailureDomain::new);
+        parsedPeerListen = errors.parse("--peer-listen", peerListen, HostAddress::parse);
         parsedPeerAdvertise = peerAdvertise.isEmpty()
                 ? parsedPeerListen
-                : faults.parse("--peer-advertise", peerAdvertise, HostAddress::parse);
-        parsedCallerListen = faults.parse("--caller-listen", callerListen, HostAddress::parse);
-        parsedAdminListen = faults.parse("--admin-listen", adminListen, HostAddress::parse);
-        parsedStore = faults.parse("--store", store, HostAddress::parse);
-        parsedLogLevel = faults.parse("--log-level", logLevel, Level::parse);
-        faults.requireRange("--store-timeout-ms", storeTimeoutMs, 10, 60_000);
-        faults.requireRange("--ttl-ms", ttlMs, 200, 60_000);
-        faults.requireRange("--heartbeat-ms", heartbeatMs, 10, ttlMs / 2);
-        faults.requireRange("--margin-percent", marginPercent, 101, 200);
-        faults.requireRange("--drain-timeout-ms", drainTimeoutMs, 0, 600_000);
-        faults.requireRange("--io-threads", ioThreads, 1, 64);
-        faults.requireRange("--routing-log-lines-per-second", routingLogLinesPerSecond, 0, MAX_LOG_LINES_PER_SECOND);
+                : errors.parse("--peer-advertise", peerAdvertise, HostAddress::parse);
+        parsedCallerListen = errors.parse("--caller-listen", callerListen, HostAddress::parse);
+        parsedAdminListen = errors.parse("--admin-listen", adminListen, HostAddress::parse);
+        parsedStore = errors.parse("--store", store, HostAddress::parse);
+        parsedLogLevel = errors.parse("--log-level", logLevel, Level::parse);
+        errors.requireRange("--store-timeout-ms", storeTimeoutMs, 10, 60_000);
+        errors.requireRange("--ttl-ms", ttlMs, 200, 60_000);
+        errors.requireRange("--heartbeat-ms", heartbeatMs, 10, ttlMs / 2);
+        errors.requireRange("--margin-percent", marginPercent, 101, 200);
+        errors.requireRange("--drain-timeout-ms", drainTimeoutMs, 0, 600_000);
+        errors.requireRange("--io-threads", ioThreads, 1, 64);
+        errors.requireRange("--routing-log-lines-per-second", routingLogLinesPerSecond, 0, MAX_LOG_LINES_PER_SECOND);
     }
 
     public String hostName() {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -16,8 +16,8 @@
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateLoad;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.ownership.OwnerGate;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
@@ -25,8 +25,8 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The gate of this host, which exists from the first announcement of a backend server on. Thread safe. Before that,
- * requests are refused and outcome queries get {@code UNKNOWN}.
+ * The gate of this host. It is created when the first backend server is attached; until then, requests are rejected and
+ * outcome queries return {@code UNKNOWN}. Thread safe, except that calls of {@link #attach} must not overlap.
  */
 public final class LocalGate implements OwnerGate, AutoCloseable {
     private static final GateStatus NO_GATE = new GateStatus(false, false, 0, 0, List.of());
@@ -42,7 +42,7 @@
     public CompletableFuture<CallerAnswer> submit(CallerRequest request) {
         return find().map(g -> g.submit(request))
                 .orElseGet(() -> CompletableFuture.completedFuture(
-                        CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server beside this daemon")));
+                        CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server is attached to this daemon")));
     }
 
     @Override
@@ -56,7 +56,7 @@
                 .orElseGet(() -> CompletableFuture.completedFuture(OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN)));
     }
 
-    /** Creates the gate on the first call; later calls must be for the same service. */
+    /** Creates the gate on the first call; later calls must name the same service. */
     @Override
     public void attach(BackendInfo info, BackendServer server) {
         Gate current = gate.get();
@@ -78,8 +78,8 @@
     }
 
     @Override
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
-        return find().map(g -> g.acquire(range, fence, inherited)).orElseGet(LocalGate::noBackend);
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords records) {
+        return find().map(g -> g.acquire(range, fence, records)).orElseGet(LocalGate::noBackend);
     }
 
     @Override
@@ -124,6 +124,6 @@
 
     private static <T> CompletableFuture<T> noBackend() {
         return CompletableFuture.failedFuture(
-                new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server beside this daemon"));
+                new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server is attached to this daemon"));
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
@@ -10,8 +10,8 @@
 import org.coriandercrank.placement.RangeOwnershipOptions;
 
 /**
- * The parts of a daemon that belong to one member id, so that nothing of a sealed member can act under the next id.
- * Thread safe.
+ * The components of a daemon that belong to one member id, so that no component of a sealed member can act under the
+ * next id. Thread safe.
  */
 public final class MemberComponents implements AutoCloseable {
     private final RangeOwnership ownership;
@@ -33,7 +33,7 @@
         planner.start();
     }
 
-    /** Gives up every range for good. */
+    /** Gives up every range permanently. */
     public void seal() {
         ownership.seal();
     }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Readiness.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Readiness.java
@@ -3,8 +3,8 @@
 /** Whether callers should send requests to a daemon. */
 enum Readiness {
     READY,
-    /** No configuration has been read yet, or the daemon joins again after it was sealed. */
+    /** The daemon has not read a configuration yet, or it rejoins after its member was sealed. */
     STARTING,
-    /** A planned stop is in progress. */
+    /** A graceful shutdown is in progress. */
     DRAINING
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/package-info.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Assembly of the parts of a daemon. */
+/** Internals of the daemon: assembly of its components, settings, and failure detection of the backend server. */
 package org.coriandercrank.daemon.internal;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/package-info.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon program {@code crankd}. */
+/** The program {@code crankd} and the components that other daemon programs share with it. */
 package org.coriandercrank.daemon;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
@@ -74,9 +74,9 @@
     }
 
     private void rejectConflictingEntries(ReleaseNote note) {
-        Map<String, Entry> first = new HashMap<>();
+        Map<String, Entry> firstByName = new HashMap<>();
         for (Entry entry : note.entries()) {
-            Entry other = first.putIfAbsent(entry.subject() + "/" + entry.name(), entry);
+            Entry other = firstByName.putIfAbsent(entry.subject() + "/" + entry.name(), entry);
             if (other != null) {
                 errors.add(new NoteError(
                         entry.path(), Kind.CONFLICTING_ENTRIES, entry.name() + " is also named by " + other.path()));
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
@@ -22,7 +22,7 @@
 
 /** Reads the JSON form of release notes and collects all faults of form. Not thread safe; use one per note. */
 public final class NoteParser {
-    private static final Set<String> TOP_FIELDS = Set.of("id", "basedOn", "add", "change", "withdraw");
+    private static final Set<String> NOTE_FIELDS = Set.of("id", "basedOn", "add", "change", "withdraw");
 
     /** A repeated field or a second value would otherwise be dropped without a fault. */
     private static final ObjectReader READER = JsonCodec.mapper()
@@ -38,7 +38,7 @@
         if (root.isEmpty()) {
             return Optional.empty();
         }
-        rejectUnknownFields("", root.get(), TOP_FIELDS);
+        rejectUnknownFields("", root.get(), NOTE_FIELDS);
         NoteId id = parseId(root.get().get("id"));
         Revision basedOn = parseRevision(root.get().get("basedOn"));
         List<Entry> entries = new ArrayList<>();
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -68,7 +68,7 @@
             return submitParsed(parsed.get(), text);
         } catch (CrankException e) {
             ResultCode code = writeMayTakeEffect ? ResultCode.WRITE_UNANSWERED : e.code();
-            return SubmitResult.refused(code, Revision.NONE, List.of());
+            return SubmitResult.rejected(code, Revision.NONE, List.of());
         }
     }
 
@@ -76,28 +76,28 @@
         AcceptanceHistory history = readHistory();
         Optional<Acceptance> accepted = history.find(note.id());
         if (accepted.isPresent()) {
-            return acceptedBefore(note, text, accepted.get());
+            return resultOfEarlierAcceptance(note, text, accepted.get());
         }
         if (!history.revision().equals(note.basedOn())) {
-            return superseded(note, text, history);
+            return resultAfterRevisionChange(note, text, history);
         }
-        NoteApplier application = new NoteApplier(history.configuration(), retry(environment));
-        Optional<Configuration> next = application.apply(note);
-        if (next.isEmpty()) {
-            return SubmitResult.invalid(ResultCode.NOTE_INVALID, application.errors());
+        NoteApplier applier = new NoteApplier(history.configuration(), readWithRetries(environment));
+        Optional<Configuration> newConfiguration = applier.apply(note);
+        if (newConfiguration.isEmpty()) {
+            return SubmitResult.invalid(ResultCode.NOTE_INVALID, applier.errors());
         }
         Claim claim = claimId(note, text, history);
         if (claim == Claim.DENIED) {
-            return SubmitResult.refused(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
+            return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
         writeMayTakeEffect = claim == Claim.RESUMED;
-        return writeConfiguration(note, text, JsonCodec.encode(next.get()));
+        return writeConfiguration(note, text, JsonCodec.encode(newConfiguration.get()));
     }
 
     /** Writes until the outcome is certain. */
     private SubmitResult writeConfiguration(ReleaseNote note, String text, byte[] configuration) {
         while (true) {
-            boolean mayTakeEffectBefore = writeMayTakeEffect;
+            boolean earlierWriteMayTakeEffect = writeMayTakeEffect;
             writeMayTakeEffect = true;
             try {
                 Revision accepted = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
@@ -106,8 +106,8 @@
                 return SubmitResult.accepted(accepted);
             } catch (RuntimeException e) {
                 CrankException failure = CrankException.of(e);
-                requireRetryable(failure, ResultCode.REVISION_CONFLICT);
-                writeMayTakeEffect = mayTakeEffectBefore || failure.code() == ResultCode.WRITE_UNANSWERED;
+                rethrowUnlessRetryable(failure, ResultCode.REVISION_CONFLICT);
+                writeMayTakeEffect = earlierWriteMayTakeEffect || failure.code() == ResultCode.WRITE_UNANSWERED;
             }
             AcceptanceHistory history = readHistory();
             Optional<Acceptance> accepted = history.find(note.id());
@@ -117,18 +117,18 @@
                 return SubmitResult.accepted(accepted.get().revision());
             }
             if (!history.revision().equals(note.basedOn())) {
-                return superseded(note, text, history);
+                return resultAfterRevisionChange(note, text, history);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
-    private SubmitResult acceptedBefore(ReleaseNote note, String text, Acceptance accepted) {
+    private SubmitResult resultOfEarlierAcceptance(ReleaseNote note, String text, Acceptance accepted) {
         boolean sameText = readRecord(note.id())
                 .map(object -> decodeRecord(object).text().equals(text))
                 .orElse(false);
         if (!sameText || !accepted.note().basedOn().equals(note.basedOn())) {
-            return SubmitResult.refused(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
+            return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
         recordState(note.id(), text, State.ACCEPTED, accepted.revision());
         return SubmitResult.accepted(accepted.revision());
@@ -138,21 +138,21 @@
      * Result of a note that is based on another revision than the present one and is not listed as accepted. Its record
      * decides if the list does not reach back far enough.
      */
-    private SubmitResult superseded(ReleaseNote note, String text, AcceptanceHistory history) {
-        Optional<NoteRecord> own = readRecord(note.id())
+    private SubmitResult resultAfterRevisionChange(ReleaseNote note, String text, AcceptanceHistory history) {
+        Optional<NoteRecord> ownRecord = readRecord(note.id())
                 .map(NoteSubmitter::decodeRecord)
-                .filter(known -> known.text().equals(text));
-        if (own.isPresent() && own.get().fate() == State.ACCEPTED) {
-            return SubmitResult.accepted(own.get().accepted());
+                .filter(existingRecord -> existingRecord.text().equals(text));
+        if (ownRecord.isPresent() && ownRecord.get().fate() == State.ACCEPTED) {
+            return SubmitResult.accepted(ownRecord.get().accepted());
         }
-        boolean certain = history.isCompleteSince(note.basedOn());
-        if (own.isPresent() && own.get().fate() == State.SUBMITTED && !certain) {
-            return SubmitResult.refused(ResultCode.WRITE_UNANSWERED, history.revision(), List.of());
+        boolean historyComplete = history.isCompleteSince(note.basedOn());
+        if (ownRecord.isPresent() && ownRecord.get().fate() == State.SUBMITTED && !historyComplete) {
+            return SubmitResult.rejected(ResultCode.WRITE_UNANSWERED, history.revision(), List.of());
         }
         if (history.revision().isNewerThan(note.basedOn())) {
             recordState(note.id(), text, State.REFUSED, Revision.NONE);
         }
-        return SubmitResult.refused(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
+        return SubmitResult.rejected(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
     }
 
     /** Records the note under its id; denied if the id belongs to another note that may be accepted. */
@@ -161,11 +161,11 @@
         while (true) {
             Optional<StoredObject> existing = readRecord(note.id());
             if (existing.isPresent()) {
-                NoteRecord known = decodeRecord(existing.get());
-                if (known.text().equals(text)) {
+                NoteRecord existingRecord = decodeRecord(existing.get());
+                if (existingRecord.text().equals(text)) {
                     return Claim.RESUMED;
                 }
-                if (!isCertainlyRefused(known, history)) {
+                if (!isDefinitelyRejected(existingRecord, history)) {
                     return Claim.DENIED;
                 }
             }
@@ -175,18 +175,20 @@
                         .join();
                 return Claim.NEW;
             } catch (RuntimeException e) {
-                requireRetryable(CrankException.of(e), ResultCode.REVISION_CONFLICT);
+                rethrowUnlessRetryable(CrankException.of(e), ResultCode.REVISION_CONFLICT);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
     /** Whether a recorded note, which the history does not list, can neither be accepted nor have been. */
-    private static boolean isCertainlyRefused(NoteRecord known, AcceptanceHistory history) {
-        return switch (known.fate()) {
+    private static boolean isDefinitelyRejected(NoteRecord existingRecord, AcceptanceHistory history) {
+        return switch (existingRecord.fate()) {
             case REFUSED -> true;
             case ACCEPTED -> false;
-            case SUBMITTED -> history.revision().isNewerThan(known.basedOn()) && history.isCompleteSince(known.basedOn());
+            case SUBMITTED ->
+                history.revision().isNewerThan(existingRecord.basedOn())
+                        && history.isCompleteSince(existingRecord.basedOn());
         };
     }
 
@@ -194,12 +196,13 @@
     private void recordState(NoteId id, String text, State fate, Revision accepted) {
         try {
             Optional<StoredObject> existing = store.get(ObjectNames.note(id)).join();
-            Optional<NoteRecord> own = existing.map(NoteSubmitter::decodeRecord)
-                    .filter(known -> known.text().equals(text) && known.fate() == State.SUBMITTED);
-            if (own.isPresent()) {
+            Optional<NoteRecord> ownRecord = existing.map(NoteSubmitter::decodeRecord)
+                    .filter(existingRecord ->
+                            existingRecord.text().equals(text) && existingRecord.fate() == State.SUBMITTED);
+            if (ownRecord.isPresent()) {
                 store.put(
                                 ObjectNames.note(id),
-                                JsonCodec.encode(own.get().withState(fate, accepted)),
+                                JsonCodec.encode(ownRecord.get().withState(fate, accepted)),
                                 existing.get().revision())
                         .join();
             }
@@ -211,38 +214,38 @@
     }
 
     private AcceptanceHistory readHistory() {
-        return retry(() -> store.get(ObjectNames.CONFIGURATION).join())
+        return readWithRetries(() -> store.get(ObjectNames.CONFIGURATION).join())
                 .map(AcceptanceHistory::of)
                 .orElse(AcceptanceHistory.EMPTY);
     }
 
     private Optional<StoredObject> readRecord(NoteId id) {
-        return retry(() -> store.get(ObjectNames.note(id)).join());
+        return readWithRetries(() -> store.get(ObjectNames.note(id)).join());
     }
 
     private static NoteRecord decodeRecord(StoredObject object) {
         return JsonCodec.decode(object.value(), NoteRecord.class);
     }
 
-    private <T> T retry(Supplier<T> read) {
+    private <T> T readWithRetries(Supplier<T> read) {
         while (true) {
             try {
                 return read.get();
             } catch (RuntimeException e) {
-                requireRetryable(CrankException.of(e), ResultCode.STORE_UNAVAILABLE);
+                rethrowUnlessRetryable(CrankException.of(e), ResultCode.STORE_UNAVAILABLE);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
-    private static void requireRetryable(CrankException failure, ResultCode alsoRetryable) {
+    private static void rethrowUnlessRetryable(CrankException failure, ResultCode alsoRetryable) {
         ResultCode code = failure.code();
         if (code != ResultCode.STORE_UNAVAILABLE && code != ResultCode.WRITE_UNANSWERED && code != alsoRetryable) {
             throw failure;
         }
     }
 
-    private void pause() {
+    private void pauseBeforeRetry() {
         if (System.nanoTime() - deadlineNanos > 0) {
             throw new CrankException(ResultCode.STORE_UNAVAILABLE, "no certain answer of the store in the time given");
         }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
@@ -27,7 +27,7 @@
         return new SubmitResult(code, Revision.NONE, faults, List.of());
     }
 
-    static SubmitResult refused(ResultCode code, Revision current, List<AcceptedNote> newerNotes) {
+    static SubmitResult rejected(ResultCode code, Revision current, List<AcceptedNote> newerNotes) {
         return new SubmitResult(code, current, List.of(), newerNotes);
     }
 }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
@@ -17,10 +17,10 @@
     private EntryMerger() {}
 
     /** The base with the entry's fields, or empty after adding faults. */
-    public static <T> Optional<T> merge(T base, Entry entry, Class<T> type, List<NoteError> faults) {
-        int faultsBefore = faults.size();
-        checkFields(entry, faults);
-        if (faults.size() > faultsBefore) {
+    public static <T> Optional<T> merge(T base, Entry entry, Class<T> type, List<NoteError> errors) {
+        int errorsBefore = errors.size();
+        validateFields(entry, errors);
+        if (errors.size() > errorsBefore) {
             return Optional.empty();
         }
         ObjectNode merged = JsonCodec.mapper().valueToTree(base);
@@ -28,12 +28,12 @@
         try {
             return Optional.of(JsonCodec.mapper().treeToValue(merged, type));
         } catch (JsonProcessingException e) {
-            faults.add(new NoteError(entry.path(), Kind.OUT_OF_RANGE, rootMessage(e)));
+            errors.add(new NoteError(entry.path(), Kind.OUT_OF_RANGE, rootCauseMessage(e)));
             return Optional.empty();
         }
     }
 
-    private static void checkFields(Entry entry, List<NoteError> faults) {
+    private static void validateFields(Entry entry, List<NoteError> errors) {
         List<FieldSpec> specs = FieldSpec.of(entry.subject());
         for (Iterator<Map.Entry<String, JsonNode>> fields = entry.fields().fields(); fields.hasNext(); ) {
             Map.Entry<String, JsonNode> field = fields.next();
@@ -42,14 +42,14 @@
                     specs.stream().filter(s -> s.name().equals(field.getKey())).findFirst();
             if (spec.isEmpty()) {
                 List<String> known = specs.stream().map(FieldSpec::name).toList();
-                faults.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
+                errors.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
             } else {
-                spec.get().validator().apply(field.getValue()).ifPresent(p -> faults.add(p.at(path)));
+                spec.get().validator().apply(field.getValue()).ifPresent(p -> errors.add(p.at(path)));
             }
         }
     }
 
-    private static String rootMessage(Throwable failure) {
+    private static String rootCauseMessage(Throwable failure) {
         Throwable current = failure;
         while (current.getCause() != null) {
             current = current.getCause();
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
@@ -15,9 +15,9 @@
  *
  * @param validator the fault of a value at a path, if it has one
  */
-record FieldSpec(String name, Function<JsonNode, Optional<Problem>> validator) {
+record FieldSpec(String name, Function<JsonNode, Optional<Violation>> validator) {
     /** A fault without its path. Immutable. */
-    record Problem(Kind kind, String message) {
+    record Violation(Kind kind, String message) {
         NoteError at(String path) {
             return new NoteError(path, kind, message);
         }
@@ -27,19 +27,19 @@
 
     private static final List<FieldSpec> SERVICE_FIELDS = List.of(
             name("name"),
-            flag("keyed"),
-            methods("repeatableMethods"),
-            integer("defaultDeadlineMs", 1, 600_000),
-            integer("maxDeadlineMs", 1, 600_000),
-            integer("maxBodyBytes", 0, 8_388_608),
-            integer("maxQueueLength", 0, 10_000),
-            integer("maxKeySharePercent", 1, 100),
+            booleanField("keyed"),
+            methodsField("repeatableMethods"),
+            integerField("defaultDeadlineMs", 1, 600_000),
+            integerField("maxDeadlineMs", 1, 600_000),
+            integerField("maxBodyBytes", 0, 8_388_608),
+            integerField("maxQueueLength", 0, 10_000),
+            integerField("maxKeySharePercent", 1, 100),
             name("placementPolicy"),
             name("balancingPolicy"),
-            locality("locality"));
+            localityField("locality"));
 
     private static final List<FieldSpec> BACKEND_FIELDS =
-            List.of(name("backendName"), integer("weightPercent", 0, 1_000), flag("drain"));
+            List.of(name("backendName"), integerField("weightPercent", 0, 1_000), booleanField("drain"));
 
     static List<FieldSpec> of(Subject subject) {
         return subject == Subject.SERVICE ? SERVICE_FIELDS : BACKEND_FIELDS;
@@ -48,59 +48,59 @@
     private static FieldSpec name(String field) {
         return new FieldSpec(field, value -> {
             if (!value.isTextual()) {
-                return problem(Kind.WRONG_TYPE, "must be a text");
+                return violation(Kind.WRONG_TYPE, "must be a text");
             }
             boolean valid = value.asText().matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}");
             return valid
                     ? Optional.empty()
-                    : problem(Kind.OUT_OF_RANGE, "must have 1 to " + MAX_NAME_LENGTH + " characters [A-Za-z0-9._-]");
+                    : violation(Kind.OUT_OF_RANGE, "must have 1 to " + MAX_NAME_LENGTH + " characters [A-Za-z0-9._-]");
         });
     }
 
-    private static FieldSpec flag(String field) {
+    private static FieldSpec booleanField(String field) {
         return new FieldSpec(
                 field,
-                value -> value.isBoolean() ? Optional.empty() : problem(Kind.WRONG_TYPE, "must be true or false"));
+                value -> value.isBoolean() ? Optional.empty() : violation(Kind.WRONG_TYPE, "must be true or false"));
     }
 
-    private static FieldSpec integer(String field, long min, long max) {
+    private static FieldSpec integerField(String field, long min, long max) {
         return new FieldSpec(field, value -> {
             if (!value.isIntegralNumber()) {
-                return problem(Kind.WRONG_TYPE, "must be a whole number");
+                return violation(Kind.WRONG_TYPE, "must be a whole number");
             }
             boolean inRange = value.canConvertToLong() && value.asLong() >= min && value.asLong() <= max;
-            return inRange ? Optional.empty() : problem(Kind.OUT_OF_RANGE, "must be between " + min + " and " + max);
+            return inRange ? Optional.empty() : violation(Kind.OUT_OF_RANGE, "must be between " + min + " and " + max);
         });
     }
 
-    private static FieldSpec locality(String field) {
+    private static FieldSpec localityField(String field) {
         List<String> known =
                 Arrays.stream(Locality.values()).map(Locality::text).toList();
         return new FieldSpec(field, value -> {
             if (!value.isTextual()) {
-                return problem(Kind.WRONG_TYPE, "must be a text");
+                return violation(Kind.WRONG_TYPE, "must be a text");
             }
             return known.contains(value.asText())
                     ? Optional.empty()
-                    : problem(Kind.OUT_OF_RANGE, "must be one of " + known);
+                    : violation(Kind.OUT_OF_RANGE, "must be one of " + known);
         });
     }
 
-    private static FieldSpec methods(String field) {
+    private static FieldSpec methodsField(String field) {
         return new FieldSpec(field, value -> {
             if (!value.isArray()) {
-                return problem(Kind.WRONG_TYPE, "must be a list of HTTP methods");
+                return violation(Kind.WRONG_TYPE, "must be a list of HTTP methods");
             }
             for (JsonNode method : value) {
                 if (!method.isTextual() || !method.asText().matches("[A-Z]{1,16}")) {
-                    return problem(Kind.OUT_OF_RANGE, "must be a list of HTTP methods in upper case");
+                    return violation(Kind.OUT_OF_RANGE, "must be a list of HTTP methods in upper case");
                 }
             }
             return Optional.empty();
         });
     }
 
-    private static Optional<Problem> problem(Kind kind, String message) {
-        return Optional.of(new Problem(kind, message));
+    private static Optional<Violation> violation(Kind kind, String message) {
+        return Optional.of(new Violation(kind, message));
     }
 }
