--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -42,8 +42,8 @@
 
     private long heldReportedNanos;
     private long lastHeartbeatSequence = Long.MIN_VALUE;
-    private Grant pendingGrant;
-    private long pendingSinceNanos;
+    private Grant latestGrant;
+    private long latestGrantNanos;
     private CompletableFuture<Long> acknowledgement = new CompletableFuture<>();
 
     /**
@@ -61,15 +61,15 @@
 
     /**
      * Replaces the grant to be delivered. Completes with the sequence of the grant when the server acknowledges it; fails
-     * if a newer grant replaces it before.
+     * if a newer grant replaces it first.
      */
     public CompletableFuture<Long> offer(Grant grant) {
         CompletableFuture<Long> superseded;
         CompletableFuture<Long> result = new CompletableFuture<>();
         synchronized (this) {
             superseded = acknowledgement;
-            pendingGrant = grant;
-            pendingSinceNanos = clock.nowNanos();
+            latestGrant = grant;
+            latestGrantNanos = clock.nowNanos();
             acknowledgement = result;
         }
         superseded.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
@@ -95,19 +95,19 @@
             addHandovers(released);
             held = reported.stream().map(GrantedRange::range).toList();
             heldReportedNanos = clock.nowNanos();
-            if (pendingGrant == null) {
+            if (latestGrant == null) {
                 return Optional.empty();
             }
-            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - pendingSinceNanos);
-            long validityMs = pendingGrant.validityMs() - elapsedMs;
-            boolean revokes = pendingGrant.ranges().isEmpty();
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - latestGrantNanos);
+            long validityMs = latestGrant.validityMs() - elapsedMs;
+            boolean revokes = latestGrant.ranges().isEmpty();
             if (validityMs <= 0 && !revokes) {
                 return Optional.empty();
             }
-            renewal = new Renewal(rowMerger.merge(pendingGrant.ranges(), reported), Math.max(0, validityMs));
-            sequence = pendingGrant.sequence();
+            renewal = new Renewal(rowMerger.merge(latestGrant.ranges(), reported), Math.max(0, validityMs));
+            sequence = latestGrant.sequence();
             List<KeyRange> granted =
-                    pendingGrant.ranges().stream().map(GrantedRange::range).toList();
+                    latestGrant.ranges().stream().map(GrantedRange::range).toList();
             boolean holdsOnlyGranted = held.stream()
                     .allMatch(range -> KeyRanges.subtract(range, granted).isEmpty());
             toComplete = holdsOnlyGranted ? acknowledgement : null;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -135,7 +135,8 @@
     @Override
     public void announce(BackendInfo info) {
         if (host.backend().equals(Optional.of(info))) {
-            lifecycle.offer(() -> monitored.ifPresent(w -> w.failureDetector().onAnnounced()));
+            lifecycle.offer(() ->
+                    monitored.ifPresent(current -> current.failureDetector().onAnnounced()));
             return;
         }
         BackendServer server =
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -40,19 +40,19 @@
 
     @Override
     public CompletableFuture<CallerAnswer> submit(CallerRequest request) {
-        return find().map(g -> g.submit(request))
+        return find().map(localGate -> localGate.submit(request))
                 .orElseGet(() -> CompletableFuture.completedFuture(
                         CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server is attached to this daemon")));
     }
 
     @Override
     public void cancel(RequestId requestId) {
-        find().ifPresent(g -> g.cancel(requestId));
+        find().ifPresent(localGate -> localGate.cancel(requestId));
     }
 
     @Override
     public CompletableFuture<OutcomeAnswer> resolve(OutcomeQuery query) {
-        return find().map(g -> g.resolve(query))
+        return find().map(localGate -> localGate.resolve(query))
                 .orElseGet(() -> CompletableFuture.completedFuture(OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN)));
     }
 
@@ -79,12 +79,12 @@
 
     @Override
     public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords records) {
-        return find().map(g -> g.acquire(range, fence, records)).orElseGet(LocalGate::noBackend);
+        return find().map(localGate -> localGate.acquire(range, fence, records)).orElseGet(LocalGate::noBackend);
     }
 
     @Override
     public CompletableFuture<TransferredRecords> release(KeyRange range) {
-        return find().map(g -> g.release(range))
+        return find().map(localGate -> localGate.release(range))
                 .orElseGet(() -> CompletableFuture.completedFuture(TransferredRecords.NONE));
     }
 
@@ -105,7 +105,7 @@
 
     @Override
     public boolean mayHoldEarlierGrant(KeyRange range) {
-        return find().map(g -> g.mayHoldEarlierGrant(range)).orElse(false);
+        return find().map(localGate -> localGate.mayHoldEarlierGrant(range)).orElse(false);
     }
 
     @Override
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
@@ -10,15 +10,15 @@
 import org.coriandercrank.kernel.store.StoredObject;
 
 /**
- * The notes that made the configuration, as far back as it lists them. Immutable.
+ * The notes that led to a configuration, as far back as the configuration lists them. Immutable.
  *
- * <p>Each accepted note was written over the revision that it is based on, so the revision at which a note was accepted
- * is the one that the next accepted note is based on, or that of the configuration for the latest note.
+ * <p>An accepted note replaces exactly the revision that it is based on. The revision at which a note was accepted is
+ * therefore the one that the next accepted note is based on; for the latest note it is the revision of the configuration.
  *
- * @param revision revision of the configuration
+ * @param revision revision of the configuration in the store
  */
 public record AcceptanceHistory(Revision revision, Configuration configuration) {
-    /** State before the first note. */
+    /** The state before the first note. */
     public static final AcceptanceHistory EMPTY = new AcceptanceHistory(Revision.NONE, Configuration.EMPTY);
 
     /** An accepted note and the revision at which it was accepted. Immutable. */
@@ -28,26 +28,26 @@
         return new AcceptanceHistory(object.revision(), JsonCodec.decode(object.value(), Configuration.class));
     }
 
-    /** Where a note was accepted, or empty if no listed note has the id. */
+    /** Returns the acceptance of a note, or empty if no listed note has the id. */
     public Optional<Acceptance> find(NoteId id) {
-        Revision accepted = revision;
+        Revision acceptedRevision = revision;
         for (AcceptedNote note : configuration.recentNotes()) {
             if (note.id().equals(id)) {
-                return Optional.of(new Acceptance(note, accepted));
+                return Optional.of(new Acceptance(note, acceptedRevision));
             }
-            accepted = note.basedOn();
+            acceptedRevision = note.basedOn();
         }
         return Optional.empty();
     }
 
-    /** Whether every note that was accepted on top of a revision, or later, is listed. */
+    /** Whether the list contains every accepted note that is based on a revision or a later one. */
     public boolean isCompleteSince(Revision basedOn) {
         List<AcceptedNote> notes = configuration.recentNotes();
         return notes.size() < Configuration.MAX_RECENT_NOTES
                 || notes.get(notes.size() - 1).basedOn().compareTo(basedOn) <= 0;
     }
 
-    /** Listed notes that were accepted on top of a revision or later, newest first. */
+    /** Returns the listed notes that are based on a revision or a later one, newest first. */
     List<AcceptedNote> since(Revision basedOn) {
         return configuration.recentNotes().stream()
                 .filter(note -> note.basedOn().compareTo(basedOn) >= 0)
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
@@ -19,16 +19,18 @@
 import org.coriandercrank.note.internal.EntryMerger;
 
 /**
- * Applies a release note to a configuration, as a whole or not at all. Not thread safe; use one per application.
+ * Applies a release note to a configuration, as a whole or not at all. Not thread safe; use one instance for each note.
  *
- * <p>Policy names and services in use are checked against what the caller knows, so that a note cannot select a policy
- * that no daemon has or withdraw a service that servers still serve.
+ * <p>Policy names and withdrawn services are checked against an {@link Environment}, so that a note cannot select a
+ * policy that no daemon has, or withdraw a service that backend servers still serve.
  */
 public final class NoteApplier {
     /**
-     * What the note is checked against besides the configuration. Immutable.
+     * State outside of the configuration against which a note is checked. Immutable.
      *
-     * @param servicesInUse services that a server outside of drain serves at present
+     * @param servicesInUse services that a backend server serves without being drained
+     * @param placementPolicies names of the available placement policies
+     * @param balancingPolicies names of the available balancing policies
      */
     public record Environment(
             Set<ServiceName> servicesInUse, Set<String> placementPolicies, Set<String> balancingPolicies) {
@@ -52,7 +54,7 @@
         base.backends().forEach(rule -> backends.put(rule.backendName(), rule));
     }
 
-    /** The new configuration, or empty if there are faults. */
+    /** Returns the new configuration, or empty if there are errors. */
     public Optional<Configuration> apply(ReleaseNote note) {
         rejectConflictingEntries(note);
         for (Entry entry : note.entries()) {
@@ -94,7 +96,7 @@
         }
         ServiceConfig current = services.get(entry.name());
         newServiceBase(entry, current)
-                .flatMap(start -> EntryMerger.merge(start, entry, ServiceConfig.class, errors))
+                .flatMap(base -> EntryMerger.merge(base, entry, ServiceConfig.class, errors))
                 .ifPresent(service -> putService(entry, current, service));
     }
 
@@ -103,7 +105,8 @@
             return Optional.of(current);
         }
         if (!entry.fields().has("keyed")) {
-            errors.add(new NoteError(entry.path() + ".keyed", Kind.MISSING, "a new service says if it has keys"));
+            errors.add(new NoteError(
+                    entry.path() + ".keyed", Kind.MISSING, "a new service must state whether it is keyed"));
             return Optional.empty();
         }
         try {
@@ -129,14 +132,17 @@
             errors.add(new NoteError(
                     path,
                     Kind.NOT_FOUND,
-                    "no policy " + policy + "; have " + known.stream().sorted().toList()));
+                    "no policy " + policy + "; available: "
+                            + known.stream().sorted().toList()));
         }
     }
 
     private void withdrawService(Entry entry) {
         if (environment.servicesInUse().contains(new ServiceName(entry.name()))) {
             errors.add(new NoteError(
-                    entry.path(), Kind.IN_USE, "servers still serve " + entry.name() + "; drain or stop them first"));
+                    entry.path(),
+                    Kind.IN_USE,
+                    "backend servers still serve " + entry.name() + "; drain or stop them first"));
         }
         services.remove(entry.name());
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteError.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteError.java
@@ -1,12 +1,12 @@
 package org.coriandercrank.note;
 
 /**
- * One fault of a release note. Immutable.
+ * One error in a release note. Immutable.
  *
- * @param path place in the note, such as {@code add.services[0].maxBodyBytes}
+ * @param path position in the note, such as {@code add.services[0].maxBodyBytes}; empty for the whole note
  */
 public record NoteError(String path, Kind kind, String message) {
-    /** Kinds of faults; the number is stable and printed beside the name. */
+    /** Kinds of errors. The number of a kind never changes and is printed after its name. */
     public enum Kind {
         UNREADABLE(1),
         MISSING(2),
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
@@ -20,11 +20,14 @@
 import org.coriandercrank.note.ReleaseNote.Entry;
 import org.coriandercrank.note.ReleaseNote.Subject;
 
-/** Reads the JSON form of release notes and collects all faults of form. Not thread safe; use one per note. */
+/**
+ * Parses the JSON form of a release note and collects all errors of its structure. Not thread safe; use one instance for
+ * each note.
+ */
 public final class NoteParser {
     private static final Set<String> NOTE_FIELDS = Set.of("id", "basedOn", "add", "change", "withdraw");
 
-    /** A repeated field or a second value would otherwise be dropped without a fault. */
+    /** Rejects a repeated field or a second value, which would otherwise be dropped silently. */
     private static final ObjectReader READER = JsonCodec.mapper()
             .reader()
             .with(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -32,7 +35,7 @@
 
     private final List<NoteError> errors = new ArrayList<>();
 
-    /** The note, or empty if there are faults. */
+    /** Returns the note, or empty if there are errors. */
     public Optional<ReleaseNote> parse(String json) {
         Optional<ObjectNode> root = readObject(json);
         if (root.isEmpty()) {
@@ -55,9 +58,9 @@
         return List.copyOf(errors);
     }
 
-    /** Result code of a note with the faults found. */
+    /** Returns the result code for the errors found. */
     public ResultCode code() {
-        boolean unreadable = errors.stream().anyMatch(fault -> fault.kind() == Kind.UNREADABLE);
+        boolean unreadable = errors.stream().anyMatch(error -> error.kind() == Kind.UNREADABLE);
         return unreadable ? ResultCode.NOTE_UNREADABLE : ResultCode.NOTE_INVALID;
     }
 
@@ -76,11 +79,11 @@
 
     private NoteId parseId(JsonNode node) {
         if (node == null) {
-            errors.add(new NoteError("id", Kind.MISSING, "every note needs an id"));
+            errors.add(new NoteError("id", Kind.MISSING, "a note must have an id"));
             return null;
         }
         if (!node.isTextual()) {
-            errors.add(new NoteError("id", Kind.WRONG_TYPE, "must be a text"));
+            errors.add(new NoteError("id", Kind.WRONG_TYPE, "must be a string"));
             return null;
         }
         try {
@@ -93,7 +96,7 @@
 
     private Revision parseRevision(JsonNode node) {
         if (node == null) {
-            errors.add(new NoteError("basedOn", Kind.MISSING, "every note names the revision that it is based on"));
+            errors.add(new NoteError("basedOn", Kind.MISSING, "a note must state the revision that it is based on"));
             return null;
         }
         if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < 0) {
@@ -123,7 +126,7 @@
             return;
         }
         if (!node.isArray()) {
-            errors.add(new NoteError(listPath, Kind.WRONG_TYPE, "must be a list"));
+            errors.add(new NoteError(listPath, Kind.WRONG_TYPE, "must be an array"));
             return;
         }
         for (int i = 0; i < node.size(); i++) {
@@ -140,7 +143,7 @@
         }
         JsonNode name = fields.get(subject.nameField());
         if (name == null || !name.isTextual() || name.asText().isEmpty()) {
-            errors.add(new NoteError(path + "." + subject.nameField(), Kind.MISSING, "every entry needs a name"));
+            errors.add(new NoteError(path + "." + subject.nameField(), Kind.MISSING, "an entry must have a name"));
             return Optional.empty();
         }
         return Optional.of(new Entry(path, action, subject, name.asText(), fields));
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -18,11 +18,12 @@
 import org.coriandercrank.note.NoteRecord.State;
 
 /**
- * Submits a release note. Not thread safe; use one per submission. {@link #submit} blocks.
+ * Submits a release note. Not thread safe; use one instance for each submission. {@link #submit} blocks.
  *
  * <p>The note takes effect by one write of the configuration, conditional on the revision that the note is based on.
- * While the configuration still has that revision, an unanswered write may take effect later, so the same write is
- * repeated until the revision has moved on; then the ids of recent notes tell whether this note was accepted.
+ * While the configuration still has that revision, an unanswered write may take effect later. The same write is
+ * therefore repeated until the configuration has another revision; the ids of its recent notes then show whether this
+ * note was accepted.
  *
  * <p>Invariant: {@link ResultCode#STORE_UNAVAILABLE} is the result only if this submission left no write of the
  * configuration that may still take effect; otherwise it is {@link ResultCode#WRITE_UNANSWERED}.
@@ -31,10 +32,12 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long RETRY_PAUSE_MS = 50;
 
+    /** Result of claiming the id of a note. */
     private enum Claim {
         NEW,
-        /** Another submission of the same text may have left a write of the configuration. */
+        /** Another submission of the same text may have sent a write of the configuration that can still take effect. */
         RESUMED,
+        /** Another note has the id. */
         DENIED
     }
 
@@ -46,8 +49,9 @@
     /**
      * Prepares a submission.
      *
-     * @param store its time-out of a call should be well below {@code timeoutMs}, so that calls can be repeated
-     * @param environment may read the store and fail with {@link CrankException}; it is then repeated
+     * @param store its timeout of one call should be well below {@code timeoutMs}, so that calls can be repeated
+     * @param environment supplies the environment; may read the store, and is repeated if it fails because the store is
+     *     unavailable
      * @param timeoutMs time after which {@link #submit} gives up with {@link ResultCode#WRITE_UNANSWERED} or
      *     {@link ResultCode#STORE_UNAVAILABLE}
      */
@@ -57,7 +61,7 @@
         this.deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
     }
 
-    /** Submits a note; submitting the same text again is harmless. */
+    /** Submits a note. Idempotent: submitting the same text again has no further effect. */
     public SubmitResult submit(String text) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> parsed = parser.parse(text);
@@ -74,9 +78,9 @@
 
     private SubmitResult submitParsed(ReleaseNote note, String text) {
         AcceptanceHistory history = readHistory();
-        Optional<Acceptance> accepted = history.find(note.id());
-        if (accepted.isPresent()) {
-            return resultOfEarlierAcceptance(note, text, accepted.get());
+        Optional<Acceptance> acceptance = history.find(note.id());
+        if (acceptance.isPresent()) {
+            return resultOfEarlierAcceptance(note, text, acceptance.get());
         }
         if (!history.revision().equals(note.basedOn())) {
             return resultAfterRevisionChange(note, text, history);
@@ -94,27 +98,27 @@
         return writeConfiguration(note, text, JsonCodec.encode(newConfiguration.get()));
     }
 
-    /** Writes until the outcome is certain. */
+    /** Repeats the write until its outcome is certain. */
     private SubmitResult writeConfiguration(ReleaseNote note, String text, byte[] configuration) {
         while (true) {
             boolean earlierWriteMayTakeEffect = writeMayTakeEffect;
             writeMayTakeEffect = true;
             try {
-                Revision accepted = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
+                Revision acceptance = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
                         .join();
-                recordState(note.id(), text, State.ACCEPTED, accepted);
-                return SubmitResult.accepted(accepted);
+                recordState(note.id(), text, State.ACCEPTED, acceptance);
+                return SubmitResult.accepted(acceptance);
             } catch (RuntimeException e) {
                 CrankException failure = CrankException.of(e);
                 rethrowUnlessRetryable(failure, ResultCode.REVISION_CONFLICT);
                 writeMayTakeEffect = earlierWriteMayTakeEffect || failure.code() == ResultCode.WRITE_UNANSWERED;
             }
             AcceptanceHistory history = readHistory();
-            Optional<Acceptance> accepted = history.find(note.id());
-            // Another text can have the id only on top of a later revision.
-            if (accepted.isPresent() && accepted.get().note().basedOn().equals(note.basedOn())) {
-                recordState(note.id(), text, State.ACCEPTED, accepted.get().revision());
-                return SubmitResult.accepted(accepted.get().revision());
+            Optional<Acceptance> acceptance = history.find(note.id());
+            // A note with the same id and another text can only be based on a later revision.
+            if (acceptance.isPresent() && acceptance.get().note().basedOn().equals(note.basedOn())) {
+                recordState(note.id(), text, State.ACCEPTED, acceptance.get().revision());
+                return SubmitResult.accepted(acceptance.get().revision());
             }
             if (!history.revision().equals(note.basedOn())) {
                 return resultAfterRevisionChange(note, text, history);
@@ -123,20 +127,20 @@
         }
     }
 
-    private SubmitResult resultOfEarlierAcceptance(ReleaseNote note, String text, Acceptance accepted) {
+    private SubmitResult resultOfEarlierAcceptance(ReleaseNote note, String text, Acceptance acceptance) {
         boolean sameText = readRecord(note.id())
                 .map(object -> decodeRecord(object).text().equals(text))
                 .orElse(false);
-        if (!sameText || !accepted.note().basedOn().equals(note.basedOn())) {
+        if (!sameText || !acceptance.note().basedOn().equals(note.basedOn())) {
             return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
-        recordState(note.id(), text, State.ACCEPTED, accepted.revision());
-        return SubmitResult.accepted(accepted.revision());
+        recordState(note.id(), text, State.ACCEPTED, acceptance.revision());
+        return SubmitResult.accepted(acceptance.revision());
     }
 
     /**
-     * Result of a note that is based on another revision than the present one and is not listed as accepted. Its record
-     * decides if the list does not reach back far enough.
+     * Returns the result of a note that is not based on the current revision and is not listed as accepted. If the list
+     * of recent notes is incomplete since the revision of the note, the record of the note decides.
      */
     private SubmitResult resultAfterRevisionChange(ReleaseNote note, String text, AcceptanceHistory history) {
         Optional<NoteRecord> ownRecord = readRecord(note.id())
@@ -155,9 +159,9 @@
         return SubmitResult.rejected(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
     }
 
-    /** Records the note under its id; denied if the id belongs to another note that may be accepted. */
+    /** Records the note under its id. The claim is denied if another note has the id and may be accepted. */
     private Claim claimId(ReleaseNote note, String text, AcceptanceHistory history) {
-        NoteRecord claim = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
+        NoteRecord record = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
         while (true) {
             Optional<StoredObject> existing = readRecord(note.id());
             if (existing.isPresent()) {
@@ -171,7 +175,7 @@
             }
             Revision expected = existing.map(StoredObject::revision).orElse(Revision.NONE);
             try {
-                store.put(ObjectNames.note(note.id()), JsonCodec.encode(claim), expected)
+                store.put(ObjectNames.note(note.id()), JsonCodec.encode(record), expected)
                         .join();
                 return Claim.NEW;
             } catch (RuntimeException e) {
@@ -181,7 +185,7 @@
         }
     }
 
-    /** Whether a recorded note, which the history does not list, can neither be accepted nor have been. */
+    /** Whether a recorded note that the history does not list has not been accepted and can no longer be accepted. */
     private static boolean isDefinitelyRejected(NoteRecord existingRecord, AcceptanceHistory history) {
         return switch (existingRecord.fate()) {
             case REFUSED -> true;
@@ -192,8 +196,11 @@
         };
     }
 
-    /** Best effort without repetition, and only in the record of this text: the configuration stays the source of truth. */
-    private void recordState(NoteId id, String text, State fate, Revision accepted) {
+    /**
+     * Updates the state in the record of this text. A failure is only logged and not retried, because the configuration
+     * is authoritative.
+     */
+    private void recordState(NoteId id, String text, State state, Revision acceptedRevision) {
         try {
             Optional<StoredObject> existing = store.get(ObjectNames.note(id)).join();
             Optional<NoteRecord> ownRecord = existing.map(NoteSubmitter::decodeRecord)
@@ -202,14 +209,14 @@
             if (ownRecord.isPresent()) {
                 store.put(
                                 ObjectNames.note(id),
-                                JsonCodec.encode(ownRecord.get().withState(fate, accepted)),
+                                JsonCodec.encode(ownRecord.get().withState(state, acceptedRevision)),
                                 existing.get().revision())
                         .join();
             }
         } catch (RuntimeException e) {
             logger.atInfo().log(
                     "event=note-fate-not-recorded note=%s fate=%s reason=\"%s\"",
-                    id, fate, CrankException.of(e).getMessage());
+                    id, state, CrankException.of(e).getMessage());
         }
     }
 
@@ -247,7 +254,8 @@
 
     private void pauseBeforeRetry() {
         if (System.nanoTime() - deadlineNanos > 0) {
-            throw new CrankException(ResultCode.STORE_UNAVAILABLE, "no certain answer of the store in the time given");
+            throw new CrankException(
+                    ResultCode.STORE_UNAVAILABLE, "the store gave no definite answer before the timeout");
         }
         try {
             Thread.sleep(RETRY_PAUSE_MS);
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/ReleaseNote.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/ReleaseNote.java
@@ -6,12 +6,12 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * A release note that has the published form. Immutable by convention: JSON nodes are not changed.
+ * A release note with valid structure. Immutable, provided that nobody changes its JSON nodes.
  *
- * @param basedOn revision of the configuration that the author saw; {@link Revision#NONE} if there was none
+ * @param basedOn revision of the configuration that the note changes; {@link Revision#NONE} if there was none
  */
 public record ReleaseNote(NoteId id, Revision basedOn, List<Entry> entries) {
-    /** What an entry does. */
+    /** Action of an entry. */
     public enum Action {
         ADD("add"),
         CHANGE("change"),
@@ -23,13 +23,13 @@
             this.field = field;
         }
 
-        /** Field of the note that lists entries of this action. */
+        /** Returns the field of the note that contains the entries with this action. */
         public String field() {
             return field;
         }
     }
 
-    /** What an entry is about. */
+    /** Type of the configuration object that an entry changes. */
     public enum Subject {
         SERVICE("services", "name"),
         BACKEND("backends", "backendName");
@@ -42,21 +42,23 @@
             this.nameField = nameField;
         }
 
+        /** Returns the field of an action that lists the entries of this type. */
         public String field() {
             return field;
         }
 
-        /** Field of an entry that has its name. */
+        /** Returns the field of an entry that contains the name of the object. */
         public String nameField() {
             return nameField;
         }
     }
 
     /**
-     * One entry of a note. Immutable by convention.
+     * One entry of a note. Immutable, provided that nobody changes its JSON node.
      *
-     * @param path place in the note
-     * @param fields the given fields; only the name for a withdrawal
+     * @param path position of the entry in the note
+     * @param name name of the configuration object
+     * @param fields fields of the entry as given; for a withdrawal only the name
      */
     public record Entry(String path, Action action, Subject subject, String name, ObjectNode fields) {}
 
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
@@ -6,12 +6,13 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Result of submitting a release note. Immutable.
+ * Result of the submission of a release note. Immutable.
  *
- * @param code OK, or why the note was not accepted
- * @param revision revision at which the note was accepted, or the current one after a conflict
- * @param faults all faults of an invalid note
- * @param newerNotes after a conflict, the notes accepted since the revision the note is based on, as far as known
+ * @param code {@code OK}, or the reason why the note was not accepted
+ * @param revision revision at which the note was accepted, or the current revision of the configuration after a conflict
+ * @param faults all errors of an invalid note
+ * @param newerNotes after a conflict, the notes accepted since the revision that the note is based on, as far as the
+ *     configuration lists them
  */
 public record SubmitResult(ResultCode code, Revision revision, List<NoteError> faults, List<AcceptedNote> newerNotes) {
     public SubmitResult {
@@ -23,8 +24,8 @@
         return new SubmitResult(ResultCode.OK, revision, List.of(), List.of());
     }
 
-    static SubmitResult invalid(ResultCode code, List<NoteError> faults) {
-        return new SubmitResult(code, Revision.NONE, faults, List.of());
+    static SubmitResult invalid(ResultCode code, List<NoteError> errors) {
+        return new SubmitResult(code, Revision.NONE, errors, List.of());
     }
 
     static SubmitResult rejected(ResultCode code, Revision current, List<AcceptedNote> newerNotes) {
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
@@ -12,11 +12,15 @@
 import org.coriandercrank.note.NoteError.Kind;
 import org.coriandercrank.note.ReleaseNote.Entry;
 
-/** Lays the fields of an entry over an object of the configuration. Stateless. */
+/** Merges the fields of a note entry into an object of the configuration. Stateless. */
 public final class EntryMerger {
     private EntryMerger() {}
 
-    /** The base with the entry's fields, or empty after adding faults. */
+    /**
+     * Returns a copy of an object with the fields of an entry, or empty if the entry is invalid.
+     *
+     * @param errors receives the errors of an invalid entry
+     */
     public static <T> Optional<T> merge(T base, Entry entry, Class<T> type, List<NoteError> errors) {
         int errorsBefore = errors.size();
         validateFields(entry, errors);
@@ -38,13 +42,14 @@
         for (Iterator<Map.Entry<String, JsonNode>> fields = entry.fields().fields(); fields.hasNext(); ) {
             Map.Entry<String, JsonNode> field = fields.next();
             String path = entry.path() + "." + field.getKey();
-            Optional<FieldSpec> spec =
-                    specs.stream().filter(s -> s.name().equals(field.getKey())).findFirst();
+            Optional<FieldSpec> spec = specs.stream()
+                    .filter(fieldSpec -> fieldSpec.name().equals(field.getKey()))
+                    .findFirst();
             if (spec.isEmpty()) {
                 List<String> known = specs.stream().map(FieldSpec::name).toList();
                 errors.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
             } else {
-                spec.get().validator().apply(field.getValue()).ifPresent(p -> errors.add(p.at(path)));
+                spec.get().validator().apply(field.getValue()).ifPresent(violation -> errors.add(violation.at(path)));
             }
         }
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
@@ -13,10 +13,10 @@
 /**
  * A field that an entry may have. Immutable.
  *
- * @param validator the fault of a value at a path, if it has one
+ * @param validator returns the violation of a value, or empty if the value is valid
  */
 record FieldSpec(String name, Function<JsonNode, Optional<Violation>> validator) {
-    /** A fault without its path. Immutable. */
+    /** An error without its path. Immutable. */
     record Violation(Kind kind, String message) {
         NoteError at(String path) {
             return new NoteError(path, kind, message);
@@ -26,7 +26,7 @@
     private static final int MAX_NAME_LENGTH = 64;
 
     private static final List<FieldSpec> SERVICE_FIELDS = List.of(
-            name("name"),
+            nameField("name"),
             booleanField("keyed"),
             methodsField("repeatableMethods"),
             integerField("defaultDeadlineMs", 1, 600_000),
@@ -34,21 +34,21 @@
             integerField("maxBodyBytes", 0, 8_388_608),
             integerField("maxQueueLength", 0, 10_000),
             integerField("maxKeySharePercent", 1, 100),
-            name("placementPolicy"),
-            name("balancingPolicy"),
+            nameField("placementPolicy"),
+            nameField("balancingPolicy"),
             localityField("locality"));
 
     private static final List<FieldSpec> BACKEND_FIELDS =
-            List.of(name("backendName"), integerField("weightPercent", 0, 1_000), booleanField("drain"));
+            List.of(nameField("backendName"), integerField("weightPercent", 0, 1_000), booleanField("drain"));
 
     static List<FieldSpec> of(Subject subject) {
         return subject == Subject.SERVICE ? SERVICE_FIELDS : BACKEND_FIELDS;
     }
 
-    private static FieldSpec name(String field) {
+    private static FieldSpec nameField(String field) {
         return new FieldSpec(field, value -> {
             if (!value.isTextual()) {
-                return violation(Kind.WRONG_TYPE, "must be a text");
+                return violation(Kind.WRONG_TYPE, "must be a string");
             }
             boolean valid = value.asText().matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}");
             return valid
@@ -66,7 +66,7 @@
     private static FieldSpec integerField(String field, long min, long max) {
         return new FieldSpec(field, value -> {
             if (!value.isIntegralNumber()) {
-                return violation(Kind.WRONG_TYPE, "must be a whole number");
+                return violation(Kind.WRONG_TYPE, "must be an integer");
             }
             boolean inRange = value.canConvertToLong() && value.asLong() >= min && value.asLong() <= max;
             return inRange ? Optional.empty() : violation(Kind.OUT_OF_RANGE, "must be between " + min + " and " + max);
@@ -78,7 +78,7 @@
                 Arrays.stream(Locality.values()).map(Locality::text).toList();
         return new FieldSpec(field, value -> {
             if (!value.isTextual()) {
-                return violation(Kind.WRONG_TYPE, "must be a text");
+                return violation(Kind.WRONG_TYPE, "must be a string");
             }
             return known.contains(value.asText())
                     ? Optional.empty()
@@ -89,11 +89,11 @@
     private static FieldSpec methodsField(String field) {
         return new FieldSpec(field, value -> {
             if (!value.isArray()) {
-                return violation(Kind.WRONG_TYPE, "must be a list of HTTP methods");
+                return violation(Kind.WRONG_TYPE, "must be an array of HTTP methods");
             }
             for (JsonNode method : value) {
                 if (!method.isTextual() || !method.asText().matches("[A-Z]{1,16}")) {
-                    return violation(Kind.OUT_OF_RANGE, "must be a list of HTTP methods in upper case");
+                    return violation(Kind.OUT_OF_RANGE, "must be an array of HTTP methods in upper case");
                 }
             }
             return Optional.empty();
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/package-info.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Field tables and the overlay of note entries on the configuration. */
+/** Validation of the fields of note entries, and merging of entries into objects of the configuration. */
 package org.coriandercrank.note.internal;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/package-info.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/package-info.java
@@ -1,2 +1,2 @@
-/** Release notes: reading, checking, applying to a configuration, and submission to the store. */
+/** Release notes: parsing, validation, application to a configuration, and submission to the store. */
 package org.coriandercrank.note;
