--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpAdapterPlugin.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpAdapterPlugin.java
@@ -10,13 +10,13 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Registers the store adapter and the backend adapter named {@code http}. Thread safe.
+ * Registers the store adapter and the backend server adapter named {@code http}. Thread safe.
  *
- * <p>All adapters opened through one instance share its I/O and timer threads, which are daemon threads and live as
- * long as the process.
+ * <p>All adapters that one registration opens share its I/O and timer threads. These are JVM daemon threads and run until
+ * the process ends.
  */
 public final class HttpAdapterPlugin implements Plugin {
-    /** Name of both adapters in {@link PluginRegistry}. */
+    /** Name of both adapters in the {@link PluginRegistry}. */
     public static final String NAME = "http";
 
     private static final int IO_THREADS = 2;
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -27,35 +27,36 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Backend server over HTTP; the protocol is in {@code docs/PROTOCOL_BACKEND.md}.
+ * Client of a backend server over HTTP; see {@code docs/PROTOCOL_BACKEND.md} for the protocol.
  *
- * <p>Thread safe. Invariants: requests and control calls together use at most {@code maxConnections} connections; a
- * request is written to at most one connection and never repeated. Control calls have up to two connections of their
- * own, so that they do not wait behind requests; only a server that allows a single connection shares it.
+ * <p>Thread safe. Invariants: requests and control calls together use at most {@code maxConnections} connections of
+ * {@link BackendInfo}; a request is written to at most one connection and never repeated. Control calls use one or two
+ * dedicated connections, so that they do not wait behind requests. If the server allows only one connection, requests and
+ * control calls share it.
  */
 public final class HttpBackendServer implements BackendServer {
     private static final int MAX_CONTROL_CONNECTIONS = 2;
 
-    /** From this limit on, two connections for control calls are a small share. */
+    /** Minimum connection limit at which two dedicated connections for control calls are a small share. */
     private static final int MIN_CONNECTIONS_FOR_TWO_CONTROL = 8;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_BODY_BYTES = 16_777_216;
 
-    /** Below the 60 s after which common servers close idle connections, so that a reused one is rarely stale. */
+    /** Below the 60 s after which common servers close idle connections, so that a reused connection is rarely stale. */
     private static final long IDLE_TIMEOUT_MS = 30_000;
 
     private static final int MAX_QUEUED_CONTROL_CALLS = 1_024;
     private static final long CONTROL_TIMEOUT_MS = 1_000;
     private static final long WARM_UP_INTERVAL_MS = 5_000;
 
-    /** Time given to a server to report at the deadline that it did not execute the call. */
+    /** Time after the deadline in which the server can still report that it did not execute the call. */
     private static final long DEADLINE_GRACE_MS = 100;
 
-    /** Bounds the time-out of a call, so that its arithmetic in nanoseconds cannot overflow. */
+    /** Limit on the timeout of a call (one day), so that its conversion to nanoseconds cannot overflow. */
     private static final long MAX_DEADLINE_MS = 86_400_000;
 
-    /** The server process was replaced since its clock was last seen; its answer carries the new clock. */
+    /** The server process was replaced since its clock was last read; the response contains the clock of the new one. */
     private static final int STATUS_CLOCK_MISMATCH = 412;
 
     private final HttpClient requestClient;
@@ -65,7 +66,7 @@
     private final TimerService.Subscription warmUpTimer;
     private final ServerClockEstimate serverClock;
 
-    /** Connects; the group and the timers are the property of the caller. */
+    /** Opens connections to a server; the caller closes the group and the timers. */
     public HttpBackendServer(EventLoopGroup group, TimerService timers, BackendInfo info) {
         int max = info.maxConnections();
         int controlConnections = max == 1 ? 0 : max < MIN_CONNECTIONS_FOR_TWO_CONTROL ? 1 : MAX_CONTROL_CONNECTIONS;
@@ -93,7 +94,7 @@
         return BackendResponses.toAnswer(request.id(), requestClient.send(httpRequest, timeoutMs));
     }
 
-    /** Headers of the protocol replace those of the caller with the same names. */
+    /** Returns the headers of the request; headers of the protocol replace headers of the caller with the same names. */
     private static List<Header> headers(BackendCall call) {
         CallerRequest request = call.request();
         List<Header> headers = new ArrayList<>(request.headers().size() + 4);
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -20,19 +20,19 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Object store over HTTP; the protocol is in {@code docs/PROTOCOL_STORE.md}.
+ * Client of an object store over HTTP; see {@code docs/PROTOCOL_STORE.md} for the protocol.
  *
- * <p>Thread safe. Each method sends at most one HTTP request; nothing is repeated. Watches have connections of their
- * own, so that waiting watches never delay other calls.
+ * <p>Thread safe. Each method sends at most one HTTP request and never repeats it. Watches use dedicated connections, so
+ * that waiting watches do not delay other calls.
  */
 public final class HttpObjectStore implements ObjectStore {
-    /** Largest value that the store takes. */
+    /** Maximum size of a value that the store accepts. */
     public static final int MAX_VALUE_BYTES = 1_048_576;
 
     private static final int CALL_CONNECTIONS = 8;
     private static final int WATCH_CONNECTIONS = 8;
 
-    /** A listing holds values in base64 and can exceed the limit of one object many times. */
+    /** A listing contains many objects, with values in base64, so it can be many times larger than one object. */
     private static final int MAX_RESPONSE_BYTES = 67_108_864;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
@@ -44,10 +44,10 @@
     private final long callTimeoutMs;
 
     /**
-     * A client; connections are opened on demand.
+     * Creates a client, which opens connections on demand.
      *
-     * @param group I/O threads, property of the caller
-     * @param callTimeoutMs time until a call without an answer fails; for a watch it is added to the waiting time
+     * @param group I/O threads, closed by the caller
+     * @param callTimeoutMs timeout of a call; for a watch it is added to the waiting time
      */
     public HttpObjectStore(EventLoopGroup group, HostAddress address, long callTimeoutMs) {
         this.callTimeoutMs = callTimeoutMs;
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendResponses.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/BackendResponses.java
@@ -12,9 +12,10 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 
 /**
- * Maps answers and failures of a backend server to result codes. Stateless.
+ * Maps HTTP responses and failures of a backend server to result codes. Stateless.
  *
- * <p>A call is reported as not executed only if it was not sent or the server said so in {@code Crank-Not-Run}.
+ * <p>A call is reported as not executed only if it was not sent, or if the response has the header
+ * {@code Crank-Not-Run}.
  */
 public final class BackendResponses {
     public static final String REQUEST_ID = "crank-request-id";
@@ -22,21 +23,23 @@
     public static final String FENCE = "crank-fence";
     public static final String DEADLINE_MS = "crank-deadline-ms";
 
-    /** Headers that the adapter sets and a caller cannot. */
+    /** Headers that only the adapter sets; they are removed from requests of callers. */
     public static final Set<String> REQUEST_HEADERS = Set.of(REQUEST_ID, KEY, FENCE, DEADLINE_MS);
 
     private static final String NOT_RUN = "crank-not-run";
     private static final String REASON = "crank-reason";
 
-    /** Statuses by which a server or something in front of it says that it has no result of the call. */
+    /** Statuses with which a server or a proxy in front of it reports that it has no result of the call. */
     private static final Set<Integer> GATEWAY_ERROR_STATUSES = Set.of(502, 503, 504);
 
     private static final int MIN_FINAL_STATUS = 200;
     private static final int MAX_FINAL_STATUS = 599;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_CONFLICT = 409;
 
     private BackendResponses() {}
 
-    /** Outcome of an execution. */
+    /** Converts the response to a request into an answer, or its failure into a result code. */
     public static CompletableFuture<CallerAnswer> toAnswer(
             RequestId id, CompletableFuture<HttpResponse> responseFuture) {
         return responseFuture.handle((response, failure) -> {
@@ -50,7 +53,7 @@
                     || response.status() > MAX_FINAL_STATUS
                     || GATEWAY_ERROR_STATUSES.contains(response.status())) {
                 throw new CrankException(
-                        ResultCode.OUTCOME_UNKNOWN, id + ": backend server answered " + response.status());
+                        ResultCode.OUTCOME_UNKNOWN, id + ": backend server responded with status " + response.status());
             }
             return CallerAnswer.executed(response.status(), response.headers(), response.body());
         });
@@ -64,10 +67,10 @@
             case "deadline" -> ResultCode.DEADLINE_EXPIRED;
             default -> ResultCode.BACKEND_UNAVAILABLE;
         };
-        return new CrankException(code, id + ": backend server did not execute, reason " + reason);
+        return new CrankException(code, id + ": backend server did not execute the request, reason " + reason);
     }
 
-    /** Answer of a control call; its failures tell whether the call was sent. */
+    /** Converts the failure of a control call into a result code that states whether the call was sent. */
     public static CompletableFuture<HttpResponse> requireResponse(CompletableFuture<HttpResponse> responseFuture) {
         return responseFuture.handle((response, failure) -> {
             if (failure != null) {
@@ -85,25 +88,25 @@
                 failure);
     }
 
-    /** Sequence in the answer to a grant, accepted (200) or rejected as old (409). */
+    /** Returns the sequence in the response to a grant that was accepted (200) or rejected as outdated (409). */
     public static long grantSequence(HttpResponse response) {
-        if (response.status() != 409) {
+        if (response.status() != STATUS_CONFLICT) {
             requireOk(response);
         }
         JsonNode sequence = JsonCodec.decode(response.body(), JsonNode.class).path("sequence");
         if (!sequence.isIntegralNumber()) {
-            throw new CrankException(ResultCode.OUTCOME_UNKNOWN, "answer to a grant has no sequence");
+            throw new CrankException(ResultCode.OUTCOME_UNKNOWN, "response to a grant has no sequence");
         }
         return sequence.asLong();
     }
 
-    /** Fails unless the server accepted a control call. */
+    /** Throws unless the server accepted a control call. */
     public static void requireOk(HttpResponse response) {
-        if (response.status() != 200) {
+        if (response.status() != STATUS_OK) {
             boolean notRun = response.header(NOT_RUN).filter("true"::equals).isPresent();
             throw new CrankException(
                     notRun ? ResultCode.BACKEND_UNAVAILABLE : ResultCode.OUTCOME_UNKNOWN,
-                    "control call answered with status " + response.status());
+                    "response to a control call has status " + response.status());
         }
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
@@ -6,18 +6,18 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * What is known of the monotonic clock of a backend server, so that the validity of a grant can count from its sending.
+ * Estimate of the monotonic clock of a backend server, so that the validity of a grant can be measured from its sending.
  *
- * <p>A server that is frozen for a while may find a grant in its receive buffer on return. Counted from arrival, that
- * grant would be valid although its sender has long given it up. The estimate is the server's clock of its latest
- * control answer plus the local time since that answer arrived, so it never runs ahead of the server's clock beyond
- * drift. Thread safe.
+ * <p>A server process that was suspended may find an old grant in its receive buffer when it resumes. If validity were
+ * measured from arrival, that grant would be valid although the daemon has already treated it as expired. The estimate is
+ * the clock in the latest response to a control call plus the local time since that response arrived, so it exceeds the
+ * server's clock by drift at most. Thread safe.
  */
 public final class ServerClockEstimate {
     private static final String CLOCK_HEADER = "crank-clock";
     private static final String SENT_AT_HEADER = "crank-sent-at";
 
-    /** Instance of the server process, its clock in an answer, and the local time at which the answer arrived. */
+    /** Server process, its clock in a response, and the local time at which the response arrived. Immutable. */
     private record Observation(String instance, long serverNanos, long localNanos) {}
 
     private final MonotonicClock clock;
@@ -31,7 +31,7 @@
         return latest != null;
     }
 
-    /** Takes over the clock of an answer, if the server states one as {@code instance:nanos}. */
+    /** Records the clock in a response, if the server sends one as {@code instance:nanos}. */
     public void observe(HttpResponse response) {
         String value = response.header(CLOCK_HEADER).orElse("");
         int colon = value.indexOf(':');
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The present time on the server's clock, as a header; empty if the server never stated its clock. */
+    /** Returns the current time on the server's clock as a header; empty if the server's clock is not known. */
     public List<Header> sentAtHeader() {
         Observation observation = latest;
         if (observation == null) {
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
@@ -13,43 +13,54 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Maps answers and failures of the store's protocol to values and result codes. Stateless.
+ * Maps HTTP responses and failures of the store to values and result codes. Stateless.
  *
- * <p>A write is reported as without effect only if the request was not sent or the store said so; every other failure
- * of a write, an unreadable answer included, is {@code WRITE_UNANSWERED}.
+ * <p>A write is reported as having had no effect only if the request was not sent or the store rejected it. Every other
+ * failure of a write, including a malformed response, is {@code WRITE_UNANSWERED}.
  */
 public final class StoreResponses {
     public static final String EXPECTED_REVISION_HEADER = "crank-expected-revision";
 
     private static final String REVISION_HEADER = "crank-revision";
     private static final String NOT_RUN_HEADER = "crank-not-run";
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int STATUS_CONFLICT = 409;
+    private static final int STATUS_CONTENT_TOO_LARGE = 413;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
+    private static final int FIRST_STATUS_AFTER_SERVER_ERRORS = 600;
 
     private StoreResponses() {}
 
-    /** Outcome of a read; a read has no effect, so every lost answer is {@code STORE_UNAVAILABLE}. */
+    /**
+     * Converts the response to a read. A read has no effect, so every failure and server error is
+     * {@code STORE_UNAVAILABLE}.
+     */
     public static <T> CompletableFuture<T> read(
             CompletableFuture<HttpResponse> responseFuture, Function<HttpResponse, T> decoder) {
         return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw new CrankException(ResultCode.STORE_UNAVAILABLE, "read failed: " + failure.getMessage(), failure);
             }
-            if (response.status() >= 500 && response.status() < 600) {
-                throw new CrankException(ResultCode.STORE_UNAVAILABLE, "store answered " + response.status());
+            if (response.status() >= FIRST_SERVER_ERROR_STATUS
+                    && response.status() < FIRST_STATUS_AFTER_SERVER_ERRORS) {
+                throw new CrankException(
+                        ResultCode.STORE_UNAVAILABLE, "the store responded with status " + response.status());
             }
             return decoder.apply(response);
         });
     }
 
-    /** Outcome of a conditional write: the new revision. */
+    /** Converts the response to a conditional write into the new revision. */
     public static CompletableFuture<Revision> write(String name, CompletableFuture<HttpResponse> responseFuture) {
         return responseFuture.handle((response, failure) -> {
             if (failure != null) {
                 throw writeFailure(name, failure);
             }
-            if (response.status() == 200) {
+            if (response.status() == STATUS_OK) {
                 return revision(response)
                         .orElseThrow(() -> new CrankException(
-                                ResultCode.WRITE_UNANSWERED, "answer to write of " + name + " has no revision"));
+                                ResultCode.WRITE_UNANSWERED, "response to the write of " + name + " has no revision"));
             }
             throw rejection(name, response);
         });
@@ -65,31 +76,33 @@
 
     private static CrankException rejection(String name, HttpResponse response) {
         int status = response.status();
-        if (status == 409) {
+        if (status == STATUS_CONFLICT) {
             return new CrankException(
                     ResultCode.REVISION_CONFLICT,
                     name + " has revision "
                             + revision(response).map(Revision::toString).orElse("unknown"));
         }
         boolean notExecuted =
-                response.header(NOT_RUN_HEADER).filter("true"::equals).isPresent() || status == 413;
+                response.header(NOT_RUN_HEADER).filter("true"::equals).isPresent()
+                        || status == STATUS_CONTENT_TOO_LARGE;
         return new CrankException(
                 notExecuted ? ResultCode.STORE_UNAVAILABLE : ResultCode.WRITE_UNANSWERED,
-                "write of " + name + " answered with status " + status);
+                "response to the write of " + name + " has status " + status);
     }
 
-    /** The object of a get, or empty for status 404. */
+    /** Decodes the object in the response to a get; empty if the store has no such object. */
     public static Optional<StoredObject> object(String name, HttpResponse response) {
-        if (response.status() == 404 && response.header(REVISION_HEADER).isPresent()) {
+        if (response.status() == STATUS_NOT_FOUND
+                && response.header(REVISION_HEADER).isPresent()) {
             return Optional.empty();
         }
         requireOk(response);
         Revision revision = revision(response)
-                .orElseThrow(() -> new CrankException(ResultCode.STORE_MALFORMED, "answer has no revision"));
+                .orElseThrow(() -> new CrankException(ResultCode.STORE_MALFORMED, "response has no revision"));
         return Optional.of(StoredObject.of(name, revision, response.body()));
     }
 
-    /** The batch of a listing or watch. */
+    /** Decodes the batch in the response to a listing or a watch. */
     public static WatchBatch batch(HttpResponse response) {
         requireOk(response);
         WatchBatch batch = JsonCodec.decode(response.body(), WatchBatch.class);
@@ -98,13 +111,13 @@
                         .anyMatch(
                                 object -> object.name() == null || object.revision() == null || object.value() == null);
         if (incomplete) {
-            throw new CrankException(ResultCode.STORE_MALFORMED, "listing lacks a field");
+            throw new CrankException(ResultCode.STORE_MALFORMED, "the listing or an object in it lacks a required field");
         }
         return batch;
     }
 
     private static void requireOk(HttpResponse response) {
-        if (response.status() != 200) {
+        if (response.status() != STATUS_OK) {
             throw new CrankException(ResultCode.STORE_MALFORMED, "unexpected status " + response.status());
         }
     }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/UrlEncoding.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/UrlEncoding.java
@@ -7,12 +7,12 @@
 public final class UrlEncoding {
     private UrlEncoding() {}
 
-    /** Encodes all but unreserved characters. */
+    /** Encodes all characters except unreserved ones. */
     public static String encode(String text) {
         return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
     }
 
-    /** As {@link #encode}, but keeps slashes. */
+    /** Like {@link #encode}, but leaves slashes unencoded. */
     public static String encodePath(String text) {
         return encode(text).replace("%2F", "/");
     }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/package-info.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Parts of the HTTP adapters. */
+/** Internals of the HTTP adapters: mapping of responses, clock estimate, and URL encoding. */
 package org.coriandercrank.adapters.internal;
