--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpAdapterPlugin.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpAdapterPlugin.java
@@ -12,8 +12,8 @@
 /**
  * Registers the store adapter and the backend server adapter named {@code http}. Thread safe.
  *
- * <p>All adapters that one registration opens share its I/O and timer threads. These are JVM daemon threads and run until
- * the process ends.
+ * <p>All adapters that one registration opens share its I/O and timer threads. These are JVM daemon threads and run
+ * until the process ends.
  */
 public final class HttpAdapterPlugin implements Plugin {
     /** Name of both adapters in the {@link PluginRegistry}. */
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -31,8 +31,8 @@
  *
  * <p>Thread safe. Invariants: requests and control calls together use at most {@code maxConnections} connections of
  * {@link BackendInfo}; a request is written to at most one connection and never repeated. Control calls use one or two
- * dedicated connections, so that they do not wait behind requests. If the server allows only one connection, requests and
- * control calls share it.
+ * dedicated connections, so that they do not wait behind requests. If the server allows only one connection, requests
+ * and control calls share it.
  */
 public final class HttpBackendServer implements BackendServer {
     private static final int MAX_CONTROL_CONNECTIONS = 2;
@@ -43,7 +43,9 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_BODY_BYTES = 16_777_216;
 
-    /** Below the 60 s after which common servers close idle connections, so that a reused connection is rarely stale. */
+    /**
+     * Below the 60 s after which common servers close idle connections, so that a reused connection is rarely stale.
+     */
     private static final long IDLE_TIMEOUT_MS = 30_000;
 
     private static final int MAX_QUEUED_CONTROL_CALLS = 1_024;
@@ -56,7 +58,9 @@
     /** Limit on the timeout of a call (one day), so that its conversion to nanoseconds cannot overflow. */
     private static final long MAX_DEADLINE_MS = 86_400_000;
 
-    /** The server process was replaced since its clock was last read; the response contains the clock of the new one. */
+    /**
+     * The server process was replaced since its clock was last read; the response contains the clock of the new one.
+     */
     private static final int STATUS_CLOCK_MISMATCH = 412;
 
     private final HttpClient requestClient;
@@ -94,7 +98,9 @@
         return BackendResponses.toAnswer(request.id(), requestClient.send(httpRequest, timeoutMs));
     }
 
-    /** Returns the headers of the request; headers of the protocol replace headers of the caller with the same names. */
+    /**
+     * Returns the headers of the request; headers of the protocol replace headers of the caller with the same names.
+     */
     private static List<Header> headers(BackendCall call) {
         CallerRequest request = call.request();
         List<Header> headers = new ArrayList<>(request.headers().size() + 4);
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -22,8 +22,8 @@
 /**
  * Client of an object store over HTTP; see {@code docs/PROTOCOL_STORE.md} for the protocol.
  *
- * <p>Thread safe. Each method sends at most one HTTP request and never repeats it. Watches use dedicated connections, so
- * that waiting watches do not delay other calls.
+ * <p>Thread safe. Each method sends at most one HTTP request and never repeats it. Watches use dedicated connections,
+ * so that waiting watches do not delay other calls.
  */
 public final class HttpObjectStore implements ObjectStore {
     /** Maximum size of a value that the store accepts. */
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
@@ -6,12 +6,13 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Estimate of the monotonic clock of a backend server, so that the validity of a grant can be measured from its sending.
+ * Estimate of the monotonic clock of a backend server, so that the validity of a grant can be measured from its
+ * sending.
  *
  * <p>A server process that was suspended may find an old grant in its receive buffer when it resumes. If validity were
- * measured from arrival, that grant would be valid although the daemon has already treated it as expired. The estimate is
- * the clock in the latest response to a control call plus the local time since that response arrived, so it exceeds the
- * server's clock by drift at most. Thread safe.
+ * measured from arrival, that grant would be valid although the daemon has already treated it as expired. The estimate
+ * is the clock in the latest response to a control call plus the local time since that response arrived, so it exceeds
+ * the server's clock by drift at most. Thread safe.
  */
 public final class ServerClockEstimate {
     private static final String CLOCK_HEADER = "crank-clock";
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/StoreResponses.java
@@ -111,7 +111,8 @@
                         .anyMatch(
                                 object -> object.name() == null || object.revision() == null || object.value() == null);
         if (incomplete) {
-            throw new CrankException(ResultCode.STORE_MALFORMED, "the listing or an object in it lacks a required field");
+            throw new CrankException(
+                    ResultCode.STORE_MALFORMED, "the listing or an object in it lacks a required field");
         }
         return batch;
     }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -205,8 +205,8 @@
     }
 
     /**
-     * Sets the member state to leaving, so that the planner moves all ranges to other members; completes when the member
-     * record has that state.
+     * Sets the member state to leaving, so that the planner moves all ranges to other members; completes when the
+     * member record has that state.
      */
     public CompletableFuture<Void> leave() {
         return control.leave();
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
@@ -17,8 +17,8 @@
  *
  * <p>Invariant: the fencing token of a key never decreases, because a server rejects a row if it has seen a newer token
  * on one of its keys. A range that is no longer merged with its neighbour therefore keeps the token of the merged row.
- * This is safe because each token is the generation of an assignment table in which this server owned the row, and later
- * owners receive newer tokens. Not thread safe.
+ * This is safe because each token is the generation of an assignment table in which this server owned the row, and
+ * later owners receive newer tokens. Not thread safe.
  */
 final class GrantRowMerger {
     private final int maxRows;
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Returns the ranges, each with the newest of its own fencing token and the tokens of the rows that overlap it. Takes
-     * one pass over both lists, because servers hold hundreds of ranges and send a heartbeat every 100 ms while they
-     * release some of them.
+     * Returns the ranges, each with the newest of its own fencing token and the tokens of the rows that overlap it.
+     * Takes one pass over both lists, because servers hold hundreds of ranges and send a heartbeat every 100 ms while
+     * they release some of them.
      *
      * @param ranges sorted and without overlaps
      * @param rows sorted and without overlaps
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -18,8 +18,9 @@
  * Delivers grants to a backend server in the responses to its heartbeats.
  *
  * <p>Thread safe. The validity of a grant starts when it is offered, so a grant that is delivered in a later response
- * never outlasts the validity that the gate assumes. A grant is acknowledged once it was sent in response to a heartbeat
- * that reports no other range as held; a server that must first release ranges acknowledges it with a later heartbeat.
+ * never outlasts the validity that the gate assumes. A grant is acknowledged once it was sent in response to a
+ * heartbeat that reports no other range as held; a server that must first release ranges acknowledges it with a later
+ * heartbeat.
  */
 public final class HeartbeatGrants {
     /**
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Replaces the grant to be delivered. Completes with the sequence of the grant when the server acknowledges it; fails
-     * if a newer grant replaces it first.
+     * Replaces the grant to be delivered. Completes with the sequence of the grant when the server acknowledges it;
+     * fails if a newer grant replaces it first.
      */
     public CompletableFuture<Long> offer(Grant grant) {
         CompletableFuture<Long> superseded;
@@ -77,7 +78,8 @@
     }
 
     /**
-     * Processes a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews nothing.
+     * Processes a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews
+     * nothing.
      *
      * @param heartbeatSequence increases with each heartbeat; a heartbeat that arrives after a later one renews nothing
      * @param reported rows that the server holds or still executes requests for
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -25,8 +25,8 @@
         /**
          * Attach the server and join as a new member.
          *
-         * @param life number of members that this incarnation has had without another incarnation in between, from 1 on;
-         *     part of the member id
+         * @param life number of members that this incarnation has had without another incarnation in between, from 1
+         *     on; part of the member id
          * @param joinAfterMs delay before the join, in which the server may still hold ranges of its previous member
          */
         record Attach(ServerIncarnation server, int life, long joinAfterMs) implements Action {}
@@ -87,8 +87,8 @@
     /**
      * Processes a heartbeat.
      *
-     * @param sequence increases with each heartbeat of an incarnation; a heartbeat with a lower sequence was delayed and
-     *     is ignored
+     * @param sequence increases with each heartbeat of an incarnation; a heartbeat with a lower sequence was delayed
+     *     and is ignored
      * @param serverLeaving whether the heartbeat announces that the server will end
      */
     public List<Action> onHeartbeat(ServerIncarnation server, long sequence, boolean serverLeaving, long nowNanos) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/BackendFailureDetector.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/BackendFailureDetector.java
@@ -28,8 +28,8 @@
     /**
      * Creates the detector for a server that was just announced.
      *
-     * @param honoursValidity whether the server stops serving when its grant expires; otherwise silence is not a failure,
-     *     because the server may still serve its ranges
+     * @param honoursValidity whether the server stops serving when its grant expires; otherwise silence is not a
+     *     failure, because the server may still serve its ranges
      */
     BackendFailureDetector(boolean honoursValidity) {
         this.honoursValidity = honoursValidity;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Waits until all ranges have moved to other members and all requests are answered, then seals the member record. The
-     * caller limits the total time.
+     * Waits until all ranges have moved to other members and all requests are answered, then seals the member record.
+     * The caller limits the total time.
      */
     private CompletableFuture<Void> shutDownGracefully() {
         host.stopAccepting();
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
@@ -13,7 +13,8 @@
  * The notes that led to a configuration, as far back as the configuration lists them. Immutable.
  *
  * <p>An accepted note replaces exactly the revision that it is based on. The revision at which a note was accepted is
- * therefore the one that the next accepted note is based on; for the latest note it is the revision of the configuration.
+ * therefore the one that the next accepted note is based on; for the latest note it is the revision of the
+ * configuration.
  *
  * @param revision revision of the configuration in the store
  */
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
@@ -21,8 +21,8 @@
 import org.coriandercrank.note.ReleaseNote.Subject;
 
 /**
- * Parses the JSON form of a release note and collects all errors of its structure. Not thread safe; use one instance for
- * each note.
+ * Parses the JSON form of a release note and collects all errors of its structure. Not thread safe; use one instance
+ * for each note.
  */
 public final class NoteParser {
     private static final Set<String> NOTE_FIELDS = Set.of("id", "basedOn", "add", "change", "withdraw");
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -35,7 +35,9 @@
     /** Result of claiming the id of a note. */
     private enum Claim {
         NEW,
-        /** Another submission of the same text may have sent a write of the configuration that can still take effect. */
+        /**
+         * Another submission of the same text may have sent a write of the configuration that can still take effect.
+         */
         RESUMED,
         /** Another note has the id. */
         DENIED
