--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -18,11 +18,12 @@
 import org.coriandercrank.note.NoteRecord.State;
 
 /**
- * Submits a release note. Not thread safe; use one per submission. {@link #submit} blocks.
+ * Submits a release note. Not thread safe; use one instance for each submission. {@link #submit} blocks.
  *
  * <p>The note takes effect by one write of the configuration, conditional on the revision that the note is based on.
- * While the configuration still has that revision, an unanswered write may take effect later, so the same write is
- * repeated until the revision has moved on; then the ids of recent notes tell whether this note was accepted.
+ * While the configuration still has that revision, an unanswered write may take effect later. The same write is
+ * therefore repeated until the configuration has another revision; the ids of its recent notes then show whether this
+ * note was accepted.
  *
  * <p>Invariant: {@link ResultCode#STORE_UNAVAILABLE} is the result only if this submission left no write of the
  * configuration that may still take effect; otherwise it is {@link ResultCode#WRITE_UNANSWERED}.
@@ -31,10 +32,14 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long RETRY_PAUSE_MS = 50;
 
+    /** Result of claiming the id of a note. */
     private enum Claim {
         NEW,
-        /** Another submission of the same text may have left a write of the configuration. */
+        /**
+         * Another submission of the same text may have sent a write of the configuration that can still take effect.
+         */
         RESUMED,
+        /** Another note has the id. */
         DENIED
     }
 
@@ -46,8 +51,9 @@
     /**
      * Prepares a submission.
      *
-     * @param store its time-out of a call should be well below {@code timeoutMs}, so that calls can be repeated
-     * @param environment may read the store and fail with {@link CrankException}; it is then repeated
+     * @param store its timeout of one call should be well below {@code timeoutMs}, so that calls can be repeated
+     * @param environment supplies the environment; may read the store, and is repeated if it fails because the store is
+     *     unavailable
      * @param timeoutMs time after which {@link #submit} gives up with {@link ResultCode#WRITE_UNANSWERED} or
      *     {@link ResultCode#STORE_UNAVAILABLE}
      */
@@ -57,7 +63,7 @@
         this.deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
     }
 
-    /** Submits a note; submitting the same text again is harmless. */
+    /** Submits a note. Idempotent: submitting the same text again has no further effect. */
     public SubmitResult submit(String text) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> parsed = parser.parse(text);
@@ -68,183 +74,190 @@
             return submitParsed(parsed.get(), text);
         } catch (CrankException e) {
             ResultCode code = writeMayTakeEffect ? ResultCode.WRITE_UNANSWERED : e.code();
-            return SubmitResult.refused(code, Revision.NONE, List.of());
+            return SubmitResult.rejected(code, Revision.NONE, List.of());
         }
     }
 
     private SubmitResult submitParsed(ReleaseNote note, String text) {
         AcceptanceHistory history = readHistory();
-        Optional<Acceptance> accepted = history.find(note.id());
-        if (accepted.isPresent()) {
-            return acceptedBefore(note, text, accepted.get());
+        Optional<Acceptance> acceptance = history.find(note.id());
+        if (acceptance.isPresent()) {
+            return resultOfEarlierAcceptance(note, text, acceptance.get());
         }
         if (!history.revision().equals(note.basedOn())) {
-            return superseded(note, text, history);
+            return resultAfterRevisionChange(note, text, history);
         }
-        NoteApplier application = new NoteApplier(history.configuration(), retry(environment));
-        Optional<Configuration> next = application.apply(note);
-        if (next.isEmpty()) {
-            return SubmitResult.invalid(ResultCode.NOTE_INVALID, application.errors());
+        NoteApplier applier = new NoteApplier(history.configuration(), readWithRetries(environment));
+        Optional<Configuration> newConfiguration = applier.apply(note);
+        if (newConfiguration.isEmpty()) {
+            return SubmitResult.invalid(ResultCode.NOTE_INVALID, applier.errors());
         }
         Claim claim = claimId(note, text, history);
         if (claim == Claim.DENIED) {
-            return SubmitResult.refused(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
+            return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
         writeMayTakeEffect = claim == Claim.RESUMED;
-        return writeConfiguration(note, text, JsonCodec.encode(next.get()));
+        return writeConfiguration(note, text, JsonCodec.encode(newConfiguration.get()));
     }
 
-    /** Writes until the outcome is certain. */
+    /** Repeats the write until its outcome is certain. */
     private SubmitResult writeConfiguration(ReleaseNote note, String text, byte[] configuration) {
         while (true) {
-            boolean mayTakeEffectBefore = writeMayTakeEffect;
+            boolean earlierWriteMayTakeEffect = writeMayTakeEffect;
             writeMayTakeEffect = true;
             try {
-                Revision accepted = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
+                Revision acceptance = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
                         .join();
-                recordState(note.id(), text, State.ACCEPTED, accepted);
-                return SubmitResult.accepted(accepted);
+                recordState(note.id(), text, State.ACCEPTED, acceptance);
+                return SubmitResult.accepted(acceptance);
             } catch (RuntimeException e) {
                 CrankException failure = CrankException.of(e);
-                requireRetryable(failure, ResultCode.REVISION_CONFLICT);
-                writeMayTakeEffect = mayTakeEffectBefore || failure.code() == ResultCode.WRITE_UNANSWERED;
+                rethrowUnlessRetryable(failure, ResultCode.REVISION_CONFLICT);
+                writeMayTakeEffect = earlierWriteMayTakeEffect || failure.code() == ResultCode.WRITE_UNANSWERED;
             }
             AcceptanceHistory history = readHistory();
-            Optional<Acceptance> accepted = history.find(note.id());
-            // Another text can have the id only on top of a later revision.
-            if (accepted.isPresent() && accepted.get().note().basedOn().equals(note.basedOn())) {
-                recordState(note.id(), text, State.ACCEPTED, accepted.get().revision());
-                return SubmitResult.accepted(accepted.get().revision());
+            Optional<Acceptance> acceptance = history.find(note.id());
+            // A note with the same id and another text can only be based on a later revision.
+            if (acceptance.isPresent() && acceptance.get().note().basedOn().equals(note.basedOn())) {
+                recordState(note.id(), text, State.ACCEPTED, acceptance.get().revision());
+                return SubmitResult.accepted(acceptance.get().revision());
             }
             if (!history.revision().equals(note.basedOn())) {
-                return superseded(note, text, history);
+                return resultAfterRevisionChange(note, text, history);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
-    private SubmitResult acceptedBefore(ReleaseNote note, String text, Acceptance accepted) {
+    private SubmitResult resultOfEarlierAcceptance(ReleaseNote note, String text, Acceptance acceptance) {
         boolean sameText = readRecord(note.id())
                 .map(object -> decodeRecord(object).text().equals(text))
                 .orElse(false);
-        if (!sameText || !accepted.note().basedOn().equals(note.basedOn())) {
-            return SubmitResult.refused(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
+        if (!sameText || !acceptance.note().basedOn().equals(note.basedOn())) {
+            return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
-        recordState(note.id(), text, State.ACCEPTED, accepted.revision());
-        return SubmitResult.accepted(accepted.revision());
+        recordState(note.id(), text, State.ACCEPTED, acceptance.revision());
+        return SubmitResult.accepted(acceptance.revision());
     }
 
     /**
-     * Result of a note that is based on another revision than the present one and is not listed as accepted. Its record
-     * decides if the list does not reach back far enough.
+     * Returns the result of a note that is not based on the current revision and is not listed as accepted. If the list
+     * of recent notes is incomplete since the revision of the note, the record of the note decides.
      */
-    private SubmitResult superseded(ReleaseNote note, String text, AcceptanceHistory history) {
-        Optional<NoteRecord> own = readRecord(note.id())
+    private SubmitResult resultAfterRevisionChange(ReleaseNote note, String text, AcceptanceHistory history) {
+        Optional<NoteRecord> ownRecord = readRecord(note.id())
                 .map(NoteSubmitter::decodeRecord)
-                .filter(known -> known.text().equals(text));
-        if (own.isPresent() && own.get().fate() == State.ACCEPTED) {
-            return SubmitResult.accepted(own.get().accepted());
+                .filter(existingRecord -> existingRecord.text().equals(text));
+        if (ownRecord.isPresent() && ownRecord.get().fate() == State.ACCEPTED) {
+            return SubmitResult.accepted(ownRecord.get().accepted());
         }
-        boolean certain = history.isCompleteSince(note.basedOn());
-        if (own.isPresent() && own.get().fate() == State.SUBMITTED && !certain) {
-            return SubmitResult.refused(ResultCode.WRITE_UNANSWERED, history.revision(), List.of());
+        boolean historyComplete = history.isCompleteSince(note.basedOn());
+        if (ownRecord.isPresent() && ownRecord.get().fate() == State.SUBMITTED && !historyComplete) {
+            return SubmitResult.rejected(ResultCode.WRITE_UNANSWERED, history.revision(), List.of());
         }
         if (history.revision().isNewerThan(note.basedOn())) {
             recordState(note.id(), text, State.REFUSED, Revision.NONE);
         }
-        return SubmitResult.refused(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
+        return SubmitResult.rejected(ResultCode.NOTE_CONFLICT, history.revision(), history.since(note.basedOn()));
     }
 
-    /** Records the note under its id; denied if the id belongs to another note that may be accepted. */
+    /** Records the note under its id. The claim is denied if another note has the id and may be accepted. */
     private Claim claimId(ReleaseNote note, String text, AcceptanceHistory history) {
-        NoteRecord claim = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
+        NoteRecord record = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
         while (true) {
             Optional<StoredObject> existing = readRecord(note.id());
             if (existing.isPresent()) {
-                NoteRecord known = decodeRecord(existing.get());
-                if (known.text().equals(text)) {
+                NoteRecord existingRecord = decodeRecord(existing.get());
+                if (existingRecord.text().equals(text)) {
                     return Claim.RESUMED;
                 }
-                if (!isCertainlyRefused(known, history)) {
+                if (!isDefinitelyRejected(existingRecord, history)) {
                     return Claim.DENIED;
                 }
             }
             Revision expected = existing.map(StoredObject::revision).orElse(Revision.NONE);
             try {
-                store.put(ObjectNames.note(note.id()), JsonCodec.encode(claim), expected)
+                store.put(ObjectNames.note(note.id()), JsonCodec.encode(record), expected)
                         .join();
                 return Claim.NEW;
             } catch (RuntimeException e) {
-                requireRetryable(CrankException.of(e), ResultCode.REVISION_CONFLICT);
+                rethrowUnlessRetryable(CrankException.of(e), ResultCode.REVISION_CONFLICT);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
-    /** Whether a recorded note, which the history does not list, can neither be accepted nor have been. */
-    private static boolean isCertainlyRefused(NoteRecord known, AcceptanceHistory history) {
-        return switch (known.fate()) {
+    /** Whether a recorded note that the history does not list has not been accepted and can no longer be accepted. */
+    private static boolean isDefinitelyRejected(NoteRecord existingRecord, AcceptanceHistory history) {
+        return switch (existingRecord.fate()) {
             case REFUSED -> true;
             case ACCEPTED -> false;
-            case SUBMITTED -> history.revision().isNewerThan(known.basedOn()) && history.isCompleteSince(known.basedOn());
+            case SUBMITTED ->
+                history.revision().isNewerThan(existingRecord.basedOn())
+                        && history.isCompleteSince(existingRecord.basedOn());
         };
     }
 
-    /** Best effort without repetition, and only in the record of this text: the configuration stays the source of truth. */
-    private void recordState(NoteId id, String text, State fate, Revision accepted) {
+    /**
+     * Updates the state in the record of this text. A failure is only logged and not retried, because the configuration
+     * is authoritative.
+     */
+    private void recordState(NoteId id, String text, State state, Revision acceptedRevision) {
         try {
             Optional<StoredObject> existing = store.get(ObjectNames.note(id)).join();
-            Optional<NoteRecord> own = existing.map(NoteSubmitter::decodeRecord)
-                    .filter(known -> known.text().equals(text) && known.fate() == State.SUBMITTED);
-            if (own.isPresent()) {
+            Optional<NoteRecord> ownRecord = existing.map(NoteSubmitter::decodeRecord)
+                    .filter(existingRecord ->
+                            existingRecord.text().equals(text) && existingRecord.fate() == State.SUBMITTED);
+            if (ownRecord.isPresent()) {
                 store.put(
                                 ObjectNames.note(id),
-                                JsonCodec.encode(own.get().withState(fate, accepted)),
+                                JsonCodec.encode(ownRecord.get().withState(state, acceptedRevision)),
                                 existing.get().revision())
                         .join();
             }
         } catch (RuntimeException e) {
             logger.atInfo().log(
                     "event=note-fate-not-recorded note=%s fate=%s reason=\"%s\"",
-                    id, fate, CrankException.of(e).getMessage());
+                    id, state, CrankException.of(e).getMessage());
         }
     }
 
     private AcceptanceHistory readHistory() {
-        return retry(() -> store.get(ObjectNames.CONFIGURATION).join())
+        return readWithRetries(() -> store.get(ObjectNames.CONFIGURATION).join())
                 .map(AcceptanceHistory::of)
                 .orElse(AcceptanceHistory.EMPTY);
     }
 
     private Optional<StoredObject> readRecord(NoteId id) {
-        return retry(() -> store.get(ObjectNames.note(id)).join());
+        return readWithRetries(() -> store.get(ObjectNames.note(id)).join());
     }
 
     private static NoteRecord decodeRecord(StoredObject object) {
         return JsonCodec.decode(object.value(), NoteRecord.class);
     }
 
-    private <T> T retry(Supplier<T> read) {
+    private <T> T readWithRetries(Supplier<T> read) {
         while (true) {
             try {
                 return read.get();
             } catch (RuntimeException e) {
-                requireRetryable(CrankException.of(e), ResultCode.STORE_UNAVAILABLE);
+                rethrowUnlessRetryable(CrankException.of(e), ResultCode.STORE_UNAVAILABLE);
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
-    private static void requireRetryable(CrankException failure, ResultCode alsoRetryable) {
+    private static void rethrowUnlessRetryable(CrankException failure, ResultCode alsoRetryable) {
         ResultCode code = failure.code();
         if (code != ResultCode.STORE_UNAVAILABLE && code != ResultCode.WRITE_UNANSWERED && code != alsoRetryable) {
             throw failure;
         }
     }
 
-    private void pause() {
+    private void pauseBeforeRetry() {
         if (System.nanoTime() - deadlineNanos > 0) {
-            throw new CrankException(ResultCode.STORE_UNAVAILABLE, "no certain answer of the store in the time given");
+            throw new CrankException(
+                    ResultCode.STORE_UNAVAILABLE, "the store gave no definite answer before the timeout");
         }
         try {
             Thread.sleep(RETRY_PAUSE_MS);
