--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -20,7 +20,7 @@
 import org.coriandercrank.ctl.internal.CtlCommand;
 import org.coriandercrank.ctl.internal.CtlResult;
 import org.coriandercrank.ctl.internal.CtlSettings;
-import org.coriandercrank.ctl.internal.Fleet;
+import org.coriandercrank.ctl.internal.ClusterReader;
 import org.coriandercrank.ctl.internal.NoteCommands;
 import org.coriandercrank.ctl.internal.StatusCommands;
 import org.coriandercrank.kernel.code.CrankException;
@@ -53,7 +53,7 @@
             "COMMAND [--FLAG VALUE]...\ncommands: " + String.join(", ", COMMANDS.keySet());
 
     /** What {@code --json true} prints. Immutable; the order of the fields is that of the text. */
-    private record Answer(int code, String name, Object result) {}
+    private record JsonOutput(int code, String name, Object result) {}
 
     private CrankCtl() {}
 
@@ -86,11 +86,11 @@
         PluginRegistry plugins = PluginRegistry.load();
         try (ObjectStore store = plugins.get(Kind.STORE, settings.storeAdapterName())
                 .open(settings.storeHostAddress(), settings.storeTimeoutMs())) {
-            Fleet fleet = new Fleet(store, group, plugins);
+            ClusterReader fleet = new ClusterReader(store, group, plugins);
             Commands commands = new Commands(
                     new NoteCommands(settings, fleet, () -> readNote(settings.noteFile()), err::println),
                     new StatusCommands(settings, fleet));
-            return print(COMMANDS.get(name).apply(commands).call(), settings, out);
+            return print(COMMANDS.get(name).apply(commands).execute(), settings, out);
         } catch (CrankException e) {
             return print(fail(e, err), settings, out);
         } finally {
@@ -117,7 +117,7 @@
         if (settings.printJson()) {
             out.println(new String(
                     JsonCodec.encode(
-                            new Answer(result.code().number(), result.code().name(), result.value())),
+                            new JsonOutput(result.code().number(), result.code().name(), result.value())),
                     StandardCharsets.UTF_8));
         } else {
             result.lines().forEach(out::println);
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/Fleet.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
@@ -28,7 +28,7 @@
 import org.coriandercrank.note.NoteApplier;
 
 /** What the store and the daemons say at present. Thread safe; methods block. */
-public final class Fleet {
+public final class ClusterReader {
     private static final int STATUS_OK = 200;
     private static final long STATUS_TIMEOUT_MS = 1_000;
 
@@ -36,13 +36,13 @@
     public record CurrentConfiguration(Revision revision, Configuration configuration) {}
 
     /** A member and what its daemon answered, if it did. Immutable. */
-    public record LiveMember(Member member, Optional<DaemonStatus> status) {}
+    public record MemberStatus(Member member, Optional<DaemonStatus> status) {}
 
     private final ObjectStore store;
     private final EventLoopGroup group;
     private final PluginRegistry plugins;
 
-    public Fleet(ObjectStore store, EventLoopGroup group, PluginRegistry plugins) {
+    public ClusterReader(ObjectStore store, EventLoopGroup group, PluginRegistry plugins) {
         this.store = store;
         this.group = group;
         this.plugins = plugins;
@@ -80,11 +80,11 @@
     }
 
     /** Members that are not sealed, with the status of their daemons, asked in parallel. */
-    List<LiveMember> liveMembers() {
-        List<CompletableFuture<LiveMember>> asked = new ArrayList<>();
+    List<MemberStatus> memberStatuses() {
+        List<CompletableFuture<MemberStatus>> asked = new ArrayList<>();
         for (Member member : members()) {
             if (member.state() != MemberState.SEALED) {
-                asked.add(status(member).thenApply(status -> new LiveMember(member, status)));
+                asked.add(status(member).thenApply(status -> new MemberStatus(member, status)));
             }
         }
         return asked.stream().map(CompletableFuture::join).toList();
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlCommand.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlCommand.java
@@ -3,5 +3,5 @@
 /** A command of {@code crankctl}; blocks until it has its result. */
 @FunctionalInterface
 public interface CtlCommand {
-    CtlResult call();
+    CtlResult execute();
 }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.coriandercrank.ctl.internal.Fleet.CurrentConfiguration;
+import org.coriandercrank.ctl.internal.ClusterReader.CurrentConfiguration;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.config.AcceptedNote;
@@ -31,23 +31,23 @@
     private static final long POLL_PERIOD_MS = 100;
 
     /** Result of {@link #check} without faults. Immutable. */
-    private record Valid(boolean valid, Revision revision) {}
+    private record ValidNote(boolean valid, Revision revision) {}
 
     /** The present revision and the notes accepted since the one that a note is based on. Immutable. */
     private record Conflict(Revision revision, List<AcceptedNote> newerNotes) {}
 
     private final CtlSettings settings;
-    private final Fleet fleet;
+    private final ClusterReader fleet;
     private final Supplier<String> noteText;
-    private final Progress progress;
+    private final ProgressListener progress;
 
     /** Prints a line while a command goes on. */
     @FunctionalInterface
-    public interface Progress {
+    public interface ProgressListener {
         void report(String line);
     }
 
-    public NoteCommands(CtlSettings settings, Fleet fleet, Supplier<String> noteText, Progress progress) {
+    public NoteCommands(CtlSettings settings, ClusterReader fleet, Supplier<String> noteText, ProgressListener progress) {
         this.settings = settings;
         this.fleet = fleet;
         this.noteText = noteText;
@@ -70,7 +70,7 @@
             return conflict(current.revision(), List.of());
         }
         return CtlResult.ok(
-                new Valid(true, current.revision()), List.of("valid against revision " + current.revision()));
+                new ValidNote(true, current.revision()), List.of("valid against revision " + current.revision()));
     }
 
     /** Submits a note and waits until it is in force on all live daemons or the time is over. */
@@ -109,9 +109,9 @@
             }
             revision = accepted.get();
         }
-        InForce inForce = InForce.of(revision, fleet.liveMembers());
-        ResultCode code = inForce.everywhere() ? ResultCode.OK : ResultCode.NOTE_NOT_IN_FORCE;
-        return new CtlResult(code, inForce, List.of(inForce.line()));
+        RolloutStatus inForce = RolloutStatus.of(revision, fleet.memberStatuses());
+        ResultCode code = inForce.reachesAllDaemons() ? ResultCode.OK : ResultCode.NOTE_NOT_IN_FORCE;
+        return new CtlResult(code, inForce, List.of(inForce.summaryLine()));
     }
 
     /** Recorded notes by the revision at which they were accepted; those that were not come first. */
@@ -181,14 +181,14 @@
     /** The note is accepted whatever happens here, so a fault of the store only ends in "not in force". */
     private CtlResult waitInForce(Revision revision) {
         long deadlineNanos = System.nanoTime() + settings.waitMs() * 1_000_000;
-        InForce last = new InForce(revision, 0, 0, List.of(), List.of());
+        RolloutStatus last = new RolloutStatus(revision, 0, 0, List.of(), List.of());
         String lastLine = "";
         while (true) {
             String line;
             try {
-                last = InForce.of(revision, fleet.liveMembers());
-                line = last.line();
-                if (last.everywhere()) {
+                last = RolloutStatus.of(revision, fleet.memberStatuses());
+                line = last.summaryLine();
+                if (last.reachesAllDaemons()) {
                     return CtlResult.ok(last, List.of(line));
                 }
             } catch (CrankException e) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/InForce.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/RolloutStatus.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.coriandercrank.ctl.internal.Fleet.LiveMember;
+import org.coriandercrank.ctl.internal.ClusterReader.MemberStatus;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
 
@@ -12,16 +12,16 @@
  * @param missing live members that follow an older revision
  * @param unreachable members that are not sealed and did not answer
  */
-public record InForce(Revision revision, int inForce, int live, List<MemberId> missing, List<MemberId> unreachable) {
-    public InForce {
+public record RolloutStatus(Revision revision, int inForce, int live, List<MemberId> missing, List<MemberId> unreachable) {
+    public RolloutStatus {
         missing = List.copyOf(missing);
         unreachable = List.copyOf(unreachable);
     }
 
-    static InForce of(Revision revision, List<LiveMember> members) {
+    static RolloutStatus of(Revision revision, List<MemberStatus> members) {
         List<MemberId> missing = new ArrayList<>();
         List<MemberId> unreachable = new ArrayList<>();
-        for (LiveMember live : members) {
+        for (MemberStatus live : members) {
             if (live.status().isEmpty()) {
                 unreachable.add(live.member().id());
             } else if (revision.isNewerThan(live.status().get().configurationRevision())) {
@@ -29,14 +29,14 @@
             }
         }
         int inForce = members.size() - missing.size() - unreachable.size();
-        return new InForce(revision, inForce, members.size(), missing, unreachable);
+        return new RolloutStatus(revision, inForce, members.size(), missing, unreachable);
     }
 
-    boolean everywhere() {
+    boolean reachesAllDaemons() {
         return missing.isEmpty() && unreachable.isEmpty();
     }
 
-    String line() {
+    String summaryLine() {
         return "revision " + revision + " in force on " + inForce + " of " + live + " daemons"
                 + (missing.isEmpty() ? "" : ", missing " + missing)
                 + (unreachable.isEmpty() ? "" : ", unreachable " + unreachable);
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.coriandercrank.ctl.internal.Fleet.CurrentConfiguration;
-import org.coriandercrank.ctl.internal.Fleet.LiveMember;
+import org.coriandercrank.ctl.internal.ClusterReader.CurrentConfiguration;
+import org.coriandercrank.ctl.internal.ClusterReader.MemberStatus;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.Key;
@@ -21,22 +21,22 @@
 /** Commands that show the state of the system. Not thread safe. */
 public final class StatusCommands {
     private final CtlSettings settings;
-    private final Fleet fleet;
+    private final ClusterReader fleet;
 
-    public StatusCommands(CtlSettings settings, Fleet fleet) {
+    public StatusCommands(CtlSettings settings, ClusterReader fleet) {
         this.settings = settings;
         this.fleet = fleet;
     }
 
     /** Answer of {@link #status}. Immutable. */
-    private record Report(InForce configuration, List<LiveMember> members) {}
+    private record Report(RolloutStatus configuration, List<MemberStatus> members) {}
 
     public CtlResult status() {
         CurrentConfiguration current = fleet.configuration();
-        List<LiveMember> live = fleet.liveMembers();
-        InForce inForce = InForce.of(current.revision(), live);
+        List<MemberStatus> live = fleet.memberStatuses();
+        RolloutStatus inForce = RolloutStatus.of(current.revision(), live);
         List<String> lines = new ArrayList<>();
-        lines.add(inForce.line());
+        lines.add(inForce.summaryLine());
         current.configuration()
                 .services()
                 .forEach(service -> lines.add("service " + service.name() + " keyed=" + service.keyed() + " placement="
@@ -108,10 +108,10 @@
             String reason) {}
 
     private Explanation explain(ServiceName service, Key key, RangeAssignment assignment) {
-        Optional<DaemonStatus> status = fleet.liveMembers().stream()
+        Optional<DaemonStatus> status = fleet.memberStatuses().stream()
                 .filter(live -> live.member().id().equals(assignment.owner()))
                 .findFirst()
-                .flatMap(LiveMember::status);
+                .flatMap(MemberStatus::status);
         String reason = whyNotServed(status, key, assignment);
         return new Explanation(
                 service,
@@ -139,7 +139,7 @@
         return "the owner does not serve the range yet";
     }
 
-    private static String memberLine(LiveMember live) {
+    private static String memberLine(MemberStatus live) {
         String id = live.member().id() + " " + live.member().state();
         return live.status()
                 .map(s -> id + " lease=" + s.leaseRemainingMs() + "ms configuration=" + s.configurationRevision()
--- a/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementFiguresTest.java
+++ b/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementResultTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.experiment.internal.OwnerChange.SeenTable;
-import org.coriandercrank.experiment.internal.ServerLoads.InForce;
+import org.coriandercrank.experiment.internal.OwnerChange.ObservedTable;
+import org.coriandercrank.experiment.internal.ServerLoads.ActivePeriod;
 import org.coriandercrank.kernel.code.Outcome;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.KeyHash;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against figures that hide moves, gaps or bad seconds. */
-class PlacementFiguresTest {
+class PlacementResultTest {
     private static final KeyHash QUARTER = new KeyHash(1L << 62);
     private static final KeyHash BELOW_QUARTER = new KeyHash((1L << 62) - 1);
     private static final MemberId A = new MemberId("a-1");
@@ -63,11 +63,11 @@
                 executions,
                 Map.of(
                         "a",
-                        new InForce(0, Long.MAX_VALUE),
+                        new ActivePeriod(0, Long.MAX_VALUE),
                         "b",
-                        new InForce(0, Long.MAX_VALUE),
+                        new ActivePeriod(0, Long.MAX_VALUE),
                         "c",
-                        new InForce(5_000, 6_000)));
+                        new ActivePeriod(5_000, 6_000)));
 
         assertThat(loads.perSecond()).containsExactly(2.0, 1.0, 0.0);
         assertThat(loads.p95Imbalance()).isEqualTo(2.0);
@@ -78,7 +78,7 @@
         List<Execution> executions = List.of(execution("a", "1", 10, 1), execution("b", "2", 20, 1));
 
         ServerLoads loads = ServerLoads.of(
-                0, 1_000, executions, Map.of("a", new InForce(0, Long.MAX_VALUE), "b", new InForce(-10, 0)));
+                0, 1_000, executions, Map.of("a", new ActivePeriod(0, Long.MAX_VALUE), "b", new ActivePeriod(-10, 0)));
 
         assertThat(loads.perSecond()).containsExactly(0.5);
     }
@@ -118,8 +118,8 @@
         assertThat(MoveGaps.percentile(List.of(), 99)).isZero();
     }
 
-    private static SeenTable seen(long generation, RangeAssignment... ranges) {
-        return new SeenTable(
+    private static ObservedTable seen(long generation, RangeAssignment... ranges) {
+        return new ObservedTable(
                 0, new AssignmentTable(new ServiceName("desk"), new Generation(generation), List.of(ranges)));
     }
 
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/CrankExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/CrankExperiment.java
@@ -23,10 +23,10 @@
     private static void run(ExperimentSettings settings) {
         switch (settings.experiment()) {
             case "placement" -> new PlacementExperiment(settings, System.out::println).call();
-            case "overload" -> new OverloadExperiment(settings, System.out::println).call();
+            case "overload" -> new OverloadExperiment(settings, System.out::println).run();
             default -> {
                 FleetExperiment experiment = new FleetExperiment(settings, System.out::println);
-                settings.sizes().forEach(experiment::call);
+                settings.sizes().forEach(experiment::run);
             }
         }
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Waits.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Await.java
@@ -4,11 +4,11 @@
 import java.util.function.BooleanSupplier;
 
 /** Blocking waits of experiments. Stateless. */
-final class Waits {
+final class Await {
     private static final long START_LIMIT_MS = 120_000;
     private static final long POLL_MS = 20;
 
-    private Waits() {}
+    private Await() {}
 
     /** Polls a condition; fails after two minutes. */
     static void until(String what, BooleanSupplier condition) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -46,25 +46,25 @@
     }
 
     /** Measures one size; blocks. */
-    public void call(int size) {
+    public void run(int size) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         List<CrankBackend> backends = new ArrayList<>();
         Path directory = ServiceSite.createDirectory();
         try (Site site = new Site(directory, specs(size));
-                FleetProbe probe = new FleetProbe(site, group);
+                FleetSampler probe = new FleetSampler(site, group);
                 ObjectStore store =
                         PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), 5_000)) {
             site.hosts().forEach(host -> host.startDaemon(List.of("--log-level", "WARNING")));
             site.hosts().forEach(host -> backends.add(backend(host)));
-            Waits.until(
+            Await.until(
                     "all daemons have a backend server",
                     () -> site.hosts().stream().allMatch(h -> hasBackend(probe, h)));
             submit(
                     store,
                     "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + SERVICE
                             + "\",\"keyed\":true}]}}");
-            Waits.until("all hosts serve ranges", () -> site.hosts().stream().allMatch(h -> serves(probe, h)));
-            Waits.sleep(settings.settleMs());
+            Await.until("all hosts serve ranges", () -> site.hosts().stream().allMatch(h -> serves(probe, h)));
+            Await.sleep(settings.settleMs());
             measureRest(size, probe);
             measureChanges(size, site, probe, store);
         } finally {
@@ -94,10 +94,10 @@
         return CrankBackend.start(backend);
     }
 
-    private void measureRest(int size, FleetProbe probe) {
-        Sample before = probe.sample();
-        Waits.sleep(settings.sampleMs());
-        Sample after = probe.sample();
+    private void measureRest(int size, FleetSampler probe) {
+        FleetSample before = probe.sample();
+        Await.sleep(settings.sampleMs());
+        FleetSample after = probe.sample();
         double seconds = (after.atNanos() - before.atNanos()) / NANOS_PER_SECOND;
         double perDaemon = seconds * size;
         out.accept(String.format(
@@ -114,9 +114,9 @@
                 (after.storeWatches() - before.storeWatches()) / seconds));
     }
 
-    private void measureChanges(int size, Site site, FleetProbe probe, ObjectStore store) {
+    private void measureChanges(int size, Site site, FleetSampler probe, ObjectStore store) {
         for (int change = 1; change <= settings.changes(); change++) {
-            Sample before = probe.sample();
+            FleetSample before = probe.sample();
             Revision base = store.get("config/current").join().orElseThrow().revision();
             Revision accepted = submit(
                     store,
@@ -125,11 +125,11 @@
                             + (100 + change)
                             + "}]}}");
             long acceptedNanos = System.nanoTime();
-            Waits.until(
+            Await.until(
                     "the change is in force everywhere",
                     () -> site.hosts().stream().allMatch(h -> follows(probe, h, accepted)));
             double everywhereMs = (System.nanoTime() - acceptedNanos) / 1e6;
-            Sample after = probe.sample();
+            FleetSample after = probe.sample();
             out.accept(String.format(
                     "size %d: change in force everywhere after %.0f ms; store reads %d, writes %d, watches %d",
                     size,
@@ -150,15 +150,15 @@
         return result.revision();
     }
 
-    private static boolean hasBackend(FleetProbe probe, SiteHost host) {
+    private static boolean hasBackend(FleetSampler probe, SiteHost host) {
         return probe.status(host).flatMap(DaemonStatus::backendName).isPresent();
     }
 
-    private static boolean serves(FleetProbe probe, SiteHost host) {
+    private static boolean serves(FleetSampler probe, SiteHost host) {
         return probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false);
     }
 
-    private static boolean follows(FleetProbe probe, SiteHost host, Revision revision) {
+    private static boolean follows(FleetSampler probe, SiteHost host, Revision revision) {
         return probe.status(host)
                 .map(s -> s.configurationRevision().compareTo(revision) >= 0)
                 .orElse(false);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Sample.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
@@ -8,7 +8,7 @@
  * @param storeReads calls of get and list
  * @param storeWrites calls of put and delete
  */
-record Sample(
+record FleetSample(
         long atNanos,
         double cpuMs,
         double controlBytes,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetProbe.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSampler.java
@@ -21,7 +21,7 @@
 import org.coriandercrank.testkit.SiteHost;
 
 /** Reads counters of the daemons and of the store of a site. Not thread safe. */
-final class FleetProbe implements AutoCloseable {
+final class FleetSampler implements AutoCloseable {
     private static final long TIMEOUT_MS = 5_000;
     private static final int PROC_STAT_USER_FIELD = 11;
     private static final int PROC_STAT_SYSTEM_FIELD = 12;
@@ -32,7 +32,7 @@
     private final EventLoopGroup group;
     private final Map<HostAddress, HttpClient> clients = new HashMap<>();
 
-    FleetProbe(Site site, EventLoopGroup group) {
+    FleetSampler(Site site, EventLoopGroup group) {
         this.site = site;
         this.group = group;
     }
@@ -41,7 +41,7 @@
         return get(host.adminAddress(), "/v1/status").map(r -> JsonCodec.decode(r.body(), DaemonStatus.class));
     }
 
-    Sample sample() {
+    FleetSample sample() {
         double cpuMs = 0;
         double bytes = 0;
         double messages = 0;
@@ -60,7 +60,7 @@
             heap += sum(metrics, "jvm_memory_used_bytes", "area=\"heap\"");
         }
         JsonNode calls = storeCalls();
-        return new Sample(
+        return new FleetSample(
                 nowNanos,
                 cpuMs,
                 bytes,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -52,7 +52,7 @@
      */
     public List<Double> planned(List<OwnerChange> changes) {
         List<Double> gaps = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, change.seenNanos() - SEEN_LATE_NANOS, gaps));
+        changes.forEach(change -> addGaps(change, change.observedNanos() - SEEN_LATE_NANOS, gaps));
         Collections.sort(gaps);
         return gaps;
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
@@ -27,7 +27,7 @@
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
-    private final List<OverloadFigures> figures = new ArrayList<>();
+    private final List<OverloadResult> figures = new ArrayList<>();
 
     public OverloadExperiment(ExperimentSettings settings, Consumer<String> out) {
         this.settings = settings;
@@ -35,9 +35,9 @@
     }
 
     /** Runs all loads with each seed on one site per seed. Blocks. */
-    public void call() {
+    public void run() {
         int capacityPerSecond = (int) (SLOTS * MS_PER_SECOND / settings.serviceMs());
-        out.accept("capacity " + capacityPerSecond + "/s\n" + OverloadFigures.HEADING);
+        out.accept("capacity " + capacityPerSecond + "/s\n" + OverloadResult.HEADING);
         for (long seed : settings.seeds()) {
             try (ServiceSite site = new ServiceSite(specs(), settings.daemonFlags())) {
                 startSite(site);
@@ -68,7 +68,7 @@
     }
 
     private void add(String name, List<CallRecord> calls) {
-        OverloadFigures result = OverloadFigures.of(name, settings.durationMs(), calls);
+        OverloadResult result = OverloadResult.of(name, settings.durationMs(), calls);
         figures.add(result);
         out.accept(result.row());
         JsonReport.write(settings.report(), figures);
@@ -90,7 +90,7 @@
         site.awaitBackend(site.host(HOSTS - 1));
         site.submit("first", "\"add\":{\"services\":[{\"name\":\"" + ServiceSite.SERVICE + "\",\"keyed\":true}]}");
         site.awaitServing(site.host(HOSTS - 1));
-        Waits.sleep(settings.settleMs());
+        Await.sleep(settings.settleMs());
     }
 
     /** Even load on a number of keys; the future ends with the last answer. */
@@ -112,7 +112,7 @@
                 seed);
         return CompletableFuture.supplyAsync(() -> {
             try (LoadDriver driver =
-                    new LoadDriver(site.group(), site.callerAddresses(HOSTS - 1), plan, LoadDriver::routed)) {
+                    new LoadDriver(site.group(), site.callerAddresses(HOSTS - 1), plan, LoadDriver::routedRequest)) {
                 return driver.run();
             }
         });
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadFigures.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadResult.java
@@ -18,7 +18,7 @@
  * @param outcomes calls by result code; {@code NO_ANSWER} for none
  * @param refusedP99Ms 99th percentile of the latency of calls that were answered as not run; 0 without any
  */
-record OverloadFigures(
+record OverloadResult(
         String name,
         long calls,
         double goodputPerSecond,
@@ -34,11 +34,11 @@
             | run | calls | goodput/s | success, ms: p50, p99 | refused, ms: p99 | outcomes |
             |---|---|---|---|---|---|""";
 
-    OverloadFigures {
+    OverloadResult {
         outcomes = Map.copyOf(outcomes);
     }
 
-    static OverloadFigures of(String name, long durationMs, List<CallRecord> calls) {
+    static OverloadResult of(String name, long durationMs, List<CallRecord> calls) {
         Histogram success = new Histogram(MAX_LATENCY_US, 3);
         Histogram refused = new Histogram(MAX_LATENCY_US, 3);
         Map<String, Long> outcomes = new TreeMap<>();
@@ -53,7 +53,7 @@
             outcomes.merge(
                     ResultCode.ofNumber(call.resultCode()).map(ResultCode::name).orElse("NO_ANSWER"), 1L, Long::sum);
         }
-        return new OverloadFigures(
+        return new OverloadResult(
                 name,
                 calls.size(),
                 success.getTotalCount() / (durationMs / MS_PER_SECOND),
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -14,17 +14,17 @@
  *
  * @param generation generation of the table that made the change; the executions of the new owner have this fence or a
  *     newer one
- * @param seenNanos when the table was seen in the store
+ * @param observedNanos when the table was seen in the store
  */
-public record OwnerChange(KeyRange range, MemberId from, Generation generation, long seenNanos) {
+public record OwnerChange(KeyRange range, MemberId from, Generation generation, long observedNanos) {
     /** A table and when it was seen in the store. Immutable. */
-    public record SeenTable(long seenNanos, AssignmentTable table) {}
+    public record ObservedTable(long observedNanos, AssignmentTable table) {}
 
     /** Compares each table with the one before it; hashes without an owner do not count. */
-    public static List<OwnerChange> of(List<SeenTable> tables) {
+    public static List<OwnerChange> of(List<ObservedTable> tables) {
         List<OwnerChange> changes = new ArrayList<>();
         for (int i = 1; i < tables.size(); i++) {
-            SeenTable seen = tables.get(i);
+            ObservedTable seen = tables.get(i);
             for (RangeAssignment now : seen.table().assignments()) {
                 for (RangeAssignment before : tables.get(i - 1).table().assignments()) {
                     if (before.range().overlaps(now.range()) && !before.owner().equals(now.owner())) {
@@ -32,7 +32,7 @@
                                 common(before.range(), now.range()),
                                 before.owner(),
                                 seen.table().generation(),
-                                seen.seenNanos()));
+                                seen.observedNanos()));
                     }
                 }
             }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.coriandercrank.experiment.internal.ServerLoads.InForce;
+import org.coriandercrank.experiment.internal.ServerLoads.ActivePeriod;
 import org.coriandercrank.load.CallRecord;
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LoadReport;
@@ -37,7 +37,7 @@
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
-    private final List<PlacementFigures> figures = new ArrayList<>();
+    private final List<PlacementResult> figures = new ArrayList<>();
 
     public PlacementExperiment(ExperimentSettings settings, Consumer<String> out) {
         this.settings = settings;
@@ -46,10 +46,10 @@
 
     /** Runs each policy with each seed, one run after the other. Blocks. */
     public void call() {
-        out.accept(PlacementFigures.HEADING);
+        out.accept(PlacementResult.HEADING);
         for (long seed : settings.seeds()) {
             for (String policy : settings.policies()) {
-                PlacementFigures result = run(policy, seed);
+                PlacementResult result = run(policy, seed);
                 figures.add(result);
                 out.accept(result.row());
                 result.failedByCode().forEach((code, count) -> out.accept("  " + code + " " + count));
@@ -59,7 +59,7 @@
         }
     }
 
-    private PlacementFigures run(String policy, long seed) {
+    private PlacementResult run(String policy, long seed) {
         try (ServiceSite site = new ServiceSite(specs(), settings.daemonFlags());
                 TableRecorder tables = new TableRecorder(site.store())) {
             startSite(site, policy);
@@ -79,7 +79,7 @@
                     seed);
             int firstTable = Math.max(tables.tables().size() - 1, 0);
             try (LoadDriver driver =
-                    new LoadDriver(site.group(), site.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routed)) {
+                    new LoadDriver(site.group(), site.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routedRequest)) {
                 long startNanos = System.nanoTime();
                 CompletableFuture<List<CallRecord>> running = CompletableFuture.supplyAsync(driver::run);
                 Events events = causeEvents(site, startNanos);
@@ -113,7 +113,7 @@
         for (int i = 0; i < HOSTS; i++) {
             site.awaitServing(site.host(i));
         }
-        Waits.sleep(settings.settleMs());
+        Await.sleep(settings.settleMs());
     }
 
     private List<String> backendFlags() {
@@ -142,10 +142,10 @@
 
     private void waitFor(long startNanos, double part) {
         long dueMs = (long) (settings.durationMs() * part);
-        Waits.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
+        Await.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
     }
 
-    private PlacementFigures figures(
+    private PlacementResult figures(
             String policy,
             long seed,
             Events events,
@@ -154,19 +154,19 @@
             List<Execution> executions,
             List<OwnerChange> changes) {
         LoadReport report = LoadReport.of(startedNanos, calls, executions);
-        Map<String, InForce> servers = new HashMap<>();
+        Map<String, ActivePeriod> servers = new HashMap<>();
         for (int i = 0; i < CALLER_HOSTS; i++) {
-            servers.put("h" + i, new InForce(0, Long.MAX_VALUE));
+            servers.put("h" + i, new ActivePeriod(0, Long.MAX_VALUE));
         }
-        servers.put("h" + DRAINED_HOST, new InForce(0, sinceMs(startedNanos, events.drainNanos())));
-        servers.put("h" + KILLED_HOST, new InForce(0, sinceMs(startedNanos, events.killNanos())));
-        servers.put("h" + HOSTS, new InForce(sinceMs(startedNanos, events.joinNanos()), Long.MAX_VALUE));
+        servers.put("h" + DRAINED_HOST, new ActivePeriod(0, sinceMs(startedNanos, events.drainNanos())));
+        servers.put("h" + KILLED_HOST, new ActivePeriod(0, sinceMs(startedNanos, events.killNanos())));
+        servers.put("h" + HOSTS, new ActivePeriod(sinceMs(startedNanos, events.joinNanos()), Long.MAX_VALUE));
         MoveGaps gaps = new MoveGaps(calls, executions);
         Map<Boolean, List<OwnerChange>> byLoss =
                 changes.stream().collect(Collectors.partitioningBy(c -> isLoss(c, events)));
         Map<String, Long> failed = new HashMap<>(report.resultCodes());
         failed.remove("OK");
-        return new PlacementFigures(
+        return new PlacementResult(
                 policy,
                 seed,
                 settings.ratePerSecond(),
@@ -179,16 +179,16 @@
                 ServerLoads.of(startedNanos, settings.durationMs(), executions, servers),
                 Churn.of(changes),
                 report.unavailableKeySeconds(),
-                PlacementFigures.Gaps.of(gaps.planned(byLoss.get(false))),
-                PlacementFigures.Gaps.of(gaps.takeover(byLoss.get(true), events.killNanos())),
+                PlacementResult.Gaps.of(gaps.planned(byLoss.get(false))),
+                PlacementResult.Gaps.of(gaps.takeover(byLoss.get(true), events.killNanos())),
                 report.violations().stream().map(Object::toString).toList(),
-                report.perSecond().stream().map(LoadReport.Second::failed).toList(),
+                report.perSecond().stream().map(LoadReport.SecondStats::failed).toList(),
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
     }
 
     /** Member ids start with the name of the host. */
     private static boolean isLoss(OwnerChange change, Events events) {
-        return change.seenNanos() > events.killNanos() && change.from().value().startsWith("h" + KILLED_HOST + "-");
+        return change.observedNanos() > events.killNanos() && change.from().value().startsWith("h" + KILLED_HOST + "-");
     }
 
     private static long sinceMs(long startedNanos, long nanos) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementFigures.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
@@ -11,7 +11,7 @@
  * @param failedPerSecond failed calls by the second in which they were due
  * @param loadAverage load average of the machine at the end of the run, which other programs share
  */
-record PlacementFigures(
+record PlacementResult(
         String policy,
         long seed,
         int ratePerSecond,
@@ -50,7 +50,7 @@
             | gap of a planned move, ms: p50, p99, max (keys) | gap after the kill, ms | violations | load average |
             |---|---|---|---|---|---|---|---|---|---|---|---|""";
 
-    PlacementFigures {
+    PlacementResult {
         failedByCode = Map.copyOf(failedByCode);
         violations = List.copyOf(violations);
         failedPerSecond = List.copyOf(failedPerSecond);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -24,7 +24,7 @@
      *
      * @param untilMs {@link Long#MAX_VALUE} if it stays
      */
-    public record InForce(long fromMs, long untilMs) {
+    public record ActivePeriod(long fromMs, long untilMs) {
         boolean contains(long ms) {
             return fromMs <= ms && ms < untilMs;
         }
@@ -40,7 +40,7 @@
      * busiest server. A second without executions counts as 0.
      */
     public static ServerLoads of(
-            long startedNanos, long durationMs, List<Execution> executions, Map<String, InForce> servers) {
+            long startedNanos, long durationMs, List<Execution> executions, Map<String, ActivePeriod> servers) {
         int seconds = (int) TimeUnit.MILLISECONDS.toSeconds(durationMs);
         List<Map<String, Long>> counts = new ArrayList<>();
         for (int second = 0; second < seconds; second++) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
@@ -54,14 +54,14 @@
     private final Map<String, CrankBackend> backends = new HashMap<>();
     private final List<String> daemonFlags;
     private final Site site;
-    private final FleetProbe probe;
+    private final FleetSampler probe;
     private final ObjectStore store;
 
     /** Starts the store; hosts are started by {@link #startHost} and {@link #startDaemon}. */
     ServiceSite(List<HostSpec> specs, List<String> daemonFlags) {
         this.daemonFlags = List.copyOf(daemonFlags);
         site = new Site(createDirectory(), specs);
-        probe = new FleetProbe(site, group);
+        probe = new FleetSampler(site, group);
         store = PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), STORE_TIMEOUT_MS);
     }
 
@@ -102,13 +102,13 @@
     }
 
     void awaitBackend(SiteHost host) {
-        Waits.until(
+        Await.until(
                 "backend server of " + host.spec().name(),
                 () -> probe.status(host).flatMap(DaemonStatus::backendName).isPresent());
     }
 
     void awaitServing(SiteHost host) {
-        Waits.until(
+        Await.until(
                 "ranges of " + host.spec().name(),
                 () -> probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false));
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletionException;
-import org.coriandercrank.experiment.internal.OwnerChange.SeenTable;
+import org.coriandercrank.experiment.internal.OwnerChange.ObservedTable;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -21,7 +21,7 @@
     private static final long RETRY_MS = 50;
 
     private final ObjectStore store;
-    private final List<SeenTable> tables = new ArrayList<>();
+    private final List<ObservedTable> tables = new ArrayList<>();
     private final Thread thread = new Thread(this::watch, "table-recorder");
     private volatile boolean closed;
 
@@ -40,17 +40,17 @@
                 batch.changes().forEach(this::add);
                 after = batch.upTo();
             } catch (CompletionException e) {
-                Waits.sleep(RETRY_MS);
+                Await.sleep(RETRY_MS);
             }
         }
     }
 
     private synchronized void add(StoredObject object) {
-        tables.add(new SeenTable(System.nanoTime(), TableCodec.decode(object.value())));
+        tables.add(new ObservedTable(System.nanoTime(), TableCodec.decode(object.value())));
     }
 
     /** All tables seen so far, by ascending generation. */
-    synchronized List<SeenTable> tables() {
+    synchronized List<ObservedTable> tables() {
         return List.copyOf(tables);
     }
 
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
@@ -93,9 +93,9 @@
     /** Equal numbers would make the checker count writes of two services as one operation executed twice. */
     @Test
     void totalKeepsOperationsOfServicesApart() {
-        PlanRun one = new PlanRun("one", 20, List.of(call(0, "a"), call(2, "b"), call(2, "b-r2")));
-        PlanRun two = new PlanRun("two", 10, List.of(call(0, "c"), call(2, "d")));
-        PlanRun total = PlanRun.total(List.of(one, two));
+        PlanResult one = new PlanResult("one", 20, List.of(call(0, "a"), call(2, "b"), call(2, "b-r2")));
+        PlanResult two = new PlanResult("two", 10, List.of(call(0, "c"), call(2, "d")));
+        PlanResult total = PlanResult.merge(List.of(one, two));
 
         assertThat(total.startedNanos()).isEqualTo(10);
         assertThat(total.calls()).extracting(CallRecord::operation).containsExactly(0L, 2L, 2L, 3L, 5L);
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
@@ -13,8 +13,8 @@
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
 import org.coriandercrank.load.internal.LoadSettings;
-import org.coriandercrank.load.internal.PlanRun;
-import org.coriandercrank.load.internal.ReportFiles;
+import org.coriandercrank.load.internal.PlanResult;
+import org.coriandercrank.load.internal.ReportWriter;
 
 /** The program {@code crank-load}. Exit code 0: no violation; 1: violations; 2: faulty settings. */
 public final class CrankLoad {
@@ -31,15 +31,15 @@
 
     /** Runs the load and reports it; whether no violation was found. */
     private static boolean run(LoadSettings settings) throws IOException {
-        LoadDriver.CallForm form = settings.direct() ? LoadDriver::direct : LoadDriver::routed;
+        LoadDriver.RequestFactory form = settings.direct() ? LoadDriver::directRequest : LoadDriver::routedRequest;
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
         try {
             List<LoadPlan> warmup = settings.warmupPlans();
             if (!warmup.isEmpty()) {
-                PlanRun.runAll(group, settings.targets(), warmup, form);
+                PlanResult.runAll(group, settings.targets(), warmup, form);
             }
             settings.heading().ifPresent(System.out::println);
-            return report(settings, PlanRun.runAll(group, settings.targets(), settings.plans(), form));
+            return report(settings, PlanResult.runAll(group, settings.targets(), settings.plans(), form));
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -49,15 +49,15 @@
      * One report for each service, if there are several, and one in total. The total covers all executions of the
      * ledgers, so that ownership is checked across all callers.
      */
-    private static boolean report(LoadSettings settings, List<PlanRun> runs) throws IOException {
+    private static boolean report(LoadSettings settings, List<PlanResult> runs) throws IOException {
         Optional<List<Execution>> executions =
                 settings.ledgers().isEmpty() ? Optional.empty() : Optional.of(LedgerReader.read(settings.ledgers()));
         if (runs.size() > 1) {
-            for (PlanRun run : runs) {
-                print(settings, run.service(), run.report(executions.map(run::ownExecutions)));
+            for (PlanResult run : runs) {
+                print(settings, run.service(), run.report(executions.map(run::executionsOfCalls)));
             }
         }
-        LoadReport total = PlanRun.total(runs).report(executions);
+        LoadReport total = PlanResult.merge(runs).report(executions);
         print(settings, runs.size() > 1 ? "total" : "", total);
         return total.violations().isEmpty();
     }
@@ -65,7 +65,7 @@
     private static void print(LoadSettings settings, String name, LoadReport report) throws IOException {
         report.lines().forEach(line -> System.out.println(name.isEmpty() ? line : name + ": " + line));
         if (!settings.report().isEmpty()) {
-            ReportFiles.write(settings.report() + (name.isEmpty() ? "" : "-" + name), report);
+            ReportWriter.write(settings.report() + (name.isEmpty() ? "" : "-" + name), report);
         }
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -34,7 +34,7 @@
         double unavailableKeySeconds,
         double longestGapMs,
         double imbalance,
-        List<Second> perSecond,
+        List<SecondStats> perSecond,
         List<Violation> violations) {
     private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(2);
     private static final double NANOS_PER_MS = 1e6;
@@ -45,7 +45,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** One second of a run. Immutable. */
-    public record Second(long second, long succeeded, long failed, double imbalance) {}
+    public record SecondStats(long second, long succeeded, long failed, double imbalance) {}
 
     public LoadReport {
         perSecond = List.copyOf(perSecond);
@@ -78,7 +78,7 @@
             lastNanos = Math.max(lastNanos, call.endedNanos());
         }
         List<Long> gapsNanos = gaps(calls);
-        List<Second> seconds = seconds(startedNanos, calls, executions);
+        List<SecondStats> seconds = seconds(startedNanos, calls, executions);
         return new LoadReport(
                 calls.size(),
                 succeeded,
@@ -91,7 +91,7 @@
                 gapsNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
                 gapsNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
                 seconds.stream()
-                        .mapToDouble(Second::imbalance)
+                        .mapToDouble(SecondStats::imbalance)
                         .filter(v -> v > 0)
                         .average()
                         .orElse(0),
@@ -138,7 +138,7 @@
         }
     }
 
-    private static List<Second> seconds(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
+    private static List<SecondStats> seconds(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
         Map<Long, long[]> counts = new TreeMap<>();
         for (CallRecord call : calls) {
             long second = (call.intendedNanos() - startedNanos) / (long) NANOS_PER_SECOND;
@@ -150,9 +150,9 @@
             long second = Math.floorDiv(execution.endNanos() - startedNanos, (long) NANOS_PER_SECOND);
             perServer.computeIfAbsent(second, s -> new HashMap<>()).merge(execution.server(), 1L, Long::sum);
         }
-        List<Second> seconds = new ArrayList<>();
+        List<SecondStats> seconds = new ArrayList<>();
         counts.forEach((second, count) ->
-                seconds.add(new Second(second, count[0], count[1], imbalance(perServer.get(second), servers))));
+                seconds.add(new SecondStats(second, count[0], count[1], imbalance(perServer.get(second), servers))));
         return seconds;
     }
 
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -38,8 +38,8 @@
 
     /** Builds the call of an attempt. */
     @FunctionalInterface
-    public interface CallForm {
-        HttpRequest call(LoadPlan plan, Attempt attempt);
+    public interface RequestFactory {
+        HttpRequest create(LoadPlan plan, Attempt attempt);
     }
 
     /** One attempt of an operation. Immutable. */
@@ -54,7 +54,7 @@
             long ageMs) {}
 
     private final LoadPlan plan;
-    private final CallForm form;
+    private final RequestFactory form;
     private final EventLoopGroup group;
     private final List<HttpClient> clients = new ArrayList<>();
     private final ConcurrentLinkedQueue<CallRecord> records = new ConcurrentLinkedQueue<>();
@@ -62,7 +62,7 @@
     private final String runId;
     private long startedNanos;
 
-    public LoadDriver(EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, CallForm form) {
+    public LoadDriver(EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, RequestFactory form) {
         this.plan = plan;
         this.form = form;
         this.group = group;
@@ -106,11 +106,11 @@
 
     private void send(Attempt attempt, long operationDueNanos, long dueNanos, int target) {
         clients.get(target)
-                .send(form.call(plan, attempt), plan.deadlineMs() + CLIENT_GRACE_MS)
+                .send(form.create(plan, attempt), plan.deadlineMs() + CLIENT_GRACE_MS)
                 .whenComplete((reply, failure) -> {
                     CallRecord answered = record(attempt, dueNanos, Optional.ofNullable(reply));
                     records.add(answered);
-                    if (isFinal(answered) || attempt.number() > plan.maxRepeats()) {
+                    if (isFinal(answered) || attempt.number() > plan.maxRetries()) {
                         outstanding.arriveAndDeregister();
                     } else {
                         repeatLater(attempt, operationDueNanos, target, retryAfterMs(reply));
@@ -228,7 +228,7 @@
     }
 
     /** Calls through a daemon. */
-    public static HttpRequest routed(LoadPlan plan, Attempt attempt) {
+    public static HttpRequest routedRequest(LoadPlan plan, Attempt attempt) {
         List<Header> headers = new ArrayList<>();
         headers.add(new Header("crank-request-id", attempt.requestId()));
         headers.add(new Header("crank-deadline-ms", Long.toString(plan.deadlineMs())));
@@ -241,7 +241,7 @@
     }
 
     /** Calls straight to a backend server that checks nothing; the baseline of the router's cost. */
-    public static HttpRequest direct(LoadPlan plan, Attempt attempt) {
+    public static HttpRequest directRequest(LoadPlan plan, Attempt attempt) {
         List<Header> headers = List.of(
                 new Header("crank-request-id", attempt.requestId()),
                 new Header("crank-key", attempt.key()),
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
@@ -7,7 +7,7 @@
  * @param keyed whether requests carry a key
  * @param writePercent share of PUT requests, which the service counts as not repeatable
  * @param hotKeys size of the hot set that changes every {@code hotChangeMs}
- * @param maxRepeats further attempts of an operation that was not run or whose outcome is unknown
+ * @param maxRetries further attempts of an operation that was not run or whose outcome is unknown
  */
 public record LoadPlan(
         String service,
@@ -21,5 +21,5 @@
         int writePercent,
         int bodyBytes,
         long deadlineMs,
-        int maxRepeats,
+        int maxRetries,
         long seed) {}
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
@@ -8,7 +8,7 @@
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
-import org.coriandercrank.load.internal.Scenario.Part;
+import org.coriandercrank.load.internal.Scenario.ServiceShare;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.ExplicitBooleanOptionHandler;
 
@@ -69,7 +69,7 @@
     private long deadlineMs = 2_000;
 
     @Option(name = "--max-repeats", metaVar = "N", usage = "further attempts of an operation without success")
-    private int maxRepeats = 0;
+    private int maxRetries = 0;
 
     @Option(name = "--seed", metaVar = "N", usage = "seed of keys and arrivals")
     private long seed = 1;
@@ -104,7 +104,7 @@
         faults.requireRange("--write-percent", writePercent, 0, 100);
         faults.requireRange("--body-bytes", bodyBytes, 0, 1_048_576);
         faults.requireRange("--deadline-ms", deadlineMs, 1, 600_000);
-        faults.requireRange("--max-repeats", maxRepeats, 0, 100);
+        faults.requireRange("--max-repeats", maxRetries, 0, 100);
         if (zipfExponent < 0 || zipfExponent > 3) {
             faults.add("--zipf", "must be between 0 and 3");
         }
@@ -136,16 +136,16 @@
 
     private List<LoadPlan> plans(long planDurationMs, long firstSeed) {
         if (parsedScenario.isEmpty()) {
-            return List.of(plan(new Part(service, keyed, 100, writePercent), planDurationMs, firstSeed));
+            return List.of(plan(new ServiceShare(service, keyed, 100, writePercent), planDurationMs, firstSeed));
         }
         List<LoadPlan> plans = new ArrayList<>();
-        for (Part part : parsedScenario.get().parts()) {
+        for (ServiceShare part : parsedScenario.get().parts()) {
             plans.add(plan(part, planDurationMs, firstSeed + plans.size()));
         }
         return plans;
     }
 
-    private LoadPlan plan(Part part, long planDurationMs, long planSeed) {
+    private LoadPlan plan(ServiceShare part, long planDurationMs, long planSeed) {
         return new LoadPlan(
                 part.service(),
                 part.keyed(),
@@ -158,7 +158,7 @@
                 part.writePercent(),
                 bodyBytes,
                 deadlineMs,
-                maxRepeats,
+                maxRetries,
                 planSeed);
     }
 
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanRun.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanResult.java
@@ -19,17 +19,17 @@
  *
  * @param service name of the service, or of the sum of several services
  */
-public record PlanRun(String service, long startedNanos, List<CallRecord> calls) {
-    public PlanRun {
+public record PlanResult(String service, long startedNanos, List<CallRecord> calls) {
+    public PlanResult {
         calls = List.copyOf(calls);
     }
 
     /** Runs plans at the same time and waits for all. Blocks. */
-    public static List<PlanRun> runAll(
-            EventLoopGroup group, List<HostAddress> targets, List<LoadPlan> plans, LoadDriver.CallForm form) {
+    public static List<PlanResult> runAll(
+            EventLoopGroup group, List<HostAddress> targets, List<LoadPlan> plans, LoadDriver.RequestFactory form) {
         ExecutorService executor = Executors.newFixedThreadPool(plans.size());
         try {
-            List<CompletableFuture<PlanRun>> runs = plans.stream()
+            List<CompletableFuture<PlanResult>> runs = plans.stream()
                     .map(plan -> CompletableFuture.supplyAsync(() -> run(group, targets, plan, form), executor))
                     .toList();
             return runs.stream().map(CompletableFuture::join).toList();
@@ -38,19 +38,19 @@
         }
     }
 
-    private static PlanRun run(
-            EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, LoadDriver.CallForm form) {
+    private static PlanResult run(
+            EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, LoadDriver.RequestFactory form) {
         try (LoadDriver driver = new LoadDriver(group, targets, plan, form)) {
             List<CallRecord> calls = driver.run();
-            return new PlanRun(plan.service(), driver.startedNanos(), calls);
+            return new PlanResult(plan.service(), driver.startedNanos(), calls);
         }
     }
 
     /** All calls of several runs with operation numbers that are unique among them. */
-    public static PlanRun total(List<PlanRun> runs) {
+    public static PlanResult merge(List<PlanResult> runs) {
         List<CallRecord> all = new ArrayList<>();
         long firstOperation = 0;
-        for (PlanRun run : runs) {
+        for (PlanResult run : runs) {
             long highest = firstOperation;
             for (CallRecord call : run.calls) {
                 CallRecord renumbered = call.withOperation(firstOperation + call.operation());
@@ -59,12 +59,12 @@
             }
             firstOperation = highest + 1;
         }
-        long startedNanos = runs.stream().mapToLong(PlanRun::startedNanos).min().orElseThrow();
-        return new PlanRun("total", startedNanos, all);
+        long startedNanos = runs.stream().mapToLong(PlanResult::startedNanos).min().orElseThrow();
+        return new PlanResult("total", startedNanos, all);
     }
 
     /** The executions of these calls. */
-    public List<Execution> ownExecutions(List<Execution> executions) {
+    public List<Execution> executionsOfCalls(List<Execution> executions) {
         Set<String> requestIds = new HashSet<>();
         calls.forEach(call -> requestIds.add(call.requestId()));
         return executions.stream()
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportFiles.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportWriter.java
@@ -7,13 +7,13 @@
 import org.coriandercrank.load.LoadReport;
 
 /** Writes a report as text, JSON and SVG. Stateless. */
-public final class ReportFiles {
-    private ReportFiles() {}
+public final class ReportWriter {
+    private ReportWriter() {}
 
     /** Writes {@code <start>.txt}, {@code <start>.json} and {@code <start>.svg}. */
     public static void write(String start, LoadReport report) throws IOException {
         Files.write(Path.of(start + ".txt"), report.lines());
         Files.write(Path.of(start + ".json"), JsonCodec.encode(report));
-        Files.writeString(Path.of(start + ".svg"), Plot.svg(report.perSecond()));
+        Files.writeString(Path.of(start + ".svg"), SvgPlot.svg(report.perSecond()));
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
@@ -17,7 +17,7 @@
      * @param ratePercent share of the operations of the scenario
      * @param writePercent share of writes among the operations of the service
      */
-    record Part(String service, boolean keyed, int ratePercent, int writePercent) {}
+    record ServiceShare(String service, boolean keyed, int ratePercent, int writePercent) {}
 
     Scenario(int slotsPerServer) {
         this.slotsPerServer = slotsPerServer;
@@ -28,18 +28,18 @@
         return slotsPerServer;
     }
 
-    List<Part> parts() {
+    List<ServiceShare> parts() {
         return switch (this) {
             case AUTHORITY ->
                 List.of(
-                        new Part("counter-desk", true, 60, 15),
-                        new Part("cashbook", false, 20, 60),
-                        new Part("workbench", false, 20, 30));
+                        new ServiceShare("counter-desk", true, 60, 15),
+                        new ServiceShare("cashbook", false, 20, 60),
+                        new ServiceShare("workbench", false, 20, 30));
             case TINCTURIA ->
                 List.of(
-                        new Part("cardfront", true, 70, 10),
-                        new Part("mixledger", false, 15, 60),
-                        new Part("shadebook", false, 15, 5));
+                        new ServiceShare("cardfront", true, 70, 10),
+                        new ServiceShare("mixledger", false, 15, 60),
+                        new ServiceShare("shadebook", false, 15, 5));
         };
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Plot.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/SvgPlot.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
-import org.coriandercrank.load.LoadReport.Second;
+import org.coriandercrank.load.LoadReport.SecondStats;
 
 /** A plot of a run over time as SVG: successes, failures and imbalance per second. Stateless. */
-final class Plot {
+final class SvgPlot {
     private static final int WIDTH = 800;
     private static final int PANEL_HEIGHT = 140;
     private static final int MARGIN = 40;
 
-    private Plot() {}
+    private SvgPlot() {}
 
-    static String svg(List<Second> seconds) {
+    static String svg(List<SecondStats> seconds) {
         StringBuilder out = new StringBuilder(String.format(
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" font-family=\"sans-serif\""
                         + " font-size=\"12\">%n",
                 WIDTH,
                 3 * PANEL_HEIGHT));
-        panel(out, 0, "succeeded per second", "#2a7", seconds, Second::succeeded);
-        panel(out, 1, "failed per second", "#c33", seconds, Second::failed);
-        panel(out, 2, "imbalance (max/mean)", "#36c", seconds, Second::imbalance);
+        panel(out, 0, "succeeded per second", "#2a7", seconds, SecondStats::succeeded);
+        panel(out, 1, "failed per second", "#c33", seconds, SecondStats::failed);
+        panel(out, 2, "imbalance (max/mean)", "#36c", seconds, SecondStats::imbalance);
         return out.append("</svg>\n").toString();
     }
 
@@ -31,8 +31,8 @@
             int index,
             String title,
             String colour,
-            List<Second> seconds,
-            ToDoubleFunction<Second> value) {
+            List<SecondStats> seconds,
+            ToDoubleFunction<SecondStats> value) {
         double max = Math.max(1, seconds.stream().mapToDouble(value).max().orElse(1));
         int bottom = (index + 1) * PANEL_HEIGHT - 15;
         double height = PANEL_HEIGHT - MARGIN;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
@@ -24,11 +24,11 @@
 public final class CrankBackend implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int IO_THREADS = 2;
-    private static final int RING_CAPACITY = 65_536;
+    private static final int TASK_QUEUE_CAPACITY = 65_536;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
-    private final SingleThreadExecutor duty = new SingleThreadExecutor("backend", RING_CAPACITY);
+    private final SingleThreadExecutor executor = new SingleThreadExecutor("backend", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final BackendService service;
     private final AtomicBoolean closed = new AtomicBoolean();
@@ -37,7 +37,7 @@
     private final Optional<Announcer> announcer;
 
     private CrankBackend(BackendSettings settings) {
-        service = new BackendService(settings.options(), duty, timers);
+        service = new BackendService(settings.options(), executor, timers);
         server = HttpServer.listen(
                 group,
                 HostAddress.parse(settings.listen),
@@ -48,7 +48,7 @@
         info = settings.info(server.address());
         announcer = settings.daemon.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Announcer(group, duty, timers, HostAddress.parse(settings.daemon), info));
+                : Optional.of(new Announcer(group, executor, timers, HostAddress.parse(settings.daemon), info));
     }
 
     /** Starts a server; returns when it listens. */
@@ -69,7 +69,7 @@
         announcer.ifPresent(Announcer::close);
         server.close();
         timers.close();
-        duty.close();
+        executor.close();
         service.close();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.coriandercrank.kernel.time.TimerService;
-import org.coriandercrank.standin.internal.FaultSet;
+import org.coriandercrank.standin.internal.FaultInjector;
 import org.coriandercrank.standin.internal.StoreService;
 import org.coriandercrank.standin.internal.StoreState;
 
@@ -27,21 +27,21 @@
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int IO_THREADS = 2;
-    private static final int RING_CAPACITY = 16_384;
+    private static final int TASK_QUEUE_CAPACITY = 16_384;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
-    private final SingleThreadExecutor duty = new SingleThreadExecutor("store", RING_CAPACITY);
+    private final SingleThreadExecutor executor = new SingleThreadExecutor("store", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final AtomicBoolean closed = new AtomicBoolean();
     private final HttpServer server;
 
     private CrankStore(StoreSettings settings) {
         StoreService service = new StoreService(
-                duty,
+                executor,
                 timers,
                 new StoreState(settings.historyEntries),
-                new FaultSet(timers.clock(), settings.faultSeed));
+                new FaultInjector(timers.clock(), settings.faultSeed));
         HttpServerOptions options = new HttpServerOptions(
                 8_192, 16_384, MAX_VALUE_BYTES, status -> HttpResponse.text(status, "request rejected\n"));
         server = HttpServer.listen(group, HostAddress.parse(settings.listen), options, service);
@@ -63,7 +63,7 @@
         }
         server.close();
         timers.close();
-        duty.close();
+        executor.close();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
@@ -24,7 +24,7 @@
     private static final int PERIODS_WHEN_ACCEPTED = 3;
     private static final long CALL_TIMEOUT_MS = 900;
 
-    private final SingleThreadExecutor duty;
+    private final SingleThreadExecutor executor;
     private final HttpClient client;
     private final HttpRequest announcement;
     private final TimerService.Subscription subscription;
@@ -32,13 +32,13 @@
     private int periodsSinceSent;
 
     public Announcer(
-            EventLoopGroup group, SingleThreadExecutor duty, TimerService timers, HostAddress daemonAdmin, BackendInfo info) {
-        this.duty = duty;
+            EventLoopGroup group, SingleThreadExecutor executor, TimerService timers, HostAddress daemonAdmin, BackendInfo info) {
+        this.executor = executor;
         this.client = new HttpClient(group, daemonAdmin, HttpClientOptions.DEFAULTS.withMaxConnections(1));
         this.announcement = new HttpRequest(
                 "POST", "/v1/backend", List.of(new Header("content-type", "application/json")), JsonCodec.encode(info));
-        this.subscription = timers.every(PERIOD_MS, duty, this::tick);
-        duty.execute(this::send);
+        this.subscription = timers.every(PERIOD_MS, executor, this::tick);
+        executor.execute(this::send);
     }
 
     private void tick() {
@@ -51,7 +51,7 @@
     private void send() {
         periodsSinceSent = 0;
         client.send(announcement, CALL_TIMEOUT_MS)
-                .whenComplete((reply, failure) -> duty.offer(() -> note(reply, failure)));
+                .whenComplete((reply, failure) -> executor.offer(() -> note(reply, failure)));
     }
 
     private void note(HttpResponse reply, Throwable failure) {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -34,14 +34,14 @@
     private static final int MAX_EARLY_CANCELS = 1_024;
 
     private final BackendOptions options;
-    private final SingleThreadExecutor duty;
+    private final SingleThreadExecutor executor;
     private final TimerService timers;
-    private final FaultSet faults;
+    private final FaultInjector faults;
     private final Ledger ledger;
     private final GrantTable grants;
     private final ValueMap values = new ValueMap();
-    private final Deque<Execution> queue = new ArrayDeque<>();
-    private final Map<RequestId, Execution> known = new HashMap<>();
+    private final Deque<BackendRequest> queue = new ArrayDeque<>();
+    private final Map<RequestId, BackendRequest> known = new HashMap<>();
     private final Map<RequestId, Boolean> earlyCancels = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -56,9 +56,9 @@
     private long rejected;
     private boolean draining;
 
-    BackendEngine(BackendOptions options, SingleThreadExecutor duty, TimerService timers, FaultSet faults, Ledger ledger) {
+    BackendEngine(BackendOptions options, SingleThreadExecutor executor, TimerService timers, FaultInjector faults, Ledger ledger) {
         this.options = options;
-        this.duty = duty;
+        this.executor = executor;
         this.timers = timers;
         this.faults = faults;
         this.ledger = ledger;
@@ -68,8 +68,8 @@
 
     /** Queues a request or refuses it at once. */
     void arrive(HttpRequest call, CompletableFuture<HttpResponse> result) {
-        Execution execution = new Execution(call, timers.clock().nowNanos(), result);
-        if (faults.hits(FaultKind.CLOSED)) {
+        BackendRequest execution = new BackendRequest(call, timers.clock().nowNanos(), result);
+        if (faults.isTriggered(FaultKind.CLOSED)) {
             result.completeExceptionally(HttpAbortException.withoutResponse());
             return;
         }
@@ -83,38 +83,38 @@
         queue.add(execution);
         if (has(Capability.DEADLINE) && execution.deadlineMs.isPresent()) {
             execution.deadlineTimer =
-                    timers.once(execution.deadlineMs.get(), duty, () -> stop(execution, STATUS_DEADLINE, "deadline"));
+                    timers.once(execution.deadlineMs.get(), executor, () -> stop(execution, STATUS_DEADLINE, "deadline"));
         }
         startQueued();
     }
 
-    private Optional<HttpResponse> arrivalRefusal(Execution execution) {
+    private Optional<HttpResponse> arrivalRefusal(BackendRequest execution) {
         if (draining) {
-            return Optional.of(Replies.notRun(STATUS_UNAVAILABLE, "draining"));
+            return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "draining"));
         }
-        if (faults.hits(FaultKind.DOWN)) {
-            return Optional.of(Replies.notRun(STATUS_UNAVAILABLE, "down"));
+        if (faults.isTriggered(FaultKind.DOWN)) {
+            return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "down"));
         }
-        if (faults.hits(FaultKind.SHED) || queue.size() >= options.queueLimit()) {
-            return Optional.of(Replies.notRun(STATUS_UNAVAILABLE, "overload"));
+        if (faults.isTriggered(FaultKind.SHED) || queue.size() >= options.queueLimit()) {
+            return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "overload"));
         }
         if (earlyCancels.remove(execution.id) != null) {
-            return Optional.of(Replies.notRun(STATUS_CANCELLED, "cancelled"));
+            return Optional.of(Responses.notRun(STATUS_CANCELLED, "cancelled"));
         }
         return executionRefusal(execution);
     }
 
-    private Optional<HttpResponse> executionRefusal(Execution execution) {
+    private Optional<HttpResponse> executionRefusal(BackendRequest execution) {
         long nowNanos = timers.clock().nowNanos();
         if (has(Capability.DEADLINE) && execution.deadlinePassed(nowNanos)) {
-            return Optional.of(Replies.notRun(STATUS_DEADLINE, "deadline"));
+            return Optional.of(Responses.notRun(STATUS_DEADLINE, "deadline"));
         }
-        return grants.refusal(execution, nowNanos).map(reason -> Replies.notRun(STATUS_REJECTED, reason));
+        return grants.refusal(execution, nowNanos).map(reason -> Responses.notRun(STATUS_REJECTED, reason));
     }
 
     private void startQueued() {
         while (running < options.info().slots() && !queue.isEmpty()) {
-            Execution execution = queue.poll();
+            BackendRequest execution = queue.poll();
             if (execution.done || refuse(execution)) {
                 continue;
             }
@@ -127,7 +127,7 @@
             if (serviceMs == 0) {
                 finish(execution);
             } else {
-                timers.once(serviceMs, duty, () -> {
+                timers.once(serviceMs, executor, () -> {
                     finish(execution);
                     startQueued();
                 });
@@ -136,7 +136,7 @@
     }
 
     private long serviceMs() {
-        long slowMs = faults.hit(FaultKind.SLOW).map(Fault::delayMs).orElse(0L);
+        long slowMs = faults.trigger(FaultKind.SLOW).map(Fault::delayMs).orElse(0L);
         long ageMs = timers.clock().nowMs() - startedAtMs;
         double factor = 1;
         if (ageMs < options.coldStartMs()) {
@@ -145,13 +145,13 @@
         return Math.round(options.serviceMs() * factor) + slowMs;
     }
 
-    private boolean refuse(Execution execution) {
+    private boolean refuse(BackendRequest execution) {
         Optional<HttpResponse> refusal = executionRefusal(execution);
         refusal.ifPresent(reply -> end(execution, reply));
         return refusal.isPresent();
     }
 
-    private void finish(Execution execution) {
+    private void finish(BackendRequest execution) {
         if (execution.done || refuse(execution)) {
             return;
         }
@@ -168,22 +168,22 @@
                 execution.startWallMs,
                 System.currentTimeMillis()));
         release(execution);
-        if (faults.hits(FaultKind.UNANSWERED)) {
+        if (faults.isTriggered(FaultKind.UNANSWERED)) {
             execution.result.completeExceptionally(HttpAbortException.withoutResponse());
-        } else if (faults.hits(FaultKind.CUT_ANSWER)) {
+        } else if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
             execution.result.completeExceptionally(HttpAbortException.midResponse(reply));
         } else {
             execution.result.complete(reply);
         }
     }
 
-    private void end(Execution execution, HttpResponse refusal) {
+    private void end(BackendRequest execution, HttpResponse refusal) {
         rejected++;
         release(execution);
         execution.result.complete(refusal);
     }
 
-    private void release(Execution execution) {
+    private void release(BackendRequest execution) {
         execution.done = true;
         execution.deadlineTimer.cancel();
         known.remove(execution.id, execution);
@@ -192,12 +192,12 @@
         }
     }
 
-    private boolean stop(Execution execution, int status, String reason) {
+    private boolean stop(BackendRequest execution, int status, String reason) {
         if (execution.done) {
             return false;
         }
         queue.remove(execution);
-        end(execution, Replies.notRun(status, reason));
+        end(execution, Responses.notRun(status, reason));
         startQueued();
         return true;
     }
@@ -207,7 +207,7 @@
         if (!has(Capability.CANCEL)) {
             return false;
         }
-        Execution execution = known.get(id);
+        BackendRequest execution = known.get(id);
         if (execution == null) {
             earlyCancels.put(id, true);
             return false;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Execution.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -12,7 +12,7 @@
 import org.coriandercrank.kernel.time.TimerService.Subscription;
 
 /** A request at the backend server, from arrival to answer. Not thread safe; confined to the duty of the server. */
-final class Execution {
+final class BackendRequest {
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long MAX_DEADLINE_MS = 86_400_000;
 
@@ -34,11 +34,11 @@
     Subscription deadlineTimer = () -> {};
 
     /** Fails with {@link IllegalArgumentException} if a header of the protocol is malformed. */
-    Execution(HttpRequest call, long nowNanos, CompletableFuture<HttpResponse> result) {
+    BackendRequest(HttpRequest call, long nowNanos, CompletableFuture<HttpResponse> result) {
         this.call = call;
         this.result = result;
         id = new RequestId(call.header("crank-request-id").orElseThrow(IllegalArgumentException::new));
-        key = call.header("crank-key").map(Execution::decode).map(Key::new);
+        key = call.header("crank-key").map(BackendRequest::decode).map(Key::new);
         fence = new Generation(call.header("crank-fence").map(Long::parseLong).orElse(0L));
         deadlineMs = call.header("crank-deadline-ms").map(Long::parseLong).map(ms -> Math.min(ms, MAX_DEADLINE_MS));
         deadlineNanos = deadlineMs.map(ms -> nowNanos + ms * NANOS_PER_MS).orElse(Long.MAX_VALUE);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -28,12 +28,12 @@
 public final class BackendService implements HttpHandler, AutoCloseable {
     private static final String CANCEL_PATH = "/control/cancel/";
 
-    private final SingleThreadExecutor duty;
+    private final SingleThreadExecutor executor;
     private final TimerService timers;
-    private final FaultSet faults;
+    private final FaultInjector faults;
     private final Ledger ledger;
     private final BackendEngine engine;
-    private final HealthReport health;
+    private final HealthReporter health;
     private final int slots;
 
     /** Tells the clock of this process from that of one before it. */
@@ -42,15 +42,15 @@
     private volatile IntSupplier openConnections = () -> 0;
     private volatile IntSupplier peakConnections = () -> 0;
 
-    public BackendService(BackendOptions options, SingleThreadExecutor duty, TimerService timers) {
-        this.duty = duty;
+    public BackendService(BackendOptions options, SingleThreadExecutor executor, TimerService timers) {
+        this.executor = executor;
         this.timers = timers;
-        this.faults = new FaultSet(timers.clock(), options.faultSeed());
+        this.faults = new FaultInjector(timers.clock(), options.faultSeed());
         this.ledger = new Ledger(options.ledgerFile());
-        this.engine = new BackendEngine(options, duty, timers, faults, ledger);
+        this.engine = new BackendEngine(options, executor, timers, faults, ledger);
         this.slots = options.info().slots();
-        this.health = new HealthReport(
-                () -> new BackendHealth(true, engine.isDraining(), engine.load()), options.healthLagMs(), duty, timers);
+        this.health = new HealthReporter(
+                () -> new BackendHealth(true, engine.isDraining(), engine.load()), options.healthLagMs(), executor, timers);
     }
 
     /** Sets the source of the connection counts in the statistics. */
@@ -62,8 +62,8 @@
     @Override
     public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
         CompletableFuture<HttpResponse> result = new CompletableFuture<>();
-        if (!duty.offer(() -> serve(call, result))) {
-            result.complete(Replies.notRun(503, "overload"));
+        if (!executor.offer(() -> serve(call, result))) {
+            result.complete(Responses.notRun(503, "overload"));
         }
         return result;
     }
@@ -78,7 +78,7 @@
                 result.complete(withClock(report(call)));
             }
         } catch (IllegalArgumentException | CrankException e) {
-            result.complete(Replies.notRun(400, "malformed"));
+            result.complete(Responses.notRun(400, "malformed"));
         }
     }
 
@@ -91,15 +91,15 @@
     private HttpResponse control(HttpRequest call) {
         if ("POST".equals(call.method()) && call.path().startsWith(CANCEL_PATH)) {
             RequestId id = new RequestId(call.path().substring(CANCEL_PATH.length()));
-            return Replies.json(200, Map.of("cancelled", engine.cancel(id)));
+            return Responses.json(200, Map.of("cancelled", engine.cancel(id)));
         }
         return switch (call.method() + " " + call.path()) {
             case "PUT /control/grant" -> grant(call);
             case "POST /control/drain" -> {
                 engine.drain();
-                yield Replies.json(200, Map.of("draining", true));
+                yield Responses.json(200, Map.of("draining", true));
             }
-            case "GET /control/clock" -> Replies.json(200, Map.of("sequence", engine.grantSequence()));
+            case "GET /control/clock" -> Responses.json(200, Map.of("sequence", engine.grantSequence()));
             default -> HttpResponse.text(404, "not found\n");
         };
     }
@@ -112,35 +112,35 @@
         if (sentAt.isPresent()) {
             int colon = sentAt.get().indexOf(':');
             if (colon < 0 || !sentAt.get().substring(0, colon).equals(instance)) {
-                return Replies.notRun(412, "clock");
+                return Responses.notRun(412, "clock");
             }
             long stated = Long.parseLong(sentAt.get().substring(colon + 1));
             sentAtNanos = stated - nowNanos < 0 ? stated : nowNanos;
         }
         boolean accepted = engine.grant(JsonCodec.decode(call.body(), Grant.class), sentAtNanos);
-        return Replies.json(accepted ? 200 : 409, Map.of("sequence", engine.grantSequence()));
+        return Responses.json(accepted ? 200 : 409, Map.of("sequence", engine.grantSequence()));
     }
 
     private HttpResponse report(HttpRequest call) {
         return switch (call.method() + " " + call.path()) {
-            case "GET /health" -> Replies.json(200, health.current());
+            case "GET /health" -> Responses.json(200, health.current());
             case "GET /load" ->
-                Replies.json(200, Map.of("load", health.current().load(), "slots", slots));
+                Responses.json(200, Map.of("load", health.current().load(), "slots", slots));
             case "GET /ledger" -> HttpResponse.of(200, "application/x-ndjson", ledger.toJsonLines());
             case "GET /admin/stats" ->
-                Replies.json(200, engine.stats(openConnections.getAsInt(), peakConnections.getAsInt()));
-            case "GET /admin/faults" -> Replies.json(200, faults.list());
+                Responses.json(200, engine.stats(openConnections.getAsInt(), peakConnections.getAsInt()));
+            case "GET /admin/faults" -> Responses.json(200, faults.list());
             case "POST /admin/faults" -> {
                 faults.add(JsonCodec.decode(call.body(), Fault.class));
-                yield Replies.json(200, faults.list());
+                yield Responses.json(200, faults.list());
             }
             case "POST /admin/health" -> {
                 health.override(Optional.of(JsonCodec.decode(call.body(), BackendHealth.class)));
-                yield Replies.json(200, health.current());
+                yield Responses.json(200, health.current());
             }
             case "DELETE /admin/health" -> {
                 health.override(Optional.empty());
-                yield Replies.json(200, health.current());
+                yield Responses.json(200, health.current());
             }
             default -> HttpResponse.text(404, "not found\n");
         };
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultSet.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
@@ -8,14 +8,14 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /** The faults in force, at most one of each kind. Not thread safe; confined to the duty of its stand-in. */
-public final class FaultSet {
+public final class FaultInjector {
     private record Active(Fault fault, long endsAtMs, int hitsLeft) {}
 
     private final Map<FaultKind, Active> active = new EnumMap<>(FaultKind.class);
     private final MonotonicClock clock;
     private final SplittableRandom random;
 
-    public FaultSet(MonotonicClock clock, long seed) {
+    public FaultInjector(MonotonicClock clock, long seed) {
         this.clock = clock;
         this.random = new SplittableRandom(seed);
     }
@@ -31,7 +31,7 @@
     }
 
     /** The fault of a kind if it hits the present call; uses up one hit of a counted fault. */
-    public Optional<Fault> hit(FaultKind kind) {
+    public Optional<Fault> trigger(FaultKind kind) {
         Active entry = active.get(kind);
         if (entry == null) {
             return Optional.empty();
@@ -53,8 +53,8 @@
     }
 
     /** Whether the present call is hit by a fault of a kind; uses up one hit. */
-    public boolean hits(FaultKind kind) {
-        return hit(kind).isPresent();
+    public boolean isTriggered(FaultKind kind) {
+        return trigger(kind).isPresent();
     }
 
     public List<Fault> list() {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
@@ -49,7 +49,7 @@
     }
 
     /** Why a request must not be executed at an instant: {@code validity}, {@code range} or {@code fence}. */
-    Optional<String> refusal(Execution execution, long nowNanos) {
+    Optional<String> refusal(BackendRequest execution, long nowNanos) {
         if (execution.key.isEmpty()) {
             return Optional.empty();
         }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReport.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
@@ -10,7 +10,7 @@
  * What the health and load endpoints report: the present state, a past one, or a fixed false one. Not thread safe;
  * confined to the duty of the server.
  */
-final class HealthReport {
+final class HealthReporter {
     private static final long SAMPLE_PERIOD_MS = 25;
 
     private final Supplier<BackendHealth> present;
@@ -18,14 +18,14 @@
     private Optional<BackendHealth> override = Optional.empty();
     private BackendHealth past;
 
-    HealthReport(Supplier<BackendHealth> present, long lagMs, SingleThreadExecutor duty, TimerService timers) {
+    HealthReporter(Supplier<BackendHealth> present, long lagMs, SingleThreadExecutor executor, TimerService timers) {
         this.present = present;
         this.lagging = lagMs > 0;
         this.past = present.get();
         if (lagging) {
-            timers.every(SAMPLE_PERIOD_MS, duty, () -> {
+            timers.every(SAMPLE_PERIOD_MS, executor, () -> {
                 BackendHealth sample = present.get();
-                timers.once(lagMs, duty, () -> past = sample);
+                timers.once(lagMs, executor, () -> past = sample);
             });
         }
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Replies.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Responses.java
@@ -7,11 +7,11 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 
 /** Common replies of the stand-ins. Stateless. */
-final class Replies {
+final class Responses {
     private static final String NOT_RUN_HEADER = "crank-not-run";
     private static final String REASON_HEADER = "crank-reason";
 
-    private Replies() {}
+    private Responses() {}
 
     static HttpResponse json(int status, Object value) {
         return HttpResponse.json(status, JsonCodec.encode(value));
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -34,19 +34,19 @@
     private static final long MAX_WAIT_MS = 600_000;
 
     /** A watch that waits for a change. Confined to the duty. */
-    private record Waiter(String prefix, long after, CompletableFuture<HttpResponse> result) {}
+    private record PendingWatch(String prefix, long after, CompletableFuture<HttpResponse> result) {}
 
-    private final SingleThreadExecutor duty;
+    private final SingleThreadExecutor executor;
     private final TimerService timers;
     private final StoreState state;
-    private final FaultSet faults;
-    private final Set<Waiter> waiters = new LinkedHashSet<>();
+    private final FaultInjector faults;
+    private final Set<PendingWatch> waiters = new LinkedHashSet<>();
     private final Map<String, Long> calls = new TreeMap<>();
     private long conflicts;
     private long refused;
 
-    public StoreService(SingleThreadExecutor duty, TimerService timers, StoreState state, FaultSet faults) {
-        this.duty = duty;
+    public StoreService(SingleThreadExecutor executor, TimerService timers, StoreState state, FaultInjector faults) {
+        this.executor = executor;
         this.timers = timers;
         this.state = state;
         this.faults = faults;
@@ -55,8 +55,8 @@
     @Override
     public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
         CompletableFuture<HttpResponse> result = new CompletableFuture<>();
-        if (!duty.offer(() -> serve(call, closed, result))) {
-            result.complete(Replies.notRun(503, "overload"));
+        if (!executor.offer(() -> serve(call, closed, result))) {
+            result.complete(Responses.notRun(503, "overload"));
         }
         return result;
     }
@@ -70,7 +70,7 @@
                 data(call, target, closed, result);
             }
         } catch (IllegalArgumentException | CrankException e) {
-            result.complete(Replies.notRun(400, "malformed"));
+            result.complete(Responses.notRun(400, "malformed"));
         }
     }
 
@@ -79,13 +79,13 @@
             case "POST /admin/faults" -> {
                 faults.add(JsonCodec.decode(call.body(), Fault.class));
                 abortWaitersIfDown();
-                return Replies.json(200, faults.list());
+                return Responses.json(200, faults.list());
             }
             case "GET /admin/faults" -> {
-                return Replies.json(200, faults.list());
+                return Responses.json(200, faults.list());
             }
             case "GET /admin/stats" -> {
-                return Replies.json(
+                return Responses.json(
                         200, new StoreStats(state.revision(), state.size(), calls, conflicts, refused, waiters.size()));
             }
             default -> {
@@ -113,22 +113,22 @@
             case "get" -> () -> answer(result, get(name(target)));
             case "list" -> {
                 String prefix = parameter(target, "prefix");
-                yield () -> answer(result, Replies.json(200, state.list(prefix)));
+                yield () -> answer(result, Responses.json(200, state.list(prefix)));
             }
             case "watch" -> watch(target, closed, result);
             default -> write(operation, call, name(target), result);
         };
         calls.merge(operation, 1L, Long::sum);
-        if (faults.hits(FaultKind.DOWN) || faults.hits(FaultKind.SHED)) {
+        if (faults.isTriggered(FaultKind.DOWN) || faults.isTriggered(FaultKind.SHED)) {
             refused++;
-            result.complete(Replies.notRun(503, "down"));
-        } else if (faults.hits(FaultKind.CLOSED)) {
+            result.complete(Responses.notRun(503, "down"));
+        } else if (faults.isTriggered(FaultKind.CLOSED)) {
             refused++;
             result.completeExceptionally(HttpAbortException.withoutResponse());
         } else {
-            Optional<Fault> slow = faults.hit(FaultKind.SLOW);
+            Optional<Fault> slow = faults.trigger(FaultKind.SLOW);
             if (slow.isPresent()) {
-                timers.once(slow.get().delayMs(), duty, work);
+                timers.once(slow.get().delayMs(), executor, work);
             } else {
                 work.run();
             }
@@ -182,13 +182,13 @@
                 ? () -> state.put(name, call.body(), expected)
                 : () -> state.delete(name, expected);
         return () -> {
-            Optional<Fault> delayed = faults.hit(FaultKind.DELAYED_WRITE);
+            Optional<Fault> delayed = faults.trigger(FaultKind.DELAYED_WRITE);
             if (delayed.isPresent()) {
-                timers.once(delayed.get().delayMs(), duty, () -> apply(name, effect));
+                timers.once(delayed.get().delayMs(), executor, () -> apply(name, effect));
                 return;
             }
             HttpResponse reply = apply(name, effect);
-            if (faults.hits(FaultKind.UNANSWERED)) {
+            if (faults.isTriggered(FaultKind.UNANSWERED)) {
                 result.completeExceptionally(HttpAbortException.withoutResponse());
             } else {
                 answer(result, reply);
@@ -197,7 +197,7 @@
     }
 
     private void answer(CompletableFuture<HttpResponse> result, HttpResponse reply) {
-        if (faults.hits(FaultKind.CUT_ANSWER)) {
+        if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
             result.completeExceptionally(HttpAbortException.midResponse(reply));
         } else {
             result.complete(reply);
@@ -215,8 +215,8 @@
     }
 
     private void notifyWatches(String name) {
-        List<Waiter> matching = new ArrayList<>();
-        for (Waiter waiter : waiters) {
+        List<PendingWatch> matching = new ArrayList<>();
+        for (PendingWatch waiter : waiters) {
             if (name.startsWith(waiter.prefix)) {
                 matching.add(waiter);
             }
@@ -224,9 +224,9 @@
         matching.forEach(this::answerWatch);
     }
 
-    private void answerWatch(Waiter waiter) {
+    private void answerWatch(PendingWatch waiter) {
         if (waiters.remove(waiter)) {
-            answer(waiter.result, Replies.json(200, state.changes(waiter.prefix, waiter.after)));
+            answer(waiter.result, Responses.json(200, state.changes(waiter.prefix, waiter.after)));
         }
     }
 
@@ -238,14 +238,14 @@
         return () -> {
             WatchBatch batch = state.changes(prefix, after);
             if (batch.reset() || !batch.changes().isEmpty() || waitMs <= 0) {
-                answer(result, Replies.json(200, batch));
+                answer(result, Responses.json(200, batch));
                 return;
             }
-            Waiter waiter = new Waiter(prefix, after, result);
+            PendingWatch waiter = new PendingWatch(prefix, after, result);
             waiters.add(waiter);
-            TimerService.Subscription timeout = timers.once(waitMs, duty, () -> answerWatch(waiter));
+            TimerService.Subscription timeout = timers.once(waitMs, executor, () -> answerWatch(waiter));
             result.whenComplete((reply, failure) -> timeout.cancel());
-            closed.thenRun(() -> duty.offer(() -> waiters.remove(waiter)));
+            closed.thenRun(() -> executor.offer(() -> waiters.remove(waiter)));
         };
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/Traffic.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/Traffic.java
@@ -33,7 +33,7 @@
 
     private Traffic(TestSite site, List<HostAddress> targets, LoadPlan plan) {
         this.site = site;
-        this.driver = new LoadDriver(group, targets, plan, LoadDriver::routed);
+        this.driver = new LoadDriver(group, targets, plan, LoadDriver::routedRequest);
         this.calls = CompletableFuture.supplyAsync(driver::run);
     }
 
