--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
@@ -22,105 +22,106 @@
 
 /**
  * Guards against a faulty backend server beside a live daemon that makes outcomes untrue, disturbs the keys of other
- * servers, or stays unused after its recovery. The faults strike one site in turn.
+ * servers, or stays unused after its recovery. The faults strike one cluster in turn.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BackendFaultTest {
     private static final long FAULT_MS = 2_000;
-    private static final long BEFORE_MS = 1_000;
-    private static final long AFTER_MS = 2_500;
+    private static final long BEFORE_FAULT_MS = 1_000;
+    private static final long AFTER_FAULT_MS = 2_500;
     private static final long SERVED_AGAIN_LIMIT_MS = 5_000;
 
     /** A fault of the backend server of a host; it ends with {@link #end}. */
     enum Fault {
         FROZEN {
             @Override
-            void begin(TestCluster site, ClusterHost host) {
+            void begin(TestCluster cluster, ClusterHost host) {
                 host.backend().freeze();
             }
 
             @Override
-            void end(TestCluster site, ClusterHost host) {
+            void end(TestCluster cluster, ClusterHost host) {
                 host.backend().resume();
             }
         },
         KILLED_AND_RESTARTED {
             @Override
-            void begin(TestCluster site, ClusterHost host) {
+            void begin(TestCluster cluster, ClusterHost host) {
                 host.backend().kill();
             }
 
             @Override
-            void end(TestCluster site, ClusterHost host) {
+            void end(TestCluster cluster, ClusterHost host) {
                 host.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
         },
         SLOW("{\"kind\":\"slow\",\"delayMs\":400}"),
-        ANSWERS_CUT("{\"kind\":\"cut-answer\",\"probability\":0.5}"),
-        UNANSWERED("{\"kind\":\"unanswered\",\"probability\":0.5}"),
+        TRUNCATED_RESPONSES("{\"kind\":\"cut-answer\",\"probability\":0.5}"),
+        MISSING_RESPONSES("{\"kind\":\"unanswered\",\"probability\":0.5}"),
         CONNECTIONS_CLOSED("{\"kind\":\"closed\"}"),
         SHEDDING("{\"kind\":\"shed\"}"),
-        HEALTHY_BY_ITS_REPORT_ONLY("{\"kind\":\"shed\"}") {
+        SHEDDING_BUT_REPORTED_HEALTHY("{\"kind\":\"shed\"}") {
             @Override
-            void begin(TestCluster site, ClusterHost host) {
-                report(site, host, "{\"healthy\":true,\"draining\":false,\"load\":0}");
-                super.begin(site, host);
+            void begin(TestCluster cluster, ClusterHost host) {
+                setReportedHealth(cluster, host, "{\"healthy\":true,\"draining\":false,\"load\":0}");
+                super.begin(cluster, host);
             }
         },
-        UNHEALTHY_BY_ITS_REPORT_ONLY {
+        WORKING_BUT_REPORTED_UNHEALTHY {
             @Override
-            void begin(TestCluster site, ClusterHost host) {
-                report(site, host, "{\"healthy\":false,\"draining\":true,\"load\":1000}");
+            void begin(TestCluster cluster, ClusterHost host) {
+                setReportedHealth(cluster, host, "{\"healthy\":false,\"draining\":true,\"load\":1000}");
             }
         };
 
-        private final String fault;
+        private final String faultJson;
 
         Fault() {
             this("{\"kind\":\"up\"}");
         }
 
         Fault(String fault) {
-            this.fault = fault;
+            this.faultJson = fault;
         }
 
-        void begin(TestCluster site, ClusterHost host) {
-            site.backendFault(host, fault);
+        void begin(TestCluster cluster, ClusterHost host) {
+            cluster.injectBackendFault(host, faultJson);
         }
 
-        void end(TestCluster site, ClusterHost host) {
-            site.backendFault(host, "{\"kind\":\"up\"}");
-            site.call("DELETE", host.backendAddress(), "/admin/health", "");
+        void end(TestCluster cluster, ClusterHost host) {
+            cluster.injectBackendFault(host, "{\"kind\":\"up\"}");
+            cluster.send("DELETE", host.backendAddress(), "/admin/health", "");
         }
 
-        private static void report(TestCluster site, ClusterHost host, String health) {
-            site.call("POST", host.backendAddress(), "/admin/health", health);
+        private static void setReportedHealth(TestCluster cluster, ClusterHost host, String health) {
+            cluster.send("POST", host.backendAddress(), "/admin/health", health);
         }
     }
 
-    private TestCluster site;
+    private TestCluster cluster;
 
     @BeforeAll
-    void startSite(@TempDir Path directory) {
-        site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
+    void startCluster(@TempDir Path directory) {
+        cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
     }
 
     @AfterAll
-    void closeSite() {
-        site.close();
+    void closeCluster() {
+        cluster.close();
     }
 
     @ParameterizedTest
     @EnumSource
-    void faultOfAServerStaysTruthfulLocalAndEnds(Fault fault) {
-        ClusterHost faulty = site.host(0);
-        site.waitUntil("the server has ranges", () -> !ownedKeys(faulty).isEmpty());
+    void faultKeepsOutcomesCorrectAndOtherKeysServed(Fault fault) {
+        ClusterHost faulty = cluster.host(0);
+        cluster.waitUntil("the server has ranges", () -> !ownedKeys(faulty).isEmpty());
         Set<String> keysOfFaulty = ownedKeys(faulty);
-        Traffic traffic = Traffic.start(site, site.callerAddresses(), BEFORE_MS + FAULT_MS + AFTER_MS, 0);
-        TestCluster.sleep(BEFORE_MS);
-        fault.begin(site, faulty);
+        BackgroundTraffic traffic = BackgroundTraffic.start(
+                cluster, cluster.callerAddresses(), BEFORE_FAULT_MS + FAULT_MS + AFTER_FAULT_MS, 0);
+        TestCluster.sleep(BEFORE_FAULT_MS);
+        fault.begin(cluster, faulty);
         TestCluster.sleep(FAULT_MS);
-        fault.end(site, faulty);
+        fault.end(cluster, faulty);
         long recoveredMs = msUntilServed(keysOfFaulty);
         LoadReport report = traffic.finish();
 
@@ -133,14 +134,14 @@
         assertThat(keysOfFaulty).isNotEmpty();
         assertThat(otherKeys).isNotEmpty().allMatch(CallRecord::succeeded);
         assertThat(recoveredMs).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
-        if (fault == Fault.UNHEALTHY_BY_ITS_REPORT_ONLY) {
+        if (fault == Fault.WORKING_BUT_REPORTED_UNHEALTHY) {
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
     }
 
     private Set<String> ownedKeys(ClusterHost host) {
-        List<ServingRange> serving = site.status(host).serving();
-        return IntStream.range(0, Traffic.KEYS)
+        List<ServingRange> serving = cluster.status(host).serving();
+        return IntStream.range(0, BackgroundTraffic.KEY_COUNT)
                 .mapToObj(number -> "key-" + number)
                 .filter(key -> serving.stream().anyMatch(s -> s.range().contains(new Key(key).hash())))
                 .collect(Collectors.toSet());
@@ -148,12 +149,12 @@
 
     private long msUntilServed(Set<String> keys) {
         long startedNanos = System.nanoTime();
-        site.waitUntil("keys are served after the fault", () -> keys.stream().allMatch(this::isServed));
+        cluster.waitUntil("keys are served after the fault", () -> keys.stream().allMatch(this::isServed));
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
     }
 
     private boolean isServed(String key) {
-        return site.call("GET", site.host(1).callerAddress(), "/v1/" + TestCluster.SERVICE + "/" + key, "")
+        return cluster.send("GET", cluster.host(1).callerAddress(), "/v1/" + TestCluster.SERVICE + "/" + key, "")
                 .headers()
                 .firstValue("crank-result")
                 .orElse("")
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
@@ -15,32 +15,32 @@
  */
 class BackendLossTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
-    private static final long BEFORE_MS = 1_500;
+    private static final long BEFORE_LOSS_MS = 1_500;
     private static final long DURATION_MS = 10_000;
 
     /** What happens to the backend server of the first host. */
     enum Loss {
         KILLED {
             @Override
-            void strike(ClusterHost host) {
+            void inject(ClusterHost host) {
                 host.backend().kill();
             }
         },
-        SILENT {
+        FROZEN {
             @Override
-            void strike(ClusterHost host) {
+            void inject(ClusterHost host) {
                 host.backend().freeze();
             }
         },
-        KILLED_AND_RESTARTED_AT_ONCE {
+        KILLED_AND_RESTARTED_IMMEDIATELY {
             @Override
-            void strike(ClusterHost host) {
+            void inject(ClusterHost host) {
                 host.backend().kill();
                 host.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
         };
 
-        abstract void strike(ClusterHost host);
+        abstract void inject(ClusterHost host);
     }
 
     @TempDir
@@ -48,43 +48,43 @@
 
     @ParameterizedTest
     @EnumSource
-    void keysOfALostServerAreServedElsewhere(Loss loss) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            ClusterHost struck = site.host(0);
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), DURATION_MS, 40);
-            TestCluster.sleep(BEFORE_MS);
-            loss.strike(struck);
+    void keysOfALostServerAreServedByOthers(Loss loss) {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+            ClusterHost struck = cluster.host(0);
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), DURATION_MS, 40);
+            TestCluster.sleep(BEFORE_LOSS_MS);
+            loss.inject(struck);
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println(loss + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
-            if (loss != Loss.KILLED_AND_RESTARTED_AT_ONCE) {
-                assertThat(site.status(struck).serving()).isEmpty();
-                assertThat(site.status(struck).backendName()).isEmpty();
+            if (loss != Loss.KILLED_AND_RESTARTED_IMMEDIATELY) {
+                assertThat(cluster.status(struck).serving()).isEmpty();
+                assertThat(cluster.status(struck).backendName()).isEmpty();
             }
         }
     }
 
     /** A server that comes back after its ranges went elsewhere must get ranges again. */
     @ParameterizedTest
-    @EnumSource(names = {"KILLED", "SILENT"})
-    void returningServerGetsKeysAgain(Loss loss) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/b", "r1/b")) {
-            ClusterHost struck = site.host(0);
-            loss.strike(struck);
-            site.waitUntil(
+    @EnumSource(names = {"KILLED", "FROZEN"})
+    void recoveredServerServesRangesAgain(Loss loss) {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/b", "r1/b")) {
+            ClusterHost struck = cluster.host(0);
+            loss.inject(struck);
+            cluster.waitUntil(
                     "the lost server has no ranges",
-                    () -> site.status(struck).serving().isEmpty()
-                            && site.status(struck).backendName().isEmpty());
-            if (loss == Loss.SILENT) {
+                    () -> cluster.status(struck).serving().isEmpty()
+                            && cluster.status(struck).backendName().isEmpty());
+            if (loss == Loss.FROZEN) {
                 struck.backend().resume();
             } else {
                 struck.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
-            site.waitUntil(
+            cluster.waitUntil(
                     "the returned server serves ranges",
-                    () -> !site.status(struck).serving().isEmpty());
+                    () -> !cluster.status(struck).serving().isEmpty());
         }
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/Traffic.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackgroundTraffic.java
@@ -16,38 +16,39 @@
 import org.coriandercrank.load.internal.LoadPlan;
 
 /** Callers' traffic in the background of a fault. Not thread safe. */
-final class Traffic {
-    static final int KEYS = 60;
+final class BackgroundTraffic {
+    static final int KEY_COUNT = 60;
 
     private static final int RATE_PER_SECOND = 300;
 
     /** Longer than pauses of a busy machine, which are no failures of the system. */
     private static final long DEADLINE_MS = 3_000;
 
-    private static final long LIMIT_SECONDS = 180;
+    private static final long FINISH_TIMEOUT_SECONDS = 180;
 
-    private final TestCluster site;
+    private final TestCluster cluster;
     private final LoadDriver driver;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final CompletableFuture<List<CallRecord>> calls;
 
-    private Traffic(TestCluster site, List<HostAddress> targets, LoadPlan plan) {
-        this.site = site;
+    private BackgroundTraffic(TestCluster cluster, List<HostAddress> targets, LoadPlan plan) {
+        this.cluster = cluster;
         this.driver = new LoadDriver(group, targets, plan, LoadDriver::routed);
         this.calls = CompletableFuture.supplyAsync(driver::run);
     }
 
     /** Starts traffic on evenly used keys, half of it writes; failed operations are repeated. */
-    static Traffic start(TestCluster site, List<HostAddress> targets, long durationMs, int maxRepeats) {
-        return start(site, targets, durationMs, maxRepeats, DEADLINE_MS);
+    static BackgroundTraffic start(TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRepeats) {
+        return start(cluster, targets, durationMs, maxRepeats, DEADLINE_MS);
     }
 
-    static Traffic start(TestCluster site, List<HostAddress> targets, long durationMs, int maxRepeats, long deadlineMs) {
-        return start(site, targets, durationMs, maxRepeats, deadlineMs, RATE_PER_SECOND, KEYS);
+    static BackgroundTraffic start(
+            TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRepeats, long deadlineMs) {
+        return start(cluster, targets, durationMs, maxRepeats, deadlineMs, RATE_PER_SECOND, KEY_COUNT);
     }
 
-    static Traffic start(
-            TestCluster site,
+    static BackgroundTraffic start(
+            TestCluster cluster,
             List<HostAddress> targets,
             long durationMs,
             int maxRepeats,
@@ -68,7 +69,7 @@
                 DEADLINE_MS,
                 maxRepeats,
                 7);
-        return new Traffic(site, targets, plan);
+        return new BackgroundTraffic(cluster, targets, plan);
     }
 
     /** All calls; empty before {@link #finish}. */
@@ -79,8 +80,8 @@
     /** Waits for the end of the schedule and of all repeats. */
     LoadReport finish() {
         try {
-            List<CallRecord> records = calls.get(LIMIT_SECONDS, TimeUnit.SECONDS);
-            return LoadReport.of(driver.startedNanos(), records, LedgerReader.read(site.ledgers()));
+            List<CallRecord> records = calls.get(FINISH_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return LoadReport.of(driver.startedNanos(), records, LedgerReader.read(cluster.ledgerFiles()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedEventsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedEventsTest.java
@@ -27,10 +27,10 @@
                 "## Metrics;    \"(crank\\.[a-z.]+)\""
             })
     void pageListsExactlyTheNamesInTheCode(String heading, String pattern) throws IOException {
-        assertThat(documented(heading)).isEqualTo(inCode(Pattern.compile(pattern)));
+        assertThat(documentedNames(heading)).isEqualTo(namesInCode(Pattern.compile(pattern)));
     }
 
-    private static Set<String> documented(String heading) throws IOException {
+    private static Set<String> documentedNames(String heading) throws IOException {
         Set<String> names = new TreeSet<>();
         boolean inSection = false;
         for (String line : Files.readAllLines(PAGE)) {
@@ -45,7 +45,7 @@
         return names;
     }
 
-    private static Set<String> inCode(Pattern pattern) throws IOException {
+    private static Set<String> namesInCode(Pattern pattern) throws IOException {
         Set<String> names = new TreeSet<>();
         try (Stream<Path> files = Files.walk(ROOT)) {
             files.filter(file -> file.toString().endsWith(".java"))
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedSettingsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedSettingsTest.java
@@ -75,7 +75,7 @@
                             .orElseThrow();
                     String text = value.toString();
                     if (row.defaultText.equals("required")) {
-                        assertThat(faults(program, row, null))
+                        assertThat(validationErrors(program, row, null))
                                 .as(program + row.flag)
                                 .isNotEmpty();
                     } else {
@@ -96,12 +96,16 @@
                     if (range.matches() && !row.range.contains("character") && !row.range.contains("bytes")) {
                         long min = Long.parseLong(range.group(1));
                         long max = Long.parseLong(range.group(2));
-                        assertThat(faults(program, row, min)).as(program + row).isEmpty();
-                        assertThat(faults(program, row, max)).as(program + row).isEmpty();
-                        assertThat(faults(program, row, min - 1))
+                        assertThat(validationErrors(program, row, min))
+                                .as(program + row)
+                                .isEmpty();
+                        assertThat(validationErrors(program, row, max))
+                                .as(program + row)
+                                .isEmpty();
+                        assertThat(validationErrors(program, row, min - 1))
                                 .as(program + row)
                                 .isNotEmpty();
-                        assertThat(faults(program, row, max + 1))
+                        assertThat(validationErrors(program, row, max + 1))
                                 .as(program + row)
                                 .isNotEmpty();
                     }
@@ -109,7 +113,7 @@
     }
 
     /** Faults of a flag when it has a value, or none if the value is null. */
-    private static List<String> faults(String program, Row row, Long value) {
+    private static List<String> validationErrors(String program, Row row, Long value) {
         try {
             SettingsLoader.load(
                     PROGRAMS.get(program).get(),
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
@@ -18,36 +18,36 @@
     private static final long DURATION_MS = 8_000;
 
     /** Detection of a silent connection takes at most 1 s; the rest is for the outcome query and a second attempt. */
-    private static final long DEADLINE_MS = 3_000;
+    private static final long SHUTDOWN_DEADLINE_MS = 3_000;
 
-    private static final int REPEATS = 60;
+    private static final int MAX_REPEATS = 60;
 
     /** Faults that strike the first hosts; the last two hosts take the callers' requests, all but the first at a planned stop. */
-    enum Pair {
+    enum FaultPair {
         STORE_DOWN_AND_DAEMON_KILLED(OUTAGE_MS) {
             @Override
-            void strike(TestCluster site) {
-                site.storeFault("{\"kind\":\"down\"}");
-                site.host(0).daemon().kill();
+            void inject(TestCluster cluster) {
+                cluster.injectStoreFault("{\"kind\":\"down\"}");
+                cluster.host(0).daemon().kill();
                 TestCluster.sleep(OUTAGE_MS);
-                site.storeFault("{\"kind\":\"up\"}");
+                cluster.injectStoreFault("{\"kind\":\"up\"}");
             }
         },
         WRITES_UNANSWERED_AND_HOST_KILLED(0) {
             @Override
-            void strike(TestCluster site) {
-                site.storeFault("{\"kind\":\"unanswered\"}");
-                site.host(0).kill();
+            void inject(TestCluster cluster) {
+                cluster.injectStoreFault("{\"kind\":\"unanswered\"}");
+                cluster.host(0).kill();
             }
         },
         PLANNER_AND_OWNER_KILLED(0) {
             @Override
-            void strike(TestCluster site) {
-                ClusterHost planner = site.hosts().stream()
-                        .filter(host -> site.status(host).planner())
+            void inject(TestCluster cluster) {
+                ClusterHost planner = cluster.hosts().stream()
+                        .filter(host -> cluster.status(host).planner())
                         .findFirst()
                         .orElseThrow();
-                ClusterHost owner = site.hosts().stream()
+                ClusterHost owner = cluster.hosts().stream()
                         .filter(host -> host != planner)
                         .findFirst()
                         .orElseThrow();
@@ -57,57 +57,59 @@
         },
         STORE_SLOW_AND_HOST_KILLED(0) {
             @Override
-            void strike(TestCluster site) {
-                site.storeFault("{\"kind\":\"slow\",\"delayMs\":300}");
-                site.host(0).kill();
+            void inject(TestCluster cluster) {
+                cluster.injectStoreFault("{\"kind\":\"slow\",\"delayMs\":300}");
+                cluster.host(0).kill();
             }
         },
         TWO_DAEMONS_KILLED_ONE_SECOND_APART(0) {
             @Override
-            void strike(TestCluster site) {
-                site.host(0).daemon().kill();
+            void inject(TestCluster cluster) {
+                cluster.host(0).daemon().kill();
                 TestCluster.sleep(1_000);
-                site.host(1).daemon().kill();
+                cluster.host(1).daemon().kill();
             }
         },
         STORE_DOWN_AND_DAEMON_FROZEN(FREEZE_MS + 1_000) {
             @Override
-            void strike(TestCluster site) {
-                site.storeFault("{\"kind\":\"down\"}");
-                site.host(0).daemon().freeze();
+            void inject(TestCluster cluster) {
+                cluster.injectStoreFault("{\"kind\":\"down\"}");
+                cluster.host(0).daemon().freeze();
                 TestCluster.sleep(FREEZE_MS);
-                site.host(0).daemon().resume();
+                cluster.host(0).daemon().resume();
                 TestCluster.sleep(1_000);
-                site.storeFault("{\"kind\":\"up\"}");
+                cluster.injectStoreFault("{\"kind\":\"up\"}");
             }
         },
         WRITES_DELAYED_AND_OWNER_PARTITIONED(0) {
             @Override
-            void strike(TestCluster site) {
-                site.storeFault("{\"kind\":\"delayed-write\",\"delayMs\":300}");
-                site.hosts().subList(1, 5).forEach(other -> site.site().partition(site.host(0), other));
-                site.host(0).storeProxy().blockBothDirections();
+            void inject(TestCluster cluster) {
+                cluster.injectStoreFault("{\"kind\":\"delayed-write\",\"delayMs\":300}");
+                cluster.hosts()
+                        .subList(1, 5)
+                        .forEach(other -> cluster.localCluster().partition(cluster.host(0), other));
+                cluster.host(0).storeProxy().blockBothDirections();
                 TestCluster.sleep(FREEZE_MS + 1_000);
-                site.storeFault("{\"kind\":\"up\"}");
-                site.site().clearFaults();
+                cluster.injectStoreFault("{\"kind\":\"up\"}");
+                cluster.localCluster().clearFaults();
             }
         },
         SILENT_CONNECTIONS_AND_PLANNED_STOP(0) {
             @Override
-            void strike(TestCluster site) {
-                site.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
-                site.host(0).daemon().requestStop();
+            void inject(TestCluster cluster) {
+                cluster.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
+                cluster.host(0).daemon().requestStop();
             }
         };
 
         private final long outageMs;
 
         /** @param outageMs time in which a fault that stops takeovers lasts */
-        Pair(long outageMs) {
+        FaultPair(long outageMs) {
             this.outageMs = outageMs;
         }
 
-        abstract void strike(TestCluster site);
+        abstract void inject(TestCluster cluster);
     }
 
     @TempDir
@@ -121,37 +123,37 @@
                 "STORE_SLOW_AND_HOST_KILLED",
                 "SILENT_CONNECTIONS_AND_PLANNED_STOP"
             })
-    void keysAreServedAgainAndNoPromiseBreaks(Pair pair) {
-        check(pair);
+    void keysAreServedAgainWithoutViolations(FaultPair pair) {
+        verify(pair);
     }
 
     /** See KNOWN-RED.txt: two calls of a planned stop had an unknown outcome once. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(names = "SILENT_CONNECTIONS_AND_PLANNED_STOP")
-    void plannedStopFailsNoCallDespiteSilentConnections(Pair pair) {
-        check(pair);
+    void plannedStopFailsNoCallDespiteSilentConnections(FaultPair pair) {
+        verify(pair);
     }
 
     /** See KNOWN-RED.txt: slow or unanswered calls of the store use up the time for a takeover. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(names = {"WRITES_DELAYED_AND_OWNER_PARTITIONED", "STORE_SLOW_AND_HOST_KILLED"})
-    void keysAreServedAgainDespiteSlowWrites(Pair pair) {
-        check(pair);
+    void keysAreServedAgainDespiteSlowWrites(FaultPair pair) {
+        verify(pair);
     }
 
-    private void check(Pair pair) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            boolean planned = pair == Pair.SILENT_CONNECTIONS_AND_PLANNED_STOP;
-            Traffic traffic = Traffic.start(
-                    site,
-                    site.callerAddresses().subList(planned ? 1 : 3, 5),
+    private void verify(FaultPair pair) {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+            boolean planned = pair == FaultPair.SILENT_CONNECTIONS_AND_PLANNED_STOP;
+            BackgroundTraffic traffic = BackgroundTraffic.start(
+                    cluster,
+                    cluster.callerAddresses().subList(planned ? 1 : 3, 5),
                     DURATION_MS + pair.outageMs,
-                    planned ? 0 : REPEATS,
-                    planned ? DEADLINE_MS : 1_000);
+                    planned ? 0 : MAX_REPEATS,
+                    planned ? SHUTDOWN_DEADLINE_MS : 1_000);
             TestCluster.sleep(1_000);
-            pair.strike(site);
+            pair.inject(cluster);
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println(pair + ": " + line));
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StopLogTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownLogTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Guards against a planned stop whose log lines are lost, so that an operator cannot see that it is complete. */
-class StopLogTest {
+class GracefulShutdownLogTest {
     @TempDir
     Path directory;
 
     @Test
-    void plannedStopIsLoggedToItsEnd() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a")) {
-            site.host(0).daemon().stop();
+    void gracefulShutdownIsLoggedCompletely() {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a")) {
+            cluster.host(0).daemon().stop();
 
-            assertThat(site.host(0).daemon().output().lines())
+            assertThat(cluster.host(0).daemon().output().lines())
                     .anySatisfy(line -> assertThat(line).contains("event=leaving"))
                     .anySatisfy(line -> assertThat(line).contains("event=left"));
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PlannedStopTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownTest.java
@@ -13,19 +13,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Guards against planned stops that cut off requests, and leaving servers that still get new work. */
-class PlannedStopTest {
-    private static final long NO_NEW_WORK_LIMIT_MS = 3_000;
+class GracefulShutdownTest {
+    private static final long DRAIN_EFFECT_LIMIT_MS = 3_000;
     private static final long ALL_STOPPED_LIMIT_MS = 10_000;
 
     @TempDir
     Path directory;
 
     @Test
-    void plannedStopOfADaemonFailsNoRequest() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses().subList(1, 4), 10_000, 0);
+    void shutdownOfOneDaemonFailsNoRequest() {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            BackgroundTraffic traffic =
+                    BackgroundTraffic.start(cluster, cluster.callerAddresses().subList(1, 4), 10_000, 0);
             TestCluster.sleep(2_000);
-            site.host(0).daemon().stop();
+            cluster.host(0).daemon().stop();
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println("planned stop: " + line));
@@ -35,26 +36,26 @@
     }
 
     @Test
-    void stopOfAllDaemonsAtOnceDoesNotWaitForSuccessors() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
+    void simultaneousShutdownDoesNotWaitForSuccessors() {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
             long startedNanos = System.nanoTime();
-            site.hosts().forEach(host -> host.daemon().requestStop());
-            site.hosts().forEach(host -> host.daemon().waitForExit());
+            cluster.hosts().forEach(host -> host.daemon().requestStop());
+            cluster.hosts().forEach(host -> host.daemon().waitForExit());
 
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos))
                     .isLessThan(ALL_STOPPED_LIMIT_MS);
-            site.hosts().forEach(host -> assertThat(host.daemon().output()).contains("event=left"));
+            cluster.hosts().forEach(host -> assertThat(host.daemon().output()).contains("event=left"));
         }
     }
 
     @Test
-    void drainedServerGetsNoNewWorkAndNoRequestFails() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            ClusterHost leaving = site.host(1);
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), 12_000, 0);
+    void drainedServerGetsNoNewRequestsAndNoRequestFails() {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            ClusterHost leaving = cluster.host(1);
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 12_000, 0);
             TestCluster.sleep(2_000);
             long noteNanos = System.nanoTime();
-            site.submit("{\"id\":\"drain\",\"basedOn\":" + currentRevision(site)
+            cluster.submitNote("{\"id\":\"drain\",\"basedOn\":" + currentRevision(cluster)
                     + ",\"add\":{\"backends\":[{\"backendName\":\""
                     + leaving.spec().name()
                     + "\",\"drain\":true}]}}");
@@ -62,7 +63,7 @@
 
             report.lines().forEach(line -> System.out.println("drain: " + line));
             List<Execution> late = LedgerReader.read(List.of(leaving.ledgerFile())).stream()
-                    .filter(e -> e.startNanos() - noteNanos > TimeUnit.MILLISECONDS.toNanos(NO_NEW_WORK_LIMIT_MS))
+                    .filter(e -> e.startNanos() - noteNanos > TimeUnit.MILLISECONDS.toNanos(DRAIN_EFFECT_LIMIT_MS))
                     .toList();
             assertThat(late).isEmpty();
             assertThat(report.violations()).isEmpty();
@@ -70,7 +71,7 @@
         }
     }
 
-    private static long currentRevision(TestCluster site) {
-        return site.status(site.host(0)).configurationRevision().value();
+    private static long currentRevision(TestCluster cluster) {
+        return cluster.status(cluster.host(0)).configurationRevision().value();
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/FaultySettingsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/InvalidSettingsTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Guards against programs that start with faulty settings or report only the first fault. */
-class FaultySettingsTest {
-    private static final int EXIT_SETTINGS = 2;
+class InvalidSettingsTest {
+    private static final int EXIT_INVALID_SETTINGS = 2;
 
-    private record Case(String mainClass, List<String> arguments, List<String> faults) {}
+    private record InvalidCommandLine(String mainClass, List<String> arguments, List<String> expectedErrors) {}
 
     @TempDir
     Path directory;
 
-    static Stream<Case> faulty() {
+    static Stream<InvalidCommandLine> invalidCommandLines() {
         return Stream.of(
-                new Case(
+                new InvalidCommandLine(
                         "org.coriandercrank.daemon.Crankd",
                         List.of("--host-name=a b", "--ttl-ms=soon", "--io-threads=0", "--peer-listen=nowhere", "--x=1"),
                         List.of(
@@ -32,11 +32,11 @@
                                 "--x: ",
                                 "--region: is required",
                                 "--store: is required")),
-                new Case(
+                new InvalidCommandLine(
                         "org.coriandercrank.standin.CrankStore",
                         List.of("--listen", "127.0.0.1", "--history-entries", "0", "stray"),
                         List.of("--listen: ", "--history-entries: ", "stray: ")),
-                new Case(
+                new InvalidCommandLine(
                         "org.coriandercrank.standin.CrankBackend",
                         List.of(
                                 "--slots=0",
@@ -51,11 +51,11 @@
                                 "--cold-start-factor: ",
                                 "--daemon: ",
                                 "--name: ")),
-                new Case(
+                new InvalidCommandLine(
                         "org.coriandercrank.ctl.CrankCtl",
                         List.of("status", "--store=nowhere", "--wait-ms=-1", "--json=perhaps", "--service=a b"),
                         List.of("--store: ", "--wait-ms: ", "--json: ", "--service: ")),
-                new Case(
+                new InvalidCommandLine(
                         "org.coriandercrank.load.CrankLoad",
                         List.of("--rate=0", "--scenario=bakery", "--zipf=9", "--keyed=perhaps", "--seed"),
                         List.of(
@@ -68,12 +68,12 @@
     }
 
     @ParameterizedTest
-    @MethodSource("faulty")
-    void allFaultsAreReportedTogether(Case program) {
+    @MethodSource("invalidCommandLines")
+    void allErrorsAreReportedTogether(InvalidCommandLine program) {
         try (ChildProcess process =
                 ChildProcess.start("program", directory, program.mainClass(), program.arguments())) {
-            assertThat(process.waitForExit()).as(process.output()).isEqualTo(EXIT_SETTINGS);
-            assertThat(process.output()).contains(program.faults());
+            assertThat(process.waitForExit()).as(process.output()).isEqualTo(EXIT_INVALID_SETTINGS);
+            assertThat(process.output()).contains(program.expectedErrors());
         }
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.coriandercrank.load.LoadReport;
-import org.coriandercrank.testkit.FaultProxy.Direction;
 import org.coriandercrank.testkit.ClusterHost;
+import org.coriandercrank.testkit.FaultProxy.Direction;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,44 +25,44 @@
     enum Cut {
         ALL_BYTES_TO_THE_OWNER {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
-                others.forEach(other -> site.site().blockOneWay(other, owner));
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
+                others.forEach(other -> cluster.localCluster().blockOneWay(other, owner));
             }
         },
         ALL_BYTES_FROM_THE_OWNER {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
-                others.forEach(other -> site.site().blockOneWay(owner, other));
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
+                others.forEach(other -> cluster.localCluster().blockOneWay(owner, other));
             }
         },
         CALLS_TO_THE_OWNER {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
                 owner.peerProxy().block(Direction.TO_TARGET);
             }
         },
         ANSWERS_OF_THE_OWNER {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
                 owner.peerProxy().block(Direction.FROM_TARGET);
             }
         },
         CALLS_OF_ALL_TO_THE_STORE {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
-                site.hosts().forEach(host -> host.storeProxy().block(Direction.TO_TARGET));
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
+                cluster.hosts().forEach(host -> host.storeProxy().block(Direction.TO_TARGET));
             }
         },
         ANSWERS_OF_THE_STORE_TO_ALL {
             @Override
-            void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others) {
-                site.hosts().forEach(host -> host.storeProxy().block(Direction.FROM_TARGET));
+            void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others) {
+                cluster.hosts().forEach(host -> host.storeProxy().block(Direction.FROM_TARGET));
             }
         };
 
-        abstract void strike(TestCluster site, ClusterHost owner, List<ClusterHost> others);
+        abstract void inject(TestCluster cluster, ClusterHost owner, List<ClusterHost> others);
 
-        boolean ofStore() {
+        boolean affectsStore() {
             return name().contains("STORE");
         }
     }
@@ -72,11 +72,11 @@
 
     @ParameterizedTest
     @EnumSource
-    void noPromiseBreaksWhileALinkIsCutOneWay(Cut cut) {
+    void oneWayCutCausesNoViolation(Cut cut) {
         LoadReport report = run(cut);
 
         assertThat(report.violations()).isEmpty();
-        if (cut.ofStore()) {
+        if (cut.affectsStore()) {
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
     }
@@ -90,13 +90,13 @@
     }
 
     private LoadReport run(Cut cut) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            Traffic traffic =
-                    Traffic.start(site, site.callerAddresses().subList(2, 4), DURATION_MS, cut.ofStore() ? 0 : 40);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            BackgroundTraffic traffic = BackgroundTraffic.start(
+                    cluster, cluster.callerAddresses().subList(2, 4), DURATION_MS, cut.affectsStore() ? 0 : 40);
             TestCluster.sleep(1_000);
-            cut.strike(site, site.host(0), site.hosts().subList(1, 4));
+            cut.inject(cluster, cluster.host(0), cluster.hosts().subList(1, 4));
             TestCluster.sleep(CUT_MS);
-            site.site().clearFaults();
+            cluster.localCluster().clearFaults();
             LoadReport report = traffic.finish();
             report.lines().forEach(line -> System.out.println(cut + ": " + line));
             return report;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
@@ -28,7 +28,7 @@
 
     private static final int KEYS = 10;
     private static final int ROUNDS = 3;
-    private static final long BETWEEN_MOVES_MS = 1_500;
+    private static final long MOVE_INTERVAL_MS = 1_500;
 
     /** Traffic before the first move, because the time of a move is not that of a JVM that has just started. */
     private static final long WARM_UP_MS = 4_000;
@@ -38,8 +38,8 @@
 
     /** What a run with moves gave. Immutable. */
     private record Moves(
-            LoadReport report,
-            RepeatingCaller.Result repeated,
+            LoadReport load,
+            RepeatingClient.Result repeatedCalls,
             List<Execution> executions,
             List<Double> unavailableMs) {}
 
@@ -47,12 +47,12 @@
     void repeatedOperationsRunOnceAndNoCallFailsAcrossMoves() {
         Moves moves = run();
 
-        assertThat(moves.report().violations()).isEmpty();
-        assertThat(HistoryChecker.check(moves.repeated().calls(), moves.executions()))
+        assertThat(moves.load().violations()).isEmpty();
+        assertThat(HistoryChecker.check(moves.repeatedCalls().calls(), moves.executions()))
                 .isEmpty();
-        assertThat(moves.repeated().otherAnswers()).isEmpty();
-        assertThat(moves.repeated().calls()).isNotEmpty().allMatch(CallRecord::succeeded);
-        assertThat(moves.report().succeeded()).isEqualTo(moves.report().calls());
+        assertThat(moves.repeatedCalls().differingAnswers()).isEmpty();
+        assertThat(moves.repeatedCalls().calls()).isNotEmpty().allMatch(CallRecord::succeeded);
+        assertThat(moves.load().succeeded()).isEqualTo(moves.load().calls());
         assertThat(moves.unavailableMs()).hasSizeGreaterThan(ROUNDS);
     }
 
@@ -63,29 +63,29 @@
         Moves moves = run();
 
         assertThat(percentile(moves.unavailableMs(), 0.99)).isLessThan(UNAVAILABLE_P99_LIMIT_MS);
-        assertThat(moves.report().longestGapMs()).isLessThan(UNAVAILABLE_P99_LIMIT_MS);
+        assertThat(moves.load().longestGapMs()).isLessThan(UNAVAILABLE_P99_LIMIT_MS);
     }
 
     private Moves run() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            long durationMs = WARM_UP_MS + (2 * ROUNDS + 1) * BETWEEN_MOVES_MS;
-            Traffic traffic =
-                    Traffic.start(site, site.callerAddresses(), durationMs, 0, DEADLINE_MS, RATE_PER_SECOND, KEYS);
-            RepeatingCaller caller = new RepeatingCaller(site, site.callerAddresses());
-            ClusterHost moved = site.host(1);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            long durationMs = WARM_UP_MS + (2 * ROUNDS + 1) * MOVE_INTERVAL_MS;
+            BackgroundTraffic traffic = BackgroundTraffic.start(
+                    cluster, cluster.callerAddresses(), durationMs, 0, DEADLINE_MS, RATE_PER_SECOND, KEYS);
+            RepeatingClient caller = new RepeatingClient(cluster, cluster.callerAddresses());
+            ClusterHost moved = cluster.host(1);
             TestCluster.sleep(WARM_UP_MS);
             for (int i = 0; i < ROUNDS; i++) {
-                TestCluster.sleep(BETWEEN_MOVES_MS);
-                site.drain(moved, true);
-                TestCluster.sleep(BETWEEN_MOVES_MS);
-                site.drain(moved, false);
+                TestCluster.sleep(MOVE_INTERVAL_MS);
+                cluster.setDrained(moved, true);
+                TestCluster.sleep(MOVE_INTERVAL_MS);
+                cluster.setDrained(moved, false);
             }
-            site.waitUntil(
+            cluster.waitUntil(
                     "the server gets its ranges back",
-                    () -> !site.status(moved).serving().isEmpty());
+                    () -> !cluster.status(moved).serving().isEmpty());
             LoadReport report = traffic.finish();
-            RepeatingCaller.Result repeated = caller.finish();
-            List<Execution> executions = LedgerReader.read(site.ledgers());
+            RepeatingClient.Result repeated = caller.finish();
+            List<Execution> executions = LedgerReader.read(cluster.ledgerFiles());
             List<Double> unavailableMs = unavailableMsOfMoves(traffic.calls(), executions);
             report.lines().forEach(line -> System.out.println("moves: " + line));
             System.out.printf(
@@ -100,15 +100,17 @@
 
     @Test
     void serverThatJoinsAndLeavesFailsNoCall() {
-        try (TestCluster site =
-                TestCluster.start(directory, 3, List.of(TestCluster.DEFAULT_BACKEND_FLAGS), "r1/a", "r1/a", "r1/b", "r1/b")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses().subList(0, 3), 10_000, 0);
+        try (TestCluster cluster = TestCluster.start(
+                directory, 3, List.of(TestCluster.DEFAULT_BACKEND_FLAGS), "r1/a", "r1/a", "r1/b", "r1/b")) {
+            BackgroundTraffic traffic =
+                    BackgroundTraffic.start(cluster, cluster.callerAddresses().subList(0, 3), 10_000, 0);
             TestCluster.sleep(1_000);
-            ClusterHost guest = site.host(3);
-            site.startHost(3);
-            site.waitUntil(
+            ClusterHost guest = cluster.host(3);
+            cluster.startHost(3);
+            cluster.waitUntil(
                     "the new server serves ranges",
-                    () -> site.answers(guest) && !site.status(guest).serving().isEmpty());
+                    () -> cluster.hasBackend(guest)
+                            && !cluster.status(guest).serving().isEmpty());
             TestCluster.sleep(1_500);
             guest.daemon().stop();
             LoadReport report = traffic.finish();
@@ -136,14 +138,14 @@
                         Execution last = ofKey.get(i - 1);
                         Execution next = ofKey.get(i);
                         if (!last.server().equals(next.server())) {
-                            unavailableMs.add(longestMs(callsOfKey.get(key), last.endNanos(), next.startNanos()));
+                            unavailableMs.add(longestCallMs(callsOfKey.get(key), last.endNanos(), next.startNanos()));
                         }
                     }
                 });
         return unavailableMs;
     }
 
-    private static double longestMs(List<CallRecord> calls, long fromNanos, long untilNanos) {
+    private static double longestCallMs(List<CallRecord> calls, long fromNanos, long untilNanos) {
         return calls.stream()
                 .filter(call -> call.intendedNanos() <= untilNanos && call.endedNanos() >= fromNanos)
                 .mapToDouble(call -> (call.endedNanos() - call.intendedNanos()) / 1e6)
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
@@ -35,17 +35,18 @@
  * against daemons that fall back to an older configuration, while submitters race and the store fails.
  */
 class NoteRaceTest {
-    private static final int NOTES = 50;
-    private static final int SUBMITTERS = 8;
+    private static final int NOTE_COUNT = 50;
+    private static final int SUBMITTER_COUNT = 8;
     private static final int RESTART_AT_NOTE = 20;
-    private static final long RESOLVE_LIMIT_MS = 20_000;
-    private static final long MAX_PAUSE_MS = 1_200;
+    private static final long RESUBMIT_TIMEOUT_MS = 20_000;
+    private static final long MAX_SUBMIT_PAUSE_MS = 1_200;
     private static final long IN_FORCE_LIMIT_MS = 4_000;
-    private static final Set<ResultCode> OPEN = Set.of(ResultCode.WRITE_UNANSWERED, ResultCode.STORE_UNAVAILABLE);
-    private static final String UP = "{\"kind\":\"up\"}";
+    private static final Set<ResultCode> INDEFINITE_RESULTS =
+            Set.of(ResultCode.WRITE_UNANSWERED, ResultCode.STORE_UNAVAILABLE);
+    private static final String NO_FAULT = "{\"kind\":\"up\"}";
 
     /** Faults of the store in turn, each with a pause in which the store is up. */
-    private static final List<String> FAULTS = List.of(
+    private static final List<String> STORE_FAULTS = List.of(
             "{\"kind\":\"unanswered\",\"durationMs\":1200,\"probability\":0.5}",
             "{\"kind\":\"down\",\"durationMs\":1300}",
             "{\"kind\":\"delayed-write\",\"durationMs\":1600,\"delayMs\":900,\"probability\":0.6}",
@@ -55,12 +56,12 @@
 
     /** A note and the results of all its submissions. Immutable. */
     private record Submission(String id, String text, List<ResultCode> results, long revision) {
-        ResultCode last() {
+        ResultCode finalResult() {
             return results.get(results.size() - 1);
         }
 
         boolean accepted() {
-            return last() == ResultCode.OK;
+            return finalResult() == ResultCode.OK;
         }
     }
 
@@ -69,122 +70,122 @@
 
     private final Map<String, Submission> submissions = new ConcurrentHashMap<>();
     private final AtomicInteger nextNote = new AtomicInteger();
-    private volatile boolean raceOver;
+    private volatile boolean submittersFinished;
 
     @Test
     void configurationIsTheSequenceOfAcceptedNotes() throws Exception {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
-                RevisionWatch watch = new RevisionWatch(site)) {
-            Configuration start = configuration(site);
-            CompletableFuture<Void> faults = CompletableFuture.runAsync(() -> runFaults(site));
-            ExecutorService pool = Executors.newFixedThreadPool(SUBMITTERS);
-            List<CompletableFuture<Void>> race = IntStream.range(0, SUBMITTERS)
-                    .mapToObj(i -> CompletableFuture.runAsync(() -> runSubmitter(site, new Random(i)), pool))
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
+                RevisionMonitor watch = new RevisionMonitor(cluster)) {
+            Configuration start = configuration(cluster);
+            CompletableFuture<Void> faults = CompletableFuture.runAsync(() -> injectStoreFaults(cluster));
+            ExecutorService pool = Executors.newFixedThreadPool(SUBMITTER_COUNT);
+            List<CompletableFuture<Void>> race = IntStream.range(0, SUBMITTER_COUNT)
+                    .mapToObj(i -> CompletableFuture.runAsync(() -> runSubmitter(cluster, new Random(i)), pool))
                     .toList();
             race.forEach(CompletableFuture::join);
             pool.shutdown();
-            raceOver = true;
+            submittersFinished = true;
             faults.join();
 
-            assertThat(submissions).hasSize(NOTES);
-            submitInForce(site);
-            report(watch);
-            assertSequence(start, configuration(site));
+            assertThat(submissions).hasSize(NOTE_COUNT);
+            submitLastNote(cluster);
+            printSummary(watch);
+            assertConfigurationFollowsAcceptedNotes(start, configuration(cluster));
             assertThat(watch.violations()).isEmpty();
-            assertThat(watch.incarnations()).isEqualTo(site.hosts().size() + 1);
+            assertThat(watch.incarnations()).isEqualTo(cluster.hosts().size() + 1);
         }
     }
 
     /** Guards against a restarted daemon that takes an older configuration from a peer or from the store. */
     @Test
     void daemonRestartedInAnOutageShowsNoOlderRevision() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
-                RevisionWatch watch = new RevisionWatch(site)) {
-            submitInForce(site);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
+                RevisionMonitor watch = new RevisionMonitor(cluster)) {
+            submitLastNote(cluster);
             long shown = submissions.get("last").revision();
-            ClusterHost host = site.host(2);
-            site.storeFault("{\"kind\":\"down\"}");
+            ClusterHost host = cluster.host(2);
+            cluster.injectStoreFault("{\"kind\":\"down\"}");
             host.daemon().kill();
             host.startDaemon(List.of());
-            site.waitUntil("restarted daemon answers", () -> revision(site, host) >= 0);
-            long revisionInOutage = revision(site, host);
-            site.storeFault(UP);
-            site.waitUntil("restarted daemon has a configuration", () -> revision(site, host) > 0);
+            cluster.waitUntil("restarted daemon answers", () -> shownRevision(cluster, host) >= 0);
+            long revisionInOutage = shownRevision(cluster, host);
+            cluster.injectStoreFault(NO_FAULT);
+            cluster.waitUntil("restarted daemon has a configuration", () -> shownRevision(cluster, host) > 0);
 
             assertThat(revisionInOutage).isIn(0L, shown);
-            assertThat(revision(site, host)).isEqualTo(shown);
+            assertThat(shownRevision(cluster, host)).isEqualTo(shown);
             assertThat(watch.violations()).isEmpty();
-            assertThat(watch.incarnations()).isEqualTo(site.hosts().size() + 1);
+            assertThat(watch.incarnations()).isEqualTo(cluster.hosts().size() + 1);
         }
     }
 
     /** Revision that a daemon shows, or -1 if it does not answer. */
-    private static long revision(TestCluster site, ClusterHost host) {
+    private static long shownRevision(TestCluster cluster, ClusterHost host) {
         try {
-            return site.status(host).configurationRevision().value();
+            return cluster.status(host).configurationRevision().value();
         } catch (UncheckedIOException e) {
             return -1;
         }
     }
 
-    private void runFaults(TestCluster site) {
-        for (int i = 0; !raceOver; i++) {
-            site.storeFault(FAULTS.get(i % FAULTS.size()));
+    private void injectStoreFaults(TestCluster cluster) {
+        for (int i = 0; !submittersFinished; i++) {
+            cluster.injectStoreFault(STORE_FAULTS.get(i % STORE_FAULTS.size()));
             TestCluster.sleep(1_600);
         }
-        site.storeFault(UP);
+        cluster.injectStoreFault(NO_FAULT);
     }
 
-    private void runSubmitter(TestCluster site, Random random) {
-        for (int number = nextNote.getAndIncrement(); number < NOTES; number = nextNote.getAndIncrement()) {
+    private void runSubmitter(TestCluster cluster, Random random) {
+        for (int number = nextNote.getAndIncrement(); number < NOTE_COUNT; number = nextNote.getAndIncrement()) {
             if (number == RESTART_AT_NOTE) {
-                ClusterHost host = site.host(2);
+                ClusterHost host = cluster.host(2);
                 host.daemon().kill();
                 host.startDaemon(List.of());
             }
-            TestCluster.sleep(random.nextLong(MAX_PAUSE_MS));
-            submit(site, "race-" + number, text("race-" + number, number, currentRevision(site)));
+            TestCluster.sleep(random.nextLong(MAX_SUBMIT_PAUSE_MS));
+            submit(cluster, "race-" + number, noteText("race-" + number, number, currentRevision(cluster)));
         }
     }
 
-    private static String text(String id, int number, long basedOn) {
+    private static String noteText(String id, int number, long basedOn) {
         return "{\"id\":\"" + id + "\",\"basedOn\":" + basedOn + ",\"add\":{\"backends\":[{\"backendName\":\"" + id
                 + "\",\"weightPercent\":" + number + "}]},\"change\":{\"services\":[{\"name\":\"" + TestCluster.SERVICE
                 + "\",\"maxQueueLength\":" + (100 + number) + "}]}}";
     }
 
     /** Submits a text until it has a definite answer. */
-    private void submit(TestCluster site, String id, String text) {
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESOLVE_LIMIT_MS);
+    private void submit(TestCluster cluster, String id, String text) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESUBMIT_TIMEOUT_MS);
         List<ResultCode> results = new ArrayList<>();
         JsonNode answer;
         do {
-            TestCluster.CtlRun run = site.ctlWithFile(
+            TestCluster.CtlResult run = cluster.runCtlWithFile(
                     text, "note", "submit", "--json=true", "--wait-ms=0", "--timeout-ms=600", "--store-timeout-ms=300");
-            answer = lastLine(run.output());
+            answer = lastLineAsJson(run.output());
             results.add(ResultCode.valueOf(answer.path("name").asText()));
-        } while (OPEN.contains(results.get(results.size() - 1)) && System.nanoTime() - deadlineNanos < 0);
+        } while (INDEFINITE_RESULTS.contains(results.get(results.size() - 1)) && System.nanoTime() - deadlineNanos < 0);
         long revision = answer.path("result").path("revision").asLong();
         submissions.put(id, new Submission(id, text, List.copyOf(results), revision));
     }
 
     /** The last acceptance, with the store up, must reach every daemon in time. */
-    private void submitInForce(TestCluster site) {
-        submit(site, "last", text("last", NOTES, currentRevision(site)));
+    private void submitLastNote(TestCluster cluster) {
+        submit(cluster, "last", noteText("last", NOTE_COUNT, currentRevision(cluster)));
         long acceptedNanos = System.nanoTime();
         long revision = submissions.get("last").revision();
         assertThat(submissions.get("last").accepted()).isTrue();
-        site.waitUntil(
+        cluster.waitUntil(
                 "last revision in force",
-                () -> site.hosts().stream()
+                () -> cluster.hosts().stream()
                         .allMatch(host ->
-                                site.status(host).configurationRevision().value() == revision));
+                                cluster.status(host).configurationRevision().value() == revision));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - acceptedNanos);
         System.out.println("note race: last note in force after " + tookMs + " ms");
         assertThat(tookMs).isLessThanOrEqualTo(IN_FORCE_LIMIT_MS);
     }
 
-    private void assertSequence(Configuration start, Configuration end) {
+    private void assertConfigurationFollowsAcceptedNotes(Configuration start, Configuration end) {
         List<Submission> accepted = submissions.values().stream()
                 .filter(Submission::accepted)
                 .sorted(Comparator.comparing(Submission::revision))
@@ -198,9 +199,10 @@
         assertThat(end).isEqualTo(expected);
         assertThat(accepted.stream().map(Submission::revision).distinct()).hasSize(accepted.size());
         assertThat(submissions.values())
-                .allSatisfy(s -> assertThat(s.last()).as(s.id()).isIn(ResultCode.OK, ResultCode.NOTE_CONFLICT));
-        assertThat(OPEN.stream().mapToLong(this::resubmitted).sum()).isPositive();
-        assertThat(accepted.size()).isBetween(5, NOTES - 5);
+                .allSatisfy(s -> assertThat(s.finalResult()).as(s.id()).isIn(ResultCode.OK, ResultCode.NOTE_CONFLICT));
+        assertThat(INDEFINITE_RESULTS.stream().mapToLong(this::countResubmitted).sum())
+                .isPositive();
+        assertThat(accepted.size()).isBetween(5, NOTE_COUNT - 5);
     }
 
     private static NoteApplier.Environment environment(Configuration start) {
@@ -210,36 +212,38 @@
                 start.services().stream().map(s -> s.balancingPolicy()).collect(Collectors.toSet()));
     }
 
-    private void report(RevisionWatch watch) {
+    private void printSummary(RevisionMonitor watch) {
         long accepted =
                 submissions.values().stream().filter(Submission::accepted).count();
         System.out.println("note race: accepted=" + accepted + " refused=" + (submissions.size() - accepted)
-                + " unansweredAtFirst=" + resubmitted(ResultCode.WRITE_UNANSWERED) + " unavailableAtFirst="
-                + resubmitted(ResultCode.STORE_UNAVAILABLE) + " polls=" + watch.polls() + " failedPolls="
+                + " unansweredAtFirst=" + countResubmitted(ResultCode.WRITE_UNANSWERED) + " unavailableAtFirst="
+                + countResubmitted(ResultCode.STORE_UNAVAILABLE) + " polls=" + watch.polls() + " failedPolls="
                 + watch.failedPolls()
                 + " members=" + watch.incarnations());
     }
 
-    private long resubmitted(ResultCode code) {
+    private long countResubmitted(ResultCode code) {
         return submissions.values().stream()
                 .filter(s -> s.results().contains(code))
                 .count();
     }
 
-    private static long currentRevision(TestCluster site) {
-        return Long.parseLong(
-                readConfiguration(site).headers().firstValue("crank-revision").orElseThrow());
+    private static long currentRevision(TestCluster cluster) {
+        return Long.parseLong(readConfiguration(cluster)
+                .headers()
+                .firstValue("crank-revision")
+                .orElseThrow());
     }
 
-    private static Configuration configuration(TestCluster site) {
-        return JsonCodec.decode(readConfiguration(site).body(), Configuration.class);
+    private static Configuration configuration(TestCluster cluster) {
+        return JsonCodec.decode(readConfiguration(cluster).body(), Configuration.class);
     }
 
-    private static HttpResponse<byte[]> readConfiguration(TestCluster site) {
+    private static HttpResponse<byte[]> readConfiguration(TestCluster cluster) {
         while (true) {
             try {
                 HttpResponse<byte[]> answer =
-                        site.call("GET", site.site().storeAddress(), "/v1/objects/config/current", "");
+                        cluster.send("GET", cluster.localCluster().storeAddress(), "/v1/objects/config/current", "");
                 if (answer.statusCode() == 200) {
                     return answer;
                 }
@@ -250,7 +254,7 @@
         }
     }
 
-    private static JsonNode lastLine(String output) {
+    private static JsonNode lastLineAsJson(String output) {
         List<String> lines = output.lines().toList();
         try {
             return JsonCodec.mapper().readTree(lines.get(lines.size() - 1));
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
@@ -15,41 +15,41 @@
 class OwnerLossTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long FREEZE_MS = 30_000;
-    private static final long SETTLE_MS = 3_000;
+    private static final long RECOVERY_MS = 3_000;
 
     /** What happens to the first hosts; the last two hosts take the callers' requests. */
     enum Loss {
         DAEMON_KILLED {
             @Override
-            void strike(TestCluster site) {
-                site.host(0).daemon().kill();
+            void inject(TestCluster cluster) {
+                cluster.host(0).daemon().kill();
             }
         },
         HOST_KILLED {
             @Override
-            void strike(TestCluster site) {
-                site.host(0).kill();
+            void inject(TestCluster cluster) {
+                cluster.host(0).kill();
             }
         },
         FAILURE_DOMAIN_KILLED {
             @Override
-            void strike(TestCluster site) {
-                site.host(0).kill();
-                site.host(1).kill();
+            void inject(TestCluster cluster) {
+                cluster.host(0).kill();
+                cluster.host(1).kill();
             }
         },
-        HOST_FROZEN_AND_BACK {
+        HOST_FROZEN_AND_RESUMED {
             @Override
-            void strike(TestCluster site) {
-                ClusterHost host = site.host(0);
+            void inject(TestCluster cluster) {
+                ClusterHost host = cluster.host(0);
                 host.freeze();
                 TestCluster.sleep(FREEZE_MS);
                 host.resume();
-                TestCluster.sleep(SETTLE_MS);
+                TestCluster.sleep(RECOVERY_MS);
             }
         };
 
-        abstract void strike(TestCluster site);
+        abstract void inject(TestCluster cluster);
     }
 
     @TempDir
@@ -57,14 +57,14 @@
 
     @ParameterizedTest
     @EnumSource
-    void keysAreServedAgainAndNeverByTwo(Loss loss) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+    void keysAreServedAgainByOneOwnerOnly(Loss loss) {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
             List<HostAddress> survivors =
-                    List.of(site.host(3).callerAddress(), site.host(4).callerAddress());
-            long durationMs = loss == Loss.HOST_FROZEN_AND_BACK ? FREEZE_MS + 2 * SETTLE_MS : 10_000;
-            Traffic traffic = Traffic.start(site, survivors, durationMs, 40);
+                    List.of(cluster.host(3).callerAddress(), cluster.host(4).callerAddress());
+            long durationMs = loss == Loss.HOST_FROZEN_AND_RESUMED ? FREEZE_MS + 2 * RECOVERY_MS : 10_000;
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, survivors, durationMs, 40);
             TestCluster.sleep(2_000);
-            loss.strike(site);
+            loss.inject(cluster);
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println(loss + ": " + line));
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
@@ -19,22 +19,22 @@
     Path directory;
 
     @Test
-    void cutBetweenRegionsStopsNoOwner() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r2/c", "r2/c", "r2/d")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), 12_000, 0);
+    void partitionBetweenRegionsStopsNoOwner() {
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r2/c", "r2/c", "r2/d")) {
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 12_000, 0);
             TestCluster.sleep(1_000);
-            List<ClusterHost> near = site.hosts().subList(0, 3);
-            List<ClusterHost> far = site.hosts().subList(3, 6);
-            near.forEach(one -> far.forEach(other -> site.site().partition(one, other)));
+            List<ClusterHost> near = cluster.hosts().subList(0, 3);
+            List<ClusterHost> far = cluster.hosts().subList(3, 6);
+            near.forEach(one -> far.forEach(other -> cluster.localCluster().partition(one, other)));
             far.forEach(host -> host.storeProxy().blockBothDirections());
             TestCluster.sleep(6_000);
 
-            for (ClusterHost host : site.hosts()) {
-                DaemonStatus status = site.status(host);
+            for (ClusterHost host : cluster.hosts()) {
+                DaemonStatus status = cluster.status(host);
                 assertThat(status.leaseRemainingMs()).as(host.spec().name()).isPositive();
                 assertThat(status.serving()).as(host.spec().name()).isNotEmpty();
             }
-            site.site().clearFaults();
+            cluster.localCluster().clearFaults();
             LoadReport report = traffic.finish();
             report.lines().forEach(line -> System.out.println("region cut: " + line));
             assertThat(report.violations()).isEmpty();
@@ -43,14 +43,17 @@
 
     @Test
     void isolatedOwnerIsReplacedAndNeverExecutesBesideItsSuccessor() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            ClusterHost isolated = site.host(0);
-            Traffic traffic = Traffic.start(site, site.callerAddresses().subList(1, 4), 15_000, 40);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
+            ClusterHost isolated = cluster.host(0);
+            BackgroundTraffic traffic =
+                    BackgroundTraffic.start(cluster, cluster.callerAddresses().subList(1, 4), 15_000, 40);
             TestCluster.sleep(1_000);
-            site.hosts().subList(1, 4).forEach(other -> site.site().partition(isolated, other));
+            cluster.hosts()
+                    .subList(1, 4)
+                    .forEach(other -> cluster.localCluster().partition(isolated, other));
             isolated.storeProxy().blockBothDirections();
             TestCluster.sleep(8_000);
-            site.site().clearFaults();
+            cluster.localCluster().clearFaults();
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println("isolated owner: " + line));
@@ -63,11 +66,11 @@
     @Tag("known-red")
     @Test
     void silentConnectionsDelayCallsByAtMostTheDetectionTime() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), 10_000, 0);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 10_000, 0);
             for (int i = 0; i < 3; i++) {
                 TestCluster.sleep(2_000);
-                site.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
+                cluster.hosts().forEach(host -> host.peerProxy().silenceOpenConnections());
             }
             LoadReport report = traffic.finish();
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawCaller.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawHttpClient.java
@@ -10,13 +10,13 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /** Sends bytes that a correct HTTP client does not send. Stateless. */
-final class RawCaller {
-    private static final int READ_LIMIT_MS = 5_000;
+final class RawHttpClient {
+    private static final int READ_TIMEOUT_MS = 5_000;
 
-    private RawCaller() {}
+    private RawHttpClient() {}
 
     /** An answer as text. Immutable. */
-    record Answer(String text) {
+    record Response(String text) {
         int status() {
             return Integer.parseInt(text.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length()));
         }
@@ -35,19 +35,19 @@
     }
 
     /** Sends a request that ends the connection and returns its answer. */
-    static Answer call(HostAddress address, String requestLine, List<String> headers, String body) {
+    static Response send(HostAddress address, String requestLine, List<String> headers, String body) {
         String head = requestLine + "\r\nHost: x\r\nConnection: close\r\n"
                 + headers.stream().map(h -> h + "\r\n").reduce("", String::concat);
-        return new Answer(text(address, head + "Content-Length: " + body.length() + "\r\n\r\n" + body));
+        return new Response(sendText(address, head + "Content-Length: " + body.length() + "\r\n\r\n" + body));
     }
 
     /** Sends text and returns all that comes back until the other side closes. */
-    static String text(HostAddress address, String sent) {
-        return new String(bytes(address, sent.getBytes(StandardCharsets.ISO_8859_1)), StandardCharsets.UTF_8);
+    static String sendText(HostAddress address, String sent) {
+        return new String(sendBytes(address, sent.getBytes(StandardCharsets.ISO_8859_1)), StandardCharsets.UTF_8);
     }
 
     /** Sends bytes and returns all that comes back; fails if the other side does not close within 5 s. */
-    static byte[] bytes(HostAddress address, byte[] sent) {
+    static byte[] sendBytes(HostAddress address, byte[] sent) {
         try (Socket socket = open(address)) {
             socket.getOutputStream().write(sent);
             return socket.getInputStream().readAllBytes();
@@ -59,7 +59,7 @@
     }
 
     /** Sends a request and leaves without waiting for its answer. */
-    static void leaveAfter(HostAddress address, String request, long waitMs) {
+    static void disconnectAfter(HostAddress address, String request, long waitMs) {
         try (Socket socket = open(address)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             TestCluster.sleep(waitMs);
@@ -70,7 +70,7 @@
 
     private static Socket open(HostAddress address) throws IOException {
         Socket socket = new Socket(address.ip(), address.port());
-        socket.setSoTimeout(READ_LIMIT_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         return socket;
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingCaller.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingClient.java
@@ -18,35 +18,35 @@
  * A caller that repeats non-repeatable operations with their idempotency keys although they succeeded, at any daemon.
  * Not thread safe; {@link #finish} ends its thread.
  */
-final class RepeatingCaller {
+final class RepeatingClient {
     private static final long SEED = 11;
-    private static final long LIMIT_SECONDS = 60;
+    private static final long FINISH_TIMEOUT_SECONDS = 60;
     private static final int REPEATS_PER_OPERATION = 4;
-    private static final int NO_CODE = -1;
+    private static final int NO_RESULT_CODE = -1;
 
     /** An operation that succeeded and its first answer. Immutable. */
     private record Operation(long number, String key, String idempotencyKey, long firstNanos, String answer) {}
 
     /** What the caller saw. Immutable. */
-    record Result(List<CallRecord> calls, List<String> otherAnswers) {
+    record Result(List<CallRecord> calls, List<String> differingAnswers) {
         Result {
             calls = List.copyOf(calls);
-            otherAnswers = List.copyOf(otherAnswers);
+            differingAnswers = List.copyOf(differingAnswers);
         }
     }
 
-    private final TestCluster site;
+    private final TestCluster cluster;
     private final List<HostAddress> targets;
     private final Random random = new Random(SEED);
     private final String runId = "repeat" + Long.toString(System.nanoTime(), Character.MAX_RADIX);
     private final List<Operation> operations = new ArrayList<>();
     private final List<CallRecord> calls = new ArrayList<>();
-    private final List<String> otherAnswers = new ArrayList<>();
+    private final List<String> differingAnswers = new ArrayList<>();
     private final CompletableFuture<Result> result;
     private volatile boolean stopped;
 
-    RepeatingCaller(TestCluster site, List<HostAddress> targets) {
-        this.site = site;
+    RepeatingClient(TestCluster cluster, List<HostAddress> targets) {
+        this.cluster = cluster;
         this.targets = targets;
         this.result = CompletableFuture.supplyAsync(this::run);
     }
@@ -55,7 +55,7 @@
     Result finish() {
         stopped = true;
         try {
-            return result.get(LIMIT_SECONDS, TimeUnit.SECONDS);
+            return result.get(FINISH_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
@@ -66,36 +66,36 @@
 
     private Result run() {
         while (!stopped) {
-            first();
+            sendNewOperation();
             for (int i = 0; i < REPEATS_PER_OPERATION && !operations.isEmpty(); i++) {
                 repeat(operations.get(random.nextInt(operations.size())));
             }
         }
         operations.forEach(this::repeat);
-        return new Result(calls, otherAnswers);
+        return new Result(calls, differingAnswers);
     }
 
-    private void first() {
+    private void sendNewOperation() {
         long number = calls.size();
-        String key = "key-" + random.nextInt(Traffic.KEYS);
+        String key = "key-" + random.nextInt(BackgroundTraffic.KEY_COUNT);
         long nowNanos = System.nanoTime();
         Operation asked = new Operation(number, key, runId + "-k" + number, nowNanos, "");
-        String answer = call(asked, nowNanos);
+        String answer = send(asked, nowNanos);
         if (calls.get(calls.size() - 1).succeeded()) {
             operations.add(new Operation(number, key, asked.idempotencyKey(), nowNanos, answer));
         }
     }
 
     private void repeat(Operation operation) {
-        String answer = call(operation, System.nanoTime());
+        String answer = send(operation, System.nanoTime());
         if (!answer.equals(operation.answer())) {
-            otherAnswers.add(operation + " was repeated with answer " + answer);
+            differingAnswers.add(operation + " was repeated with answer " + answer);
         }
     }
 
-    private String call(Operation operation, long nowNanos) {
+    private String send(Operation operation, long nowNanos) {
         String requestId = runId + "-" + calls.size();
-        HttpResponse<byte[]> reply = site.call(
+        HttpResponse<byte[]> reply = cluster.send(
                 "POST",
                 targets.get(random.nextInt(targets.size())),
                 "/v1/" + TestCluster.SERVICE + "/" + operation.key(),
@@ -107,7 +107,7 @@
         int code = reply.headers()
                 .firstValue("crank-result")
                 .map(Integer::parseInt)
-                .orElse(NO_CODE);
+                .orElse(NO_RESULT_CODE);
         Optional<Outcome> outcome = reply.headers()
                 .firstValue("crank-outcome")
                 .flatMap(text -> List.of(Outcome.values()).stream()
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WholePathTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RequestPathTest.java
@@ -19,8 +19,8 @@
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LedgerReader;
-import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.ClusterHost;
+import org.coriandercrank.testkit.HostSpec;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -30,47 +30,47 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Guards against faults between the parts of the path from caller to backend server, with real processes. */
-class WholePathTest {
-    private static final String KEYED = "/v1/" + TestCluster.SERVICE + "/";
+class RequestPathTest {
+    private static final String KEYED_PATH = "/v1/" + TestCluster.SERVICE + "/";
     private static final String UNKEYED_SERVICE = "shadebook";
     private static final int BODY_LIMIT_BYTES = 4_096;
     private static final int KEYED_HOSTS = 3;
-    private static final long SLOW_MS = 1_000;
+    private static final long SLOW_SERVER_DELAY_MS = 1_000;
 
     @TempDir
     static Path directory;
 
-    private static TestCluster site;
+    private static TestCluster cluster;
 
     @BeforeAll
-    static void startSite() {
+    static void startCluster() {
         List<HostSpec> specs = List.of(
                 new HostSpec("desk-1", "r1", "a", TestCluster.SERVICE),
                 new HostSpec("desk-2", "r1", "a", TestCluster.SERVICE),
                 new HostSpec("desk-3", "r1", "b", TestCluster.SERVICE),
                 new HostSpec("book-1", "r1", "a", UNKEYED_SERVICE),
                 new HostSpec("book-2", "r1", "a", UNKEYED_SERVICE));
-        site = TestCluster.start(
+        cluster = TestCluster.start(
                 directory,
                 specs,
                 "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + TestCluster.SERVICE
                         + "\",\"keyed\":true,\"maxBodyBytes\":" + BODY_LIMIT_BYTES + "},{\"name\":\"" + UNKEYED_SERVICE
                         + "\",\"keyed\":false}]}}");
-        site.waitUntil(
+        cluster.waitUntil(
                 "the unkeyed service answers",
-                () -> site.hosts().stream()
+                () -> cluster.hosts().stream()
                         .allMatch(h ->
                                 call(h, "GET", "/v1/" + UNKEYED_SERVICE, "").statusCode() < 500));
     }
 
     @AfterAll
-    static void stopSite() {
-        site.close();
+    static void closeCluster() {
+        cluster.close();
     }
 
     private static HttpResponse<byte[]> call(
             ClusterHost host, String method, String path, String body, String... headers) {
-        return site.call(method, host.callerAddress(), path, body, headers);
+        return cluster.send(method, host.callerAddress(), path, body, headers);
     }
 
     private static String text(HttpResponse<byte[]> answer) {
@@ -87,7 +87,7 @@
     }
 
     private static List<Execution> executions(String requestId) {
-        return LedgerReader.read(site.ledgers()).stream()
+        return LedgerReader.read(cluster.ledgerFiles()).stream()
                 .filter(e -> e.callerRequestId().equals(requestId))
                 .toList();
     }
@@ -96,13 +96,13 @@
     void everyDaemonGivesTheOwnersAnswer() {
         Set<String> owners = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            String path = KEYED + "ticket-" + i;
-            ClusterHost writer = site.host(i % site.hosts().size());
+            String path = KEYED_PATH + "ticket-" + i;
+            ClusterHost writer = cluster.host(i % cluster.hosts().size());
             HttpResponse<byte[]> written = call(writer, "PUT", path, "state " + i);
             assertExecuted(written);
             String owner = header(written, "Crank-Owner");
             owners.add(owner);
-            for (ClusterHost reader : site.hosts()) {
+            for (ClusterHost reader : cluster.hosts()) {
                 HttpResponse<byte[]> read = call(reader, "GET", path, "");
                 assertExecuted(read);
                 assertThat(text(read)).isEqualTo("state " + i);
@@ -115,9 +115,9 @@
     @Test
     void unkeyedRequestsAreSpreadOverTheirServers() {
         for (int i = 0; i < 100; i++) {
-            assertExecuted(call(site.host(i % 3), "PUT", "/v1/" + UNKEYED_SERVICE + "/spread", "x"));
+            assertExecuted(call(cluster.host(i % 3), "PUT", "/v1/" + UNKEYED_SERVICE + "/spread", "x"));
         }
-        List<Execution> spread = LedgerReader.read(site.ledgers()).stream()
+        List<Execution> spread = LedgerReader.read(cluster.ledgerFiles()).stream()
                 .filter(e -> e.method().equals("PUT") && e.server().startsWith("book-"))
                 .toList();
         assertThat(spread).hasSizeGreaterThanOrEqualTo(100);
@@ -127,8 +127,8 @@
 
     @Test
     void methodsReachTheServer() {
-        ClusterHost host = site.host(0);
-        String path = KEYED + "methods";
+        ClusterHost host = cluster.host(0);
+        String path = KEYED_PATH + "methods";
         assertExecuted(call(host, "PUT", path, "a"));
         assertExecuted(call(host, "POST", path, "b"));
         HttpResponse<byte[]> read = call(host, "GET", path, "");
@@ -145,9 +145,9 @@
 
     @Test
     void requestIdIsEchoedOrGenerated() {
-        HttpResponse<byte[]> given = call(site.host(0), "GET", KEYED + "id", "", "Crank-Request-Id: mine-1");
+        HttpResponse<byte[]> given = call(cluster.host(0), "GET", KEYED_PATH + "id", "", "Crank-Request-Id: mine-1");
         assertThat(header(given, "Crank-Request-Id")).isEqualTo("mine-1");
-        HttpResponse<byte[]> generated = call(site.host(0), "GET", KEYED + "id", "");
+        HttpResponse<byte[]> generated = call(cluster.host(0), "GET", KEYED_PATH + "id", "");
         assertThat(header(generated, "Crank-Request-Id")).isNotEmpty();
     }
 
@@ -156,7 +156,7 @@
         StringBuilder requests = new StringBuilder();
         for (int i = 1; i <= 5; i++) {
             requests.append("GET ")
-                    .append(KEYED)
+                    .append(KEYED_PATH)
                     .append("alive-")
                     .append(i)
                     .append(" HTTP/1.1\r\nHost: x\r\n")
@@ -165,7 +165,7 @@
                     .append("\r\n")
                     .append(i == 5 ? "Connection: close\r\n\r\n" : "\r\n");
         }
-        String answers = RawCaller.text(site.host(1).callerAddress(), requests.toString());
+        String answers = RawHttpClient.sendText(cluster.host(1).callerAddress(), requests.toString());
         assertThat(answers.lines()
                         .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("crank-request-id"))
                         .map(line -> line.substring(line.indexOf(' ') + 1)))
@@ -174,118 +174,120 @@
 
     @Test
     void bodyLimitIsExact() {
-        HttpResponse<byte[]> atLimit = call(site.host(0), "PUT", KEYED + "big", "x".repeat(BODY_LIMIT_BYTES));
+        HttpResponse<byte[]> atLimit = call(cluster.host(0), "PUT", KEYED_PATH + "big", "x".repeat(BODY_LIMIT_BYTES));
         assertExecuted(atLimit);
-        HttpResponse<byte[]> above = call(site.host(0), "PUT", KEYED + "big", "x".repeat(BODY_LIMIT_BYTES + 1));
+        HttpResponse<byte[]> above = call(cluster.host(0), "PUT", KEYED_PATH + "big", "x".repeat(BODY_LIMIT_BYTES + 1));
         assertThat(above.statusCode()).isEqualTo(413);
         assertThat(header(above, "Crank-Result")).isEqualTo("103");
         assertThat(header(above, "Crank-Outcome")).isEqualTo("not-run");
     }
 
-    private record Bad(int number, String field, String requestLine, List<String> headers) {}
+    private record InvalidRequest(int code, String field, String requestLine, List<String> headers) {}
 
-    private static Bad path(int number, String field, String target) {
-        return new Bad(number, field, "GET " + target + " HTTP/1.1", List.of());
+    private static InvalidRequest invalidPath(int number, String field, String target) {
+        return new InvalidRequest(number, field, "GET " + target + " HTTP/1.1", List.of());
     }
 
-    private static Bad header(int number, String field, String... headers) {
-        return new Bad(number, field, "GET " + KEYED + "k HTTP/1.1", List.of(headers));
+    private static InvalidRequest invalidHeader(int number, String field, String... headers) {
+        return new InvalidRequest(number, field, "GET " + KEYED_PATH + "k HTTP/1.1", List.of(headers));
     }
 
-    static Stream<Bad> badInputs() {
+    static Stream<InvalidRequest> invalidRequests() {
         return Stream.of(
-                path(100, "path", "/nothing"),
-                path(100, "path", "/v2/counter-desk/k"),
-                path(101, "service", "/v1/nowhere/k"),
-                path(101, "service", "/v1//k"),
-                path(102, "key", "/v1/" + TestCluster.SERVICE),
-                path(102, "key", KEYED),
-                path(102, "key", KEYED + "%zz"),
-                path(102, "key", KEYED + "a%00"),
-                path(102, "key", KEYED + "%ff"),
-                path(102, "key", KEYED + "k".repeat(257)),
-                path(104, "header", KEYED + "k".repeat(9_000)),
-                header(100, "Crank-Key", "Crank-Service: " + UNKEYED_SERVICE, "Crank-Key: k"),
-                header(100, "Crank-Service", "Crank-Service: a", "Crank-Service: b"),
-                header(102, "key", "Crank-Service: " + TestCluster.SERVICE),
-                header(102, "Crank-Key", "Crank-Service: " + TestCluster.SERVICE, "Crank-Key: a", "Crank-Key: b"),
-                header(104, "header", "X-Big: " + "x".repeat(17_000)),
-                header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: soon"),
-                header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 0"),
-                header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 30001"),
-                header(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 5", "Crank-Deadline-Ms: 5"),
-                new Bad(106, "method", "TRACE " + KEYED + "k HTTP/1.1", List.of()),
-                header(107, "Idempotency-Key", "Idempotency-Key: a b"),
-                header(107, "Idempotency-Key", "Idempotency-Key: " + "a".repeat(129)),
-                header(107, "Idempotency-Key", "Idempotency-Key: a", "Idempotency-Key: b"),
-                header(107, "Crank-Key-Age-Ms", "Crank-Key-Age-Ms: 5"),
-                header(107, "Crank-Key-Age-Ms", "Idempotency-Key: a", "Crank-Key-Age-Ms: -1"),
-                header(109, "Crank-Request-Id", "Crank-Request-Id: a b"),
-                header(109, "Crank-Request-Id", "Crank-Request-Id: a..2"),
-                header(109, "Crank-Request-Id", "Crank-Request-Id: " + "a".repeat(113)),
-                header(109, "Crank-Request-Id", "Crank-Request-Id: a", "Crank-Request-Id: b"),
-                new Bad(100, "request", "GET " + KEYED + "k", List.of()));
+                invalidPath(100, "path", "/nothing"),
+                invalidPath(100, "path", "/v2/counter-desk/k"),
+                invalidPath(101, "service", "/v1/nowhere/k"),
+                invalidPath(101, "service", "/v1//k"),
+                invalidPath(102, "key", "/v1/" + TestCluster.SERVICE),
+                invalidPath(102, "key", KEYED_PATH),
+                invalidPath(102, "key", KEYED_PATH + "%zz"),
+                invalidPath(102, "key", KEYED_PATH + "a%00"),
+                invalidPath(102, "key", KEYED_PATH + "%ff"),
+                invalidPath(102, "key", KEYED_PATH + "k".repeat(257)),
+                invalidPath(104, "header", KEYED_PATH + "k".repeat(9_000)),
+                invalidHeader(100, "Crank-Key", "Crank-Service: " + UNKEYED_SERVICE, "Crank-Key: k"),
+                invalidHeader(100, "Crank-Service", "Crank-Service: a", "Crank-Service: b"),
+                invalidHeader(102, "key", "Crank-Service: " + TestCluster.SERVICE),
+                invalidHeader(
+                        102, "Crank-Key", "Crank-Service: " + TestCluster.SERVICE, "Crank-Key: a", "Crank-Key: b"),
+                invalidHeader(104, "header", "X-Big: " + "x".repeat(17_000)),
+                invalidHeader(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: soon"),
+                invalidHeader(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 0"),
+                invalidHeader(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 30001"),
+                invalidHeader(105, "Crank-Deadline-Ms", "Crank-Deadline-Ms: 5", "Crank-Deadline-Ms: 5"),
+                new InvalidRequest(106, "method", "TRACE " + KEYED_PATH + "k HTTP/1.1", List.of()),
+                invalidHeader(107, "Idempotency-Key", "Idempotency-Key: a b"),
+                invalidHeader(107, "Idempotency-Key", "Idempotency-Key: " + "a".repeat(129)),
+                invalidHeader(107, "Idempotency-Key", "Idempotency-Key: a", "Idempotency-Key: b"),
+                invalidHeader(107, "Crank-Key-Age-Ms", "Crank-Key-Age-Ms: 5"),
+                invalidHeader(107, "Crank-Key-Age-Ms", "Idempotency-Key: a", "Crank-Key-Age-Ms: -1"),
+                invalidHeader(109, "Crank-Request-Id", "Crank-Request-Id: a b"),
+                invalidHeader(109, "Crank-Request-Id", "Crank-Request-Id: a..2"),
+                invalidHeader(109, "Crank-Request-Id", "Crank-Request-Id: " + "a".repeat(113)),
+                invalidHeader(109, "Crank-Request-Id", "Crank-Request-Id: a", "Crank-Request-Id: b"),
+                new InvalidRequest(100, "request", "GET " + KEYED_PATH + "k", List.of()));
     }
 
     @ParameterizedTest
-    @MethodSource("badInputs")
-    void badInputIsRefusedByNumberAndField(Bad input) throws IOException {
-        RawCaller.Answer answer =
-                RawCaller.call(site.host(0).callerAddress(), input.requestLine(), input.headers(), "");
+    @MethodSource("invalidRequests")
+    void invalidRequestIsRejectedWithCodeAndField(InvalidRequest input) throws IOException {
+        RawHttpClient.Response answer =
+                RawHttpClient.send(cluster.host(0).callerAddress(), input.requestLine(), input.headers(), "");
 
-        assertThat(answer.header("Crank-Result")).as(answer.text()).contains(Integer.toString(input.number()));
+        assertThat(answer.header("Crank-Result")).as(answer.text()).contains(Integer.toString(input.code()));
         assertThat(answer.header("Crank-Outcome")).contains("not-run");
         assertThat(answer.status()).isBetween(400, 499);
         JsonNode body = new ObjectMapper().readTree(answer.body());
-        assertThat(body.get("code").asInt()).isEqualTo(input.number());
+        assertThat(body.get("code").asInt()).isEqualTo(input.code());
         assertThat(body.get("detail").asText()).startsWithIgnoringCase(input.field() + ":");
         assertThat(answer.header("Crank-Request-Id"))
                 .contains(body.get("requestId").asText());
     }
 
-    private static void slow(Runnable whileSlow) {
-        String fault = "{\"kind\":\"slow\",\"delayMs\":" + SLOW_MS + "}";
-        site.hosts().forEach(h -> site.call("POST", h.backendAddress(), "/admin/faults", fault));
+    private static void withSlowServers(Runnable whileSlow) {
+        String fault = "{\"kind\":\"slow\",\"delayMs\":" + SLOW_SERVER_DELAY_MS + "}";
+        cluster.hosts().forEach(h -> cluster.send("POST", h.backendAddress(), "/admin/faults", fault));
         try {
             whileSlow.run();
         } finally {
-            site.hosts().forEach(h -> site.call("POST", h.backendAddress(), "/admin/faults", "{\"kind\":\"up\"}"));
+            cluster.hosts()
+                    .forEach(h -> cluster.send("POST", h.backendAddress(), "/admin/faults", "{\"kind\":\"up\"}"));
         }
     }
 
     @Test
-    void callerThatLeavesCancelsItsRequest() {
-        slow(() -> {
-            for (ClusterHost host : site.hosts().subList(0, KEYED_HOSTS)) {
+    void disconnectOfTheCallerCancelsItsRequest() {
+        withSlowServers(() -> {
+            for (ClusterHost host : cluster.hosts().subList(0, KEYED_HOSTS)) {
                 String id = "left-" + host.spec().name();
-                RawCaller.leaveAfter(
+                RawHttpClient.disconnectAfter(
                         host.callerAddress(),
-                        "PUT " + KEYED + "leave HTTP/1.1\r\nHost: x\r\nCrank-Request-Id: " + id
+                        "PUT " + KEYED_PATH + "leave HTTP/1.1\r\nHost: x\r\nCrank-Request-Id: " + id
                                 + "\r\nContent-Length: 1\r\n\r\nx",
-                        SLOW_MS / 4);
+                        SLOW_SERVER_DELAY_MS / 4);
             }
-            assertExecuted(call(site.host(0), "PUT", KEYED + "stay", "x", "Crank-Request-Id: stayed"));
-            TestCluster.sleep(SLOW_MS);
+            assertExecuted(call(cluster.host(0), "PUT", KEYED_PATH + "stay", "x", "Crank-Request-Id: stayed"));
+            TestCluster.sleep(SLOW_SERVER_DELAY_MS);
         });
         assertThat(executions("stayed")).hasSize(1);
-        for (ClusterHost host : site.hosts().subList(0, KEYED_HOSTS)) {
+        for (ClusterHost host : cluster.hosts().subList(0, KEYED_HOSTS)) {
             assertThat(executions("left-" + host.spec().name())).isEmpty();
         }
     }
 
     @Test
-    void passedDeadlineIsAnsweredInTimeAndTruthfully() {
-        slow(() -> {
-            for (ClusterHost host : site.hosts()) {
+    void expiredDeadlineIsAnsweredInTimeWithCorrectOutcome() {
+        withSlowServers(() -> {
+            for (ClusterHost host : cluster.hosts()) {
                 String id = "late-" + host.spec().name();
                 long startNanos = System.nanoTime();
-                HttpResponse<byte[]> answer = callLate(host, id);
+                HttpResponse<byte[]> answer = callWithShortDeadline(host, id);
                 long tookMs = (System.nanoTime() - startNanos) / 1_000_000;
 
                 assertThat(answer.statusCode()).isGreaterThanOrEqualTo(500);
-                assertThat(tookMs).isBetween(200L, SLOW_MS);
+                assertThat(tookMs).isBetween(200L, SLOW_SERVER_DELAY_MS);
                 assertThat(header(answer, "Crank-Outcome")).isIn("not-run", "unknown");
-                TestCluster.sleep(SLOW_MS + 200);
+                TestCluster.sleep(SLOW_SERVER_DELAY_MS + 200);
                 if (header(answer, "Crank-Outcome").equals("not-run")) {
                     assertThat(executions(id)).isEmpty();
                 }
@@ -295,26 +297,26 @@
 
     /** Asks often, because the deadline of the daemon and the refusal of the server race. */
     @Test
-    void passedDeadlineIsAnsweredWith504() {
+    void expiredDeadlineIsAnsweredWith504() {
         List<String> answers = new ArrayList<>();
-        slow(() -> site.hosts().forEach(host -> {
+        withSlowServers(() -> cluster.hosts().forEach(host -> {
             HttpResponse<byte[]> answer =
-                    callLate(host, "late-504-" + host.spec().name());
+                    callWithShortDeadline(host, "late-504-" + host.spec().name());
             answers.add(answer.statusCode() + " " + header(answer, "Crank-Result") + " at "
                     + host.spec().name() + " from " + header(answer, "Crank-Owner"));
         }));
         assertThat(answers).allMatch(answer -> answer.startsWith("504 "));
     }
 
-    private static HttpResponse<byte[]> callLate(ClusterHost host, String id) {
-        return call(host, "PUT", KEYED + "late", "x", "Crank-Request-Id: " + id, "Crank-Deadline-Ms: 300");
+    private static HttpResponse<byte[]> callWithShortDeadline(ClusterHost host, String id) {
+        return call(host, "PUT", KEYED_PATH + "late", "x", "Crank-Request-Id: " + id, "Crank-Deadline-Ms: 300");
     }
 
     @Test
-    void repeatWithTheSameIdempotencyKeyGetsTheKeptAnswer() {
-        String path = KEYED + "once";
+    void repeatWithTheSameIdempotencyKeyGetsTheRetainedAnswer() {
+        String path = KEYED_PATH + "once";
         HttpResponse<byte[]> first = call(
-                site.host(0),
+                cluster.host(0),
                 "POST",
                 path,
                 "x",
@@ -322,7 +324,7 @@
                 "Idempotency-Key: op-1",
                 "Crank-Key-Age-Ms: 0");
         HttpResponse<byte[]> second = call(
-                site.host(4),
+                cluster.host(4),
                 "POST",
                 path,
                 "x",
@@ -330,7 +332,7 @@
                 "Idempotency-Key: op-1",
                 "Crank-Key-Age-Ms: 50");
         HttpResponse<byte[]> other =
-                call(site.host(1), "POST", path, "y", "Idempotency-Key: op-1", "Crank-Key-Age-Ms: 90");
+                call(cluster.host(1), "POST", path, "y", "Idempotency-Key: op-1", "Crank-Key-Age-Ms: 90");
 
         assertExecuted(first);
         assertExecuted(second);
@@ -341,10 +343,10 @@
         assertThat(executions("once-2")).isEmpty();
         assertThat(other.statusCode()).isEqualTo(422);
         assertThat(header(other, "Crank-Result")).isEqualTo("108");
-        assertThat(text(call(site.host(2), "GET", path, ""))).isEqualTo("x");
+        assertThat(text(call(cluster.host(2), "GET", path, ""))).isEqualTo("x");
     }
 
-    static Stream<byte[]> wrongFrames() {
+    static Stream<byte[]> malformedFrames() {
         byte[] random = new byte[256];
         new Random(3).nextBytes(random);
         random[0] = 0x11;
@@ -361,15 +363,15 @@
     }
 
     @ParameterizedTest
-    @MethodSource("wrongFrames")
-    void wrongFrameEndsOnlyItsConnection(byte[] frame) {
-        ClusterHost host = site.host(0);
-        RawCaller.bytes(host.peerAddress(), frame);
+    @MethodSource("malformedFrames")
+    void malformedFrameClosesOnlyItsConnection(byte[] frame) {
+        ClusterHost host = cluster.host(0);
+        RawHttpClient.sendBytes(host.peerAddress(), frame);
 
         assertThat(host.daemon().isAlive()).isTrue();
         for (int i = 0; i < 4; i++) {
-            assertExecuted(call(site.host(2), "GET", KEYED + "frame-" + i, ""));
-            assertExecuted(call(host, "GET", KEYED + "frame-" + i, ""));
+            assertExecuted(call(cluster.host(2), "GET", KEYED_PATH + "frame-" + i, ""));
+            assertExecuted(call(host, "GET", KEYED_PATH + "frame-" + i, ""));
         }
     }
 
@@ -388,29 +390,29 @@
                 "{\"name\":\"x\",\"service\":\"a\",\"address\":\"127.0.0.1:1\",\"slots\":0,\"maxConnections\":1,"
                         + "\"capabilities\":[\"FLIGHT\"]}"
             })
-    void unreadableAnnouncementIsRefusedAndChangesNothing(String body) {
-        ClusterHost host = site.host(0);
-        HttpResponse<byte[]> answer = site.call("POST", host.adminAddress(), "/v1/backend", body);
+    void invalidAnnouncementIsRejectedAndChangesNothing(String body) {
+        ClusterHost host = cluster.host(0);
+        HttpResponse<byte[]> answer = cluster.send("POST", host.adminAddress(), "/v1/backend", body);
 
         assertThat(answer.statusCode()).as(text(answer)).isEqualTo(400);
-        assertThat(site.status(host).backendName()).contains("desk-1");
-        assertExecuted(call(host, "GET", KEYED + "announced", ""));
+        assertThat(cluster.status(host).backendName()).contains("desk-1");
+        assertExecuted(call(host, "GET", KEYED_PATH + "announced", ""));
     }
 
     @Test
     void adminEndpointsAnswer() {
-        for (ClusterHost host : site.hosts()) {
+        for (ClusterHost host : cluster.hosts()) {
             HostAddress admin = host.adminAddress();
-            assertThat(text(site.call("GET", admin, "/live", ""))).isEqualTo("live\n");
-            HttpResponse<byte[]> ready = site.call("GET", admin, "/ready", "");
+            assertThat(text(cluster.send("GET", admin, "/live", ""))).isEqualTo("live\n");
+            HttpResponse<byte[]> ready = cluster.send("GET", admin, "/ready", "");
             assertThat(ready.statusCode()).isEqualTo(200);
             assertThat(text(ready)).isEqualTo("READY\n");
-            assertThat(text(site.call("GET", admin, "/metrics", "")))
+            assertThat(text(cluster.send("GET", admin, "/metrics", "")))
                     .contains("crank_ingress_requests_total", "jvm_memory");
-            DaemonStatus status = site.status(host);
+            DaemonStatus status = cluster.status(host);
             assertThat(status.leaseRemainingMs()).isPositive();
             assertThat(status.backendName()).contains(host.spec().name());
-            assertThat(site.call("GET", admin, "/nothing", "").statusCode()).isEqualTo(404);
+            assertThat(cluster.send("GET", admin, "/nothing", "").statusCode()).isEqualTo(404);
         }
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionWatch.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionMonitor.java
@@ -19,15 +19,15 @@
  * <p>A new incarnation shows revision 0 until it has read the configuration; that is no step back, because its
  * readiness is {@code STARTING}. Any other revision is compared with all that the host has shown before.
  */
-final class RevisionWatch implements AutoCloseable {
-    private static final long PERIOD_MS = 25;
-    private static final Shown NOTHING = new Shown(null, 0);
+final class RevisionMonitor implements AutoCloseable {
+    private static final long POLL_INTERVAL_MS = 25;
+    private static final ObservedRevision NONE_OBSERVED = new ObservedRevision(null, 0);
 
     /** The highest revision that a host has shown, and the member that showed a revision last. Immutable. */
-    private record Shown(MemberId member, long revision) {}
+    private record ObservedRevision(MemberId member, long revision) {}
 
-    private final TestCluster site;
-    private final Map<String, Shown> shown = new HashMap<>();
+    private final TestCluster cluster;
+    private final Map<String, ObservedRevision> observedByHost = new HashMap<>();
     private final Set<MemberId> members = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
     private final Thread thread = new Thread(this::run, "revision-watch");
@@ -35,34 +35,34 @@
     private int polls;
     private volatile boolean stopped;
 
-    RevisionWatch(TestCluster site) {
-        this.site = site;
+    RevisionMonitor(TestCluster cluster) {
+        this.cluster = cluster;
         thread.start();
     }
 
     private void run() {
         while (!stopped) {
-            for (ClusterHost host : site.hosts()) {
+            for (ClusterHost host : cluster.hosts()) {
                 try {
-                    accept(host.spec().name(), site.status(host));
+                    record(host.spec().name(), cluster.status(host));
                 } catch (UncheckedIOException | CrankException e) {
                     failedPolls.incrementAndGet();
                 }
             }
-            TestCluster.sleep(PERIOD_MS);
+            TestCluster.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private synchronized void accept(String host, DaemonStatus status) {
+    private synchronized void record(String host, DaemonStatus status) {
         polls++;
         long revision = status.configurationRevision().value();
-        Shown before = shown.getOrDefault(host, NOTHING);
+        ObservedRevision before = observedByHost.getOrDefault(host, NONE_OBSERVED);
         members.add(status.member());
         if (revision < before.revision && (revision > 0 || status.member().equals(before.member))) {
             violations.add(status.member() + " shows " + revision + " after " + before);
         }
         if (revision > 0) {
-            shown.put(host, new Shown(status.member(), Math.max(revision, before.revision)));
+            observedByHost.put(host, new ObservedRevision(status.member(), Math.max(revision, before.revision)));
         }
     }
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
@@ -19,10 +19,10 @@
             quoteCharacter = '`',
             value = {"`{\"kind\":\"down\"}`, 60000", "`{\"kind\":\"slow\",\"delayMs\":5000}`, 60000"})
     void ownersKeepServingThroughAnOutage(String fault, long outageMs) {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), outageMs, 0);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), outageMs, 0);
             TestCluster.sleep(1_000);
-            site.storeFault(fault);
+            cluster.injectStoreFault(fault);
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println(fault + ": " + line));
@@ -33,10 +33,10 @@
 
     @Test
     void daemonCutOffFromTheStoreAloneKeepsServing() {
-        try (TestCluster site = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
-            Traffic traffic = Traffic.start(site, site.callerAddresses(), 15_000, 0);
+        try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b")) {
+            BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 15_000, 0);
             TestCluster.sleep(1_000);
-            site.host(0).storeProxy().rejectConnections();
+            cluster.host(0).storeProxy().rejectConnections();
             LoadReport report = traffic.finish();
 
             assertThat(report.violations()).isEmpty();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestCluster.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestCluster.java
@@ -20,11 +20,11 @@
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
+import org.coriandercrank.testkit.ClusterHost;
 import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.LocalCluster;
-import org.coriandercrank.testkit.ClusterHost;
 
-/** A site of real processes with the calls that tests make. Only the calls may be made by several threads. */
+/** A cluster of real processes with the calls that tests make. Only the calls may be made by several threads. */
 final class TestCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
 
@@ -33,17 +33,17 @@
     private static final String KEYED_SERVICE_NOTE =
             "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + SERVICE
                     + "\",\"keyed\":true,\"placementPolicy\":\"static\",\"maxQueueLength\":2000}]}}";
-    private static final long START_LIMIT_MS = 30_000;
-    private static final long POLL_MS = 50;
+    private static final long WAIT_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 50;
 
     private final Path directory;
-    private final LocalCluster site;
+    private final LocalCluster localCluster;
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
     private TestCluster(Path directory, List<HostSpec> specs) {
         this.directory = directory;
-        this.site = new LocalCluster(directory, specs);
+        this.localCluster = new LocalCluster(directory, specs);
     }
 
     /**
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Starts the first hosts of a site.
+     * Starts the first hosts of a cluster.
      *
      * @param startedHosts number of hosts that start now; {@link #startHost} starts the others
      * @param backendFlags flags of the backend servers, repeated in turn over the hosts
@@ -67,26 +67,26 @@
             String[] parts = place.split("/", 2);
             specs.add(new HostSpec("desk-" + (specs.size() + 1), parts[0], parts[1], SERVICE));
         }
-        TestCluster site = new TestCluster(directory, specs);
-        site.startFirst(startedHosts, backendFlags, KEYED_SERVICE_NOTE);
-        return site;
+        TestCluster cluster = new TestCluster(directory, specs);
+        cluster.startHosts(startedHosts, backendFlags, KEYED_SERVICE_NOTE);
+        return cluster;
     }
 
     /** Starts all hosts, submits a note and waits until every host of the keyed service serves ranges. */
     static TestCluster start(Path directory, List<HostSpec> specs, String note) {
-        TestCluster site = new TestCluster(directory, specs);
-        site.startFirst(specs.size(), List.of(DEFAULT_BACKEND_FLAGS), note);
-        return site;
+        TestCluster cluster = new TestCluster(directory, specs);
+        cluster.startHosts(specs.size(), List.of(DEFAULT_BACKEND_FLAGS), note);
+        return cluster;
     }
 
-    private void startFirst(int startedHosts, List<List<String>> backendFlags, String note) {
+    private void startHosts(int startedHosts, List<List<String>> backendFlags, String note) {
         List<ClusterHost> first = hosts().subList(0, startedHosts);
         for (int i = 0; i < startedHosts; i++) {
             host(i).startDaemon(List.of());
             host(i).startBackend(backendFlags.get(i % backendFlags.size()));
         }
-        waitUntil("all daemons answer", () -> first.stream().allMatch(this::answers));
-        submit(note);
+        waitUntil("all daemons answer", () -> first.stream().allMatch(this::hasBackend));
+        submitNote(note);
         waitUntil(
                 "all hosts of the keyed service serve ranges",
                 () -> first.stream()
@@ -100,32 +100,32 @@
         host(index).startBackend(DEFAULT_BACKEND_FLAGS);
     }
 
-    LocalCluster site() {
-        return site;
+    LocalCluster localCluster() {
+        return localCluster;
     }
 
     List<ClusterHost> hosts() {
-        return site.hosts();
+        return localCluster.hosts();
     }
 
     ClusterHost host(int index) {
-        return site.host(index);
+        return localCluster.host(index);
     }
 
     List<HostAddress> callerAddresses() {
         return hosts().stream().map(ClusterHost::callerAddress).toList();
     }
 
-    List<Path> ledgers() {
+    List<Path> ledgerFiles() {
         return hosts().stream().map(ClusterHost::ledgerFile).toList();
     }
 
     DaemonStatus status(ClusterHost host) {
         return JsonCodec.decode(
-                call("GET", host.adminAddress(), "/v1/status", "").body(), DaemonStatus.class);
+                send("GET", host.adminAddress(), "/v1/status", "").body(), DaemonStatus.class);
     }
 
-    boolean answers(ClusterHost host) {
+    boolean hasBackend(ClusterHost host) {
         try {
             return status(host).backendName().isPresent();
         } catch (UncheckedIOException e) {
@@ -134,7 +134,7 @@
     }
 
     /** Calls an address; header values may be given as {@code name: value}. */
-    HttpResponse<byte[]> call(String method, HostAddress address, String path, String body, String... headers) {
+    HttpResponse<byte[]> send(String method, HostAddress address, String path, String body, String... headers) {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(Duration.ofSeconds(20))
                 .method(method, HttpRequest.BodyPublishers.ofString(body));
@@ -153,67 +153,67 @@
     }
 
     /** Adds a fault to the store, as its protocol page describes. */
-    void storeFault(String json) {
-        call("POST", site.storeAddress(), "/admin/faults", json);
+    void injectStoreFault(String json) {
+        send("POST", localCluster.storeAddress(), "/admin/faults", json);
     }
 
     /** Adds a fault to the backend server of a host, as its protocol page describes. */
-    void backendFault(ClusterHost host, String json) {
-        call("POST", host.backendAddress(), "/admin/faults", json);
+    void injectBackendFault(ClusterHost host, String json) {
+        send("POST", host.backendAddress(), "/admin/faults", json);
     }
 
     /** Adds or withdraws the rule that drains the backend server of a host. */
-    void drain(ClusterHost host, boolean drained) {
+    void setDrained(ClusterHost host, boolean drained) {
         String name = host.spec().name();
         String change = drained
                 ? "\"add\":{\"backends\":[{\"backendName\":\"" + name + "\",\"drain\":true}]}"
                 : "\"withdraw\":{\"backends\":[\"" + name + "\"]}";
-        submit("{\"id\":\"drain-" + System.nanoTime() + "\",\"basedOn\":"
+        submitNote("{\"id\":\"drain-" + System.nanoTime() + "\",\"basedOn\":"
                 + status(hosts().get(hosts().size() - 1))
                         .configurationRevision()
                         .value() + "," + change + "}");
     }
 
     /** Submits a release note and requires that it is accepted and in force. */
-    void submit(String note) {
-        CtlRun run = ctlWithFile(note, "note", "submit");
+    void submitNote(String note) {
+        CtlResult run = runCtlWithFile(note, "note", "submit");
         if (run.exitCode() != 0) {
             throw new AssertionError("note refused: " + run.output());
         }
     }
 
     /** Runs {@code crankctl} in this process. */
-    CtlRun ctl(String... words) {
+    CtlResult runCtl(String... words) {
         List<String> arguments = new ArrayList<>(List.of(words));
-        arguments.add("--store=" + site.storeAddress());
+        arguments.add("--store=" + localCluster.storeAddress());
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PrintStream print = new PrintStream(out, true, StandardCharsets.UTF_8);
         int exitCode = CrankCtl.run(arguments, Map.of(), print, print);
-        return new CtlRun(exitCode, out.toString(StandardCharsets.UTF_8));
+        return new CtlResult(exitCode, out.toString(StandardCharsets.UTF_8));
     }
 
-    CtlRun ctlWithFile(String text, String... words) {
+    CtlResult runCtlWithFile(String text, String... words) {
         try {
             Path file = Files.createTempFile(directory, "note", ".json");
             Files.writeString(file, text);
             List<String> arguments = new ArrayList<>(List.of(words));
             arguments.add("--file=" + file);
-            return ctl(arguments.toArray(new String[0]));
+            return runCtl(arguments.toArray(new String[0]));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** What {@code crankctl} printed and returned. Immutable. */
-    record CtlRun(int exitCode, String output) {}
+    record CtlResult(int exitCode, String output) {}
 
     void waitUntil(String what, BooleanSupplier condition) {
-        long deadlineNanos = System.nanoTime() + START_LIMIT_MS * 1_000_000;
+        long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new AssertionError("not in " + START_LIMIT_MS + " ms: " + what + "; see " + directory);
+                throw new AssertionError("not in " + WAIT_TIMEOUT_MS + " ms: " + what + "; see " + directory);
             }
-            sleep(POLL_MS);
+            sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -228,6 +228,6 @@
 
     @Override
     public void close() {
-        site.close();
+        localCluster.close();
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -35,12 +35,12 @@
             "fence,validity,cancel");
 
     /** Ownership checks that need a server with validity when its whole host freezes. */
-    private static final Set<Kind> OWNERSHIP = Set.of(Kind.TWO_OWNERS, Kind.FENCE_WENT_BACK);
+    private static final Set<Kind> OWNERSHIP_VIOLATIONS = Set.of(Kind.TWO_OWNERS, Kind.FENCE_WENT_BACK);
 
     /** What happens to a host. */
     enum FaultKind {
         DAEMON_KILLED("15"),
-        HOST_FROZEN_AND_BACK("15"),
+        HOST_FROZEN_AND_RESUMED("15"),
         PLANNED_MOVE("2");
 
         /** Long enough before a loss that requests are in execution when it strikes. */
@@ -55,14 +55,14 @@
      * A row of the table. Immutable.
      *
      * @param hosts numbers of the struck hosts, see {@link #CAPABILITIES}; the others take the callers' requests
-     * @param weaker the checks that may fail
+     * @param allowedViolations the checks that may fail
      */
-    record Fault(FaultKind kind, List<Integer> hosts, Set<Kind> weaker) {
-        void strike(TestCluster site, List<ClusterHost> struck) {
+    record FaultCase(FaultKind kind, List<Integer> hosts, Set<Kind> allowedViolations) {
+        void inject(TestCluster cluster, List<ClusterHost> struck) {
             switch (kind) {
                 case DAEMON_KILLED -> struck.forEach(host -> host.daemon().kill());
-                case PLANNED_MOVE -> struck.forEach(host -> site.drain(host, true));
-                case HOST_FROZEN_AND_BACK -> {
+                case PLANNED_MOVE -> struck.forEach(host -> cluster.setDrained(host, true));
+                case HOST_FROZEN_AND_RESUMED -> {
                     struck.forEach(ClusterHost::freeze);
                     TestCluster.sleep(FREEZE_MS);
                     struck.forEach(ClusterHost::resume);
@@ -71,19 +71,19 @@
         }
     }
 
-    static Stream<Fault> faults() {
+    static Stream<FaultCase> faults() {
         return Stream.of(
-                new Fault(FaultKind.DAEMON_KILLED, List.of(0, 1), Set.of()),
-                new Fault(FaultKind.DAEMON_KILLED, List.of(2, 4), Set.of()),
-                new Fault(FaultKind.HOST_FROZEN_AND_BACK, List.of(0, 1), OWNERSHIP),
-                new Fault(FaultKind.HOST_FROZEN_AND_BACK, List.of(2, 4), Set.of()),
-                new Fault(FaultKind.HOST_FROZEN_AND_BACK, List.of(3), Set.of()),
-                new Fault(FaultKind.PLANNED_MOVE, List.of(0, 1), Set.of()));
+                new FaultCase(FaultKind.DAEMON_KILLED, List.of(0, 1), Set.of()),
+                new FaultCase(FaultKind.DAEMON_KILLED, List.of(2, 4), Set.of()),
+                new FaultCase(FaultKind.HOST_FROZEN_AND_RESUMED, List.of(0, 1), OWNERSHIP_VIOLATIONS),
+                new FaultCase(FaultKind.HOST_FROZEN_AND_RESUMED, List.of(2, 4), Set.of()),
+                new FaultCase(FaultKind.HOST_FROZEN_AND_RESUMED, List.of(3), Set.of()),
+                new FaultCase(FaultKind.PLANNED_MOVE, List.of(0, 1), Set.of()));
     }
 
     /** See KNOWN-RED.txt: calls fail in a planned move of two servers at once. */
-    static Stream<Fault> failingFaults() {
-        return Stream.of(new Fault(FaultKind.PLANNED_MOVE, List.of(2, 4), Set.of()));
+    static Stream<FaultCase> knownRedFaults() {
+        return Stream.of(new FaultCase(FaultKind.PLANNED_MOVE, List.of(2, 4), Set.of()));
     }
 
     @TempDir
@@ -91,40 +91,40 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void missingCapabilitiesWeakenOnlyWhatIsStated(Fault fault) {
-        check(fault);
+    void missingCapabilitiesWeakenOnlyDocumentedGuarantees(FaultCase fault) {
+        verify(fault);
     }
 
     @Tag("known-red")
     @ParameterizedTest
-    @MethodSource("failingFaults")
-    void plannedMovesOfTwoServersFailNoCall(Fault fault) {
-        check(fault);
+    @MethodSource("knownRedFaults")
+    void plannedMovesOfTwoServersFailNoCall(FaultCase fault) {
+        verify(fault);
     }
 
-    private void check(Fault fault) {
+    private void verify(FaultCase fault) {
         List<List<String>> flags = CAPABILITIES.stream()
                 .map(capabilities -> List.of("--service-ms", fault.kind().serviceMs, "--capabilities", capabilities))
                 .toList();
-        try (TestCluster site = TestCluster.start(directory, 5, flags, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            List<ClusterHost> struck = fault.hosts().stream().map(site::host).toList();
+        try (TestCluster cluster = TestCluster.start(directory, 5, flags, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
+            List<ClusterHost> struck = fault.hosts().stream().map(cluster::host).toList();
             boolean planned = fault.kind() == FaultKind.PLANNED_MOVE;
-            Traffic traffic = Traffic.start(
-                    site,
-                    site.hosts().stream()
+            BackgroundTraffic traffic = BackgroundTraffic.start(
+                    cluster,
+                    cluster.hosts().stream()
                             .filter(host -> !struck.contains(host))
                             .map(ClusterHost::callerAddress)
                             .toList(),
                     planned ? 4_000 : DURATION_MS,
                     planned ? 0 : 40);
             TestCluster.sleep(1_000);
-            fault.strike(site, struck);
+            fault.inject(cluster, struck);
             LoadReport report = traffic.finish();
 
             Stream.concat(report.lines().stream(), report.violations().stream().map(Violation::toString))
                     .forEach(line -> System.out.println(fault + ": " + line));
             assertThat(report.violations().stream().map(Violation::kind).collect(Collectors.toSet()))
-                    .isSubsetOf(fault.weaker());
+                    .isSubsetOf(fault.allowedViolations());
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
             if (planned) {
                 assertThat(report.succeeded()).isEqualTo(report.calls());
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
@@ -13,7 +13,7 @@
  * of exactly this process.
  */
 public final class ChildProcess implements AutoCloseable {
-    private static final long STOP_WAIT_SECONDS = 15;
+    private static final long EXIT_TIMEOUT_SECONDS = 15;
 
     private final String name;
     private final Path outputFile;
@@ -88,7 +88,7 @@
     /** Waits for the end of the process and returns its exit code. */
     public int waitForExit() {
         try {
-            if (!process.waitFor(STOP_WAIT_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
                 process.waitFor();
             }
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
@@ -36,17 +36,17 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Set<ProxyConnection> connections = ConcurrentHashMap.newKeySet();
-    private final Set<Direction> blocked = ConcurrentHashMap.newKeySet();
+    private final Set<Direction> blockedForAll = ConcurrentHashMap.newKeySet();
     private final Set<BlockedSource> blockedSources = ConcurrentHashMap.newKeySet();
     private final AtomicLong forwardedBytes = new AtomicLong();
-    private final Channel listener;
+    private final Channel serverChannel;
     private volatile HostAddress target;
     private volatile boolean rejecting;
     private volatile long delayMs;
 
     public FaultProxy(HostAddress target) {
         this.target = target;
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.AUTO_READ, false)
@@ -63,7 +63,7 @@
     }
 
     public HostAddress address() {
-        InetSocketAddress bound = (InetSocketAddress) listener.localAddress();
+        InetSocketAddress bound = (InetSocketAddress) serverChannel.localAddress();
         return new HostAddress(bound.getAddress().getHostAddress(), bound.getPort());
     }
 
@@ -80,8 +80,8 @@
 
     /** Holds back all bytes of a direction, also of new connections. */
     public void block(Direction direction) {
-        blocked.add(direction);
-        updateAll();
+        blockedForAll.add(direction);
+        updateConnections();
     }
 
     /** Holds back all bytes of connections that come from an IP. */
@@ -93,7 +93,7 @@
     /** Holds back the bytes of one direction of connections that come from an IP. */
     public void blockSource(String ip, Direction direction) {
         blockedSources.add(new BlockedSource(ip, direction));
-        updateAll();
+        updateConnections();
     }
 
     public void blockBothDirections() {
@@ -115,9 +115,9 @@
     public void clearFaults() {
         rejecting = false;
         delayMs = 0;
-        blocked.clear();
+        blockedForAll.clear();
         blockedSources.clear();
-        updateAll();
+        updateConnections();
     }
 
     /** Bytes passed on in both directions. */
@@ -125,26 +125,26 @@
         return forwardedBytes.get();
     }
 
-    private void updateAll() {
-        connections.forEach(connection -> connection.update(blockedDirections(connection)));
+    private void updateConnections() {
+        connections.forEach(connection -> connection.setBlocked(blockedDirections(connection)));
     }
 
     private Set<Direction> blockedDirections(ProxyConnection connection) {
         Set<Direction> all = EnumSet.noneOf(Direction.class);
-        all.addAll(blocked);
+        all.addAll(blockedForAll);
         blockedSources.stream()
                 .filter(source -> source.ip().equals(connection.sourceIp()))
                 .forEach(source -> all.add(source.direction()));
         return all;
     }
 
-    private void accept(SocketChannel front) {
+    private void accept(SocketChannel clientChannel) {
         if (rejecting) {
-            front.close();
+            clientChannel.close();
             return;
         }
         new Bootstrap()
-                .group(front.eventLoop())
+                .group(clientChannel.eventLoop())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -157,24 +157,25 @@
                 .connect(target.ip(), target.port())
                 .addListener((ChannelFutureListener) future -> {
                     if (future.isSuccess() && !rejecting) {
-                        start(front, future.channel());
+                        start(clientChannel, future.channel());
                     } else {
-                        front.close();
+                        clientChannel.close();
                         future.channel().close();
                     }
                 });
     }
 
-    private void start(Channel front, Channel back) {
-        ProxyConnection connection = new ProxyConnection(front, back, () -> delayMs, forwardedBytes::addAndGet);
+    private void start(Channel clientChannel, Channel targetChannel) {
+        ProxyConnection connection =
+                new ProxyConnection(clientChannel, targetChannel, () -> delayMs, forwardedBytes::addAndGet);
         connections.add(connection);
-        front.closeFuture().addListener(done -> connections.remove(connection));
+        clientChannel.closeFuture().addListener(done -> connections.remove(connection));
         connection.start(blockedDirections(connection));
     }
 
     @Override
     public void close() {
-        listener.close().syncUninterruptibly();
+        serverChannel.close().syncUninterruptibly();
         connections.forEach(ProxyConnection::close);
         group.shutdownGracefully();
     }
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/LocalCluster.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/LocalCluster.java
@@ -13,8 +13,8 @@
 public final class LocalCluster implements AutoCloseable {
     private static final String STORE_CLASS = "org.coriandercrank.standin.CrankStore";
     private static final int STORE_PORT = 7000;
-    private static final int FIRST_HOST_NUMBER = 2;
-    private static final int IP_BLOCKS = 250;
+    private static final int FIRST_HOST_OCTET = 2;
+    private static final int MAX_IP_OCTET = 250;
 
     private final HostAddress storeAddress;
     private final List<ClusterHost> hosts = new ArrayList<>();
@@ -23,10 +23,10 @@
     /** Starts the store; daemons and backend servers are started by the caller. */
     public LocalCluster(Path directory, List<HostSpec> specs) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        String block = "127." + (1 + random.nextInt(IP_BLOCKS)) + "." + (1 + random.nextInt(IP_BLOCKS)) + ".";
+        String block = "127." + (1 + random.nextInt(MAX_IP_OCTET)) + "." + (1 + random.nextInt(MAX_IP_OCTET)) + ".";
         storeAddress = new HostAddress(block + 1, STORE_PORT);
         for (HostSpec spec : specs) {
-            hosts.add(new ClusterHost(spec, block + (FIRST_HOST_NUMBER + hosts.size()), directory, storeAddress));
+            hosts.add(new ClusterHost(spec, block + (FIRST_HOST_OCTET + hosts.size()), directory, storeAddress));
         }
         store = ChildProcess.start("store", directory, STORE_CLASS, List.of("--listen", storeAddress.toString()));
     }
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
@@ -15,74 +15,75 @@
 
 /** One proxied connection; both channels share one event loop, to which all state is confined. */
 final class ProxyConnection {
-    private final Channel front;
-    private final Channel back;
+    private final Channel clientChannel;
+    private final Channel targetChannel;
     private final LongSupplier delayMs;
-    private final LongConsumer countBytes;
-    private final Pipe toTarget;
-    private final Pipe fromTarget;
+    private final LongConsumer forwardedBytesCounter;
+    private final Forwarder toTarget;
+    private final Forwarder fromTarget;
     private boolean silenced;
 
-    ProxyConnection(Channel front, Channel back, LongSupplier delayMs, LongConsumer countBytes) {
-        this.front = front;
-        this.back = back;
+    ProxyConnection(
+            Channel clientChannel, Channel targetChannel, LongSupplier delayMs, LongConsumer forwardedBytesCounter) {
+        this.clientChannel = clientChannel;
+        this.targetChannel = targetChannel;
         this.delayMs = delayMs;
-        this.countBytes = countBytes;
-        this.toTarget = new Pipe(front, back);
-        this.fromTarget = new Pipe(back, front);
+        this.forwardedBytesCounter = forwardedBytesCounter;
+        this.toTarget = new Forwarder(clientChannel, targetChannel);
+        this.fromTarget = new Forwarder(targetChannel, clientChannel);
     }
 
     String sourceIp() {
-        InetSocketAddress source = (InetSocketAddress) front.remoteAddress();
+        InetSocketAddress source = (InetSocketAddress) clientChannel.remoteAddress();
         return source == null ? "" : source.getAddress().getHostAddress();
     }
 
     void start(Set<Direction> blocked) {
-        front.pipeline().addLast(toTarget);
-        back.pipeline().addLast(fromTarget);
-        applyBlocks(blocked);
-        front.config().setAutoRead(true);
-        back.config().setAutoRead(true);
+        clientChannel.pipeline().addLast(toTarget);
+        targetChannel.pipeline().addLast(fromTarget);
+        applyBlocked(blocked);
+        clientChannel.config().setAutoRead(true);
+        targetChannel.config().setAutoRead(true);
     }
 
-    void update(Set<Direction> blocked) {
-        front.eventLoop().execute(() -> applyBlocks(blocked));
+    void setBlocked(Set<Direction> blocked) {
+        clientChannel.eventLoop().execute(() -> applyBlocked(blocked));
     }
 
     void silence() {
-        front.eventLoop().execute(() -> {
+        clientChannel.eventLoop().execute(() -> {
             silenced = true;
-            applyBlocks(Set.of());
+            applyBlocked(Set.of());
         });
     }
 
     void close() {
-        front.close();
-        back.close();
+        clientChannel.close();
+        targetChannel.close();
     }
 
-    private void applyBlocks(Set<Direction> blocked) {
+    private void applyBlocked(Set<Direction> blocked) {
         toTarget.setBlocked(silenced || blocked.contains(Direction.TO_TARGET));
         fromTarget.setBlocked(silenced || blocked.contains(Direction.FROM_TARGET));
     }
 
     /** Bytes from one channel to the other. */
-    private final class Pipe extends ChannelInboundHandlerAdapter {
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel source;
         private final Channel sink;
-        private final Deque<ByteBuf> held = new ArrayDeque<>();
+        private final Deque<ByteBuf> heldBytes = new ArrayDeque<>();
         private boolean blocked;
-        private long lastDueNanos;
+        private long lastSendNanos;
 
-        Pipe(Channel source, Channel sink) {
+        Forwarder(Channel source, Channel sink) {
             this.source = source;
             this.sink = sink;
         }
 
         void setBlocked(boolean newBlocked) {
             blocked = newBlocked;
-            while (!blocked && !held.isEmpty()) {
-                forward(held.poll());
+            while (!blocked && !heldBytes.isEmpty()) {
+                forward(heldBytes.poll());
             }
         }
 
@@ -90,21 +91,21 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             if (blocked) {
-                held.add(bytes);
+                heldBytes.add(bytes);
             } else {
                 forward(bytes);
             }
         }
 
         private void forward(ByteBuf bytes) {
-            countBytes.accept(bytes.readableBytes());
+            forwardedBytesCounter.accept(bytes.readableBytes());
             long nowNanos = System.nanoTime();
-            long dueNanos = Math.max(nowNanos + TimeUnit.MILLISECONDS.toNanos(delayMs.getAsLong()), lastDueNanos);
-            lastDueNanos = dueNanos;
-            if (dueNanos <= nowNanos) {
+            long sendNanos = Math.max(nowNanos + TimeUnit.MILLISECONDS.toNanos(delayMs.getAsLong()), lastSendNanos);
+            lastSendNanos = sendNanos;
+            if (sendNanos <= nowNanos) {
                 sink.writeAndFlush(bytes);
             } else {
-                sink.eventLoop().schedule(() -> sink.writeAndFlush(bytes), dueNanos - nowNanos, TimeUnit.NANOSECONDS);
+                sink.eventLoop().schedule(() -> sink.writeAndFlush(bytes), sendNanos - nowNanos, TimeUnit.NANOSECONDS);
             }
         }
 
