--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -38,7 +38,7 @@
                     storeTime.runFor(1);
                 }
             });
-            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, dependencies)) {
+            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULTS, identity, dependencies)) {
                 control.start();
                 control.backendAnnounced(FakeCluster.backend(1));
                 control.routing()
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -68,7 +68,7 @@
         List<MemberId> failedMembers =
                 cluster.hosts().stream().map(host -> host.control().self()).toList();
         cluster.restartAll(
-                ControlOptions.DEFAULT.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000),
+                ControlOptions.DEFAULTS.withLeaseTiming(3_600, 800, 105).withWatchWaits(2_000, 15_000, 8_000),
                 locations());
         cluster.time().runFor(JOIN_TIME_MS);
         failedMembers.forEach(cluster::seal);
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeHost.java
@@ -43,7 +43,7 @@
     private long controlBytes;
 
     FakeHost(VirtualTime time, Map<HostAddress, FakeHost> network, ObjectStore store, int number, String location) {
-        this(time, network, store, number, location, ControlOptions.DEFAULT, number);
+        this(time, network, store, number, location, ControlOptions.DEFAULTS, number);
     }
 
     /**
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlDependencies.java
@@ -19,21 +19,29 @@
  */
 public record ControlDependencies(
         ObjectStore store,
-        PeerClient peers,
-        PeerHandlers handlers,
+        PeerClient peerClient,
+        PeerHandlers peerHandlers,
         TimerService timers,
-        DecisionLog log,
-        MeterRegistry metrics,
+        DecisionLog decisionLog,
+        MeterRegistry meterRegistry,
         MonotonicClock leaseClock,
         SerialExecutor.Factory executorFactory) {
     /** Creates dependencies with the clock of the timers as lease clock and a thread for each executor. */
     public ControlDependencies(
             ObjectStore store,
-            PeerClient peers,
-            PeerHandlers handlers,
+            PeerClient peerClient,
+            PeerHandlers peerHandlers,
             TimerService timers,
-            DecisionLog log,
-            MeterRegistry metrics) {
-        this(store, peers, handlers, timers, log, metrics, timers.clock(), SingleThreadExecutor::new);
+            DecisionLog decisionLog,
+            MeterRegistry meterRegistry) {
+        this(
+                store,
+                peerClient,
+                peerHandlers,
+                timers,
+                decisionLog,
+                meterRegistry,
+                timers.clock(),
+                SingleThreadExecutor::new);
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
@@ -56,7 +56,7 @@
     private static final long DEFAULT_MIN_PUSH_INTERVAL_MS = 200;
     private static final int DEFAULT_MAX_WITNESSED_MEMBERS = 4_096;
 
-    public static final ControlOptions DEFAULT = new ControlOptions(
+    public static final ControlOptions DEFAULTS = new ControlOptions(
             DEFAULT_TTL_MS,
             DEFAULT_HEARTBEAT_MS,
             DEFAULT_MARGIN_PERCENT,
@@ -111,7 +111,8 @@
     }
 
     /** Returns a copy with other wait times for watches of the store. */
-    public ControlOptions withWatchWaits(long newWatchWaitMs, long newConfigurationWaitMs, long newSettleWatchMs) {
+    public ControlOptions withWatchWaits(
+            long newWatchWaitMs, long newConfigurationWatchWaitMs, long newStartupWatchMs) {
         return new ControlOptions(
                 ttlMs,
                 heartbeatMs,
@@ -124,8 +125,8 @@
                 storeTimeoutMs,
                 listTimeoutMs,
                 newWatchWaitMs,
-                newConfigurationWaitMs,
-                newSettleWatchMs,
+                newConfigurationWatchWaitMs,
+                newStartupWatchMs,
                 minPushIntervalMs,
                 maxWitnessedMembers);
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -98,7 +98,7 @@
     }
 
     public void log(Supplier<String> line) {
-        dependencies.log().log(line);
+        dependencies.decisionLog().log(line);
     }
 
     /** Passes the result or the timeout, whichever comes first, to the callback. Control thread only. */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -66,7 +66,7 @@
         MemberId self = parameters.id();
         view = new ClusterView(context, self);
         metrics = new ControlMetrics(
-                context.dependencies().metrics(),
+                context.dependencies().meterRegistry(),
                 () -> status.leaseRemainingMs(),
                 () -> status.takeovers().size());
         dissemination = new Dissemination(context, view, metrics);
@@ -75,7 +75,7 @@
         membership = newMembership(parameters);
         lastTickNanos = context.nowNanos();
         status = buildStatus();
-        registerHandlers(context.dependencies().handlers());
+        registerHandlers(context.dependencies().peerHandlers());
         view.subscribe(this::viewChanged);
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -276,7 +276,7 @@
             PeerTarget target = PeerTarget.of(record.member());
             context.callWithTimeout(
                     () -> context.dependencies()
-                            .peers()
+                            .peerClient()
                             .call(target, new FetchObject(kind, known), ObjectData.class, FETCH_TIMEOUT_MS),
                     FETCH_TIMEOUT_MS,
                     (data, failure) -> {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -346,7 +346,7 @@
             Heartbeat heartbeat = new Heartbeat(id, action.recordRevision(), action.sequence(), view.digest());
             long timeoutMs = context.options().ttlMs();
             context.callWithTimeout(
-                    () -> context.dependencies().peers().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
+                    () -> context.dependencies().peerClient().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
                     timeoutMs,
                     (ack, failure) -> {
                         if (failure == null && ack.witness().equals(action.witness())) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -213,7 +213,7 @@
             long timeoutMs = context.options().heartbeatMs();
             PeerTarget target = PeerTarget.of(witness.member());
             context.callWithTimeout(
-                    () -> context.dependencies().peers().call(target, request, RefusalAnswer.class, timeoutMs),
+                    () -> context.dependencies().peerClient().call(target, request, RefusalAnswer.class, timeoutMs),
                     timeoutMs,
                     (answer, failure) -> {
                         if (failure == null && answer.witness().equals(action.witness())) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
@@ -64,7 +64,7 @@
                     + " taker=" + taker);
             view.member(request.member())
                     .ifPresent(record -> context.dependencies()
-                            .peers()
+                            .peerClient()
                             .send(
                                     PeerTarget.of(record.member()),
                                     new RefusalNotice(request.member(), request.recordRevision())));
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -107,7 +107,7 @@
         return HostOptions.defaults(
                 identity,
                 settings.peerListen(),
-                ControlOptions.DEFAULT.withLeaseTiming(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
+                ControlOptions.DEFAULTS.withLeaseTiming(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
     }
 
     @Override
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -94,8 +94,8 @@
     }
 
     @Override
-    public List<RangeLoad> loads() {
-        return find().map(Gate::loads).orElse(List.of());
+    public List<RangeLoad> rangeLoads() {
+        return find().map(Gate::rangeLoads).orElse(List.of());
     }
 
     @Override
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -240,7 +240,7 @@
             gate.submit(GateFixture.request("l" + i, key, "GET", 1_000, null, OptionalLong.empty()));
             gate.timers.advanceMs(5);
         }
-        RangeLoad load = gate.core.loads().get(0);
+        RangeLoad load = gate.core.rangeLoads().get(0);
         assertThat(load.requestsPerSecond()).isBetween(190.0, 210.0);
         assertThat(load.hotHashes()).hasSize(1);
         assertThat(load.hotHashes().get(0).requestsPerSecond()).isBetween(45.0, 55.0);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -150,8 +150,8 @@
     }
 
     @Override
-    public List<RangeLoad> loads() {
-        return core.loads();
+    public List<RangeLoad> rangeLoads() {
+        return core.rangeLoads();
     }
 
     @Override
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -26,7 +26,7 @@
 /**
  * Combines the components of an owner gate.
  *
- * <p>All methods run on the thread of the gate, except {@link #status()}, {@link #loads()}, {@link #load()} and
+ * <p>All methods run on the thread of the gate, except {@link #status()}, {@link #rangeLoads()}, {@link #load()} and
  * {@link #mayHoldEarlierGrant}, which are thread safe.
  */
 public final class GateCore {
@@ -220,7 +220,7 @@
         return publishedLoad;
     }
 
-    public List<RangeLoad> loads() {
+    public List<RangeLoad> rangeLoads() {
         return publishedLoads;
     }
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -118,19 +118,19 @@
         draining = true;
         completeDrainIfIdle();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        allAnswered.thenRun(() -> awaitResponsesWritten(
-                drained, dependencies.timerService().clock().nowMs() + options.drainWriteTimeoutMs()));
+        allAnswered.thenRun(() ->
+                awaitResponsesWritten(drained, dependencies.timers().clock().nowMs() + options.drainWriteTimeoutMs()));
         return drained;
     }
 
     /** The wait is bounded, because a caller that does not read its response must not block a shutdown. */
     private void awaitResponsesWritten(CompletableFuture<Void> drained, long deadlineMs) {
         boolean written = server == null || server.pendingResponses() == 0;
-        if (written || dependencies.timerService().clock().nowMs() >= deadlineMs) {
+        if (written || dependencies.timers().clock().nowMs() >= deadlineMs) {
             drained.complete(null);
         } else {
             dependencies
-                    .timerService()
+                    .timers()
                     .once(WRITE_POLL_INTERVAL_MS, Runnable::run, () -> awaitResponsesWritten(drained, deadlineMs));
         }
     }
@@ -150,7 +150,7 @@
     }
 
     private CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> connectionClosed) {
-        long receivedAtNanos = dependencies.timerService().clock().nowNanos();
+        long receivedAtNanos = dependencies.timers().clock().nowNanos();
         ParsedRequest parsed =
                 protocol.parse(request, dependencies.routingView().current());
         if (parsed.refusal().isPresent()) {
@@ -205,7 +205,7 @@
     private CompletableFuture<HttpResponse> refuse(ParsedRequest parsed, CallerAnswer refusal, long receivedAtNanos) {
         String service = parsed.accepted().map(a -> a.service().name().value()).orElse(NO_SERVICE);
         metrics.recordRequest(
-                service, refusal.code(), dependencies.timerService().clock().nowNanos() - receivedAtNanos);
+                service, refusal.code(), dependencies.timers().clock().nowNanos() - receivedAtNanos);
         dependencies
                 .decisionLog()
                 .log(() -> "event=refuse service=" + service + " request=" + parsed.id() + " result=" + refusal.code());
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressDependencies.java
@@ -30,7 +30,7 @@
         OwnerGate ownerGate,
         PeerClient peerClient,
         PeerHandlers peerHandlers,
-        TimerService timerService,
+        TimerService timers,
         PluginRegistry pluginRegistry,
         DecisionLog decisionLog,
         MeterRegistry meterRegistry,
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
@@ -25,17 +25,17 @@
      */
     void execute(Runnable task) {
         if (!executor.offer(task)) {
-            dependencies.timerService().once(FULL_QUEUE_RETRY_MS, executor, task);
+            dependencies.timers().once(FULL_QUEUE_RETRY_MS, executor, task);
         }
     }
 
     /** Runs a task on the executor after a delay; a negative delay counts as 0. */
     Subscription schedule(long delayMs, Runnable task) {
-        return dependencies.timerService().once(Math.max(0, delayMs), executor, task);
+        return dependencies.timers().once(Math.max(0, delayMs), executor, task);
     }
 
     long nowNanos() {
-        return dependencies.timerService().clock().nowNanos();
+        return dependencies.timers().clock().nowNanos();
     }
 
     /** Time until a deadline, rounded down to milliseconds; 0 if it has passed. */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
@@ -57,7 +57,7 @@
     CompletableFuture<Void> drain();
 
     /** Request rates for each served range, measured over the last seconds. */
-    List<RangeLoad> loads();
+    List<RangeLoad> rangeLoads();
 
     GateStatus status();
 
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -384,7 +384,7 @@
      * preceded by a renewal, because the vote of the store may complete their majority.
      */
     private boolean isRenewalDue(Member current, boolean witnessChange, long nowNanos) {
-        if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.renewalNanos()) {
+        if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.minRenewalIntervalNanos()) {
             return false;
         }
         return isWitnessMajorityExpiring(current.witnesses(), nowNanos)
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseTiming.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseTiming.java
@@ -35,7 +35,7 @@
     }
 
     /** Minimum interval between renewals of the store's vote. */
-    public long renewalNanos() {
+    public long minRenewalIntervalNanos() {
         return ttlNanos / RENEWALS_PER_TTL;
     }
 }
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
@@ -4,13 +4,17 @@
  * Timeouts and limits of connections between daemons. Immutable.
  *
  * @param connectTimeoutMs maximum time until a connection is established
- * @param pingAfterMs a connection with outstanding calls is pinged after receiving nothing for this time
- * @param closeAfterMs a connection with outstanding calls is closed after receiving nothing for this time
- * @param idleCloseMs a connection without outstanding calls is closed after sending nothing for this time
+ * @param pingAfterSilenceMs a connection with outstanding calls is pinged after receiving nothing for this time
+ * @param silenceTimeoutMs a connection with outstanding calls is closed after receiving nothing for this time
+ * @param idleTimeoutMs a connection without outstanding calls is closed after sending nothing for this time
  * @param maxOutstandingCalls maximum number of outstanding calls for each connection; further calls fail immediately
  */
 public record PeerOptions(
-        int connectTimeoutMs, long pingAfterMs, long closeAfterMs, long idleCloseMs, int maxOutstandingCalls) {
+        int connectTimeoutMs,
+        long pingAfterSilenceMs,
+        long silenceTimeoutMs,
+        long idleTimeoutMs,
+        int maxOutstandingCalls) {
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 500;
     private static final long DEFAULT_PING_AFTER_MS = 250;
     private static final long DEFAULT_CLOSE_AFTER_MS = 750;
@@ -25,8 +29,8 @@
             DEFAULT_MAX_OUTSTANDING_CALLS);
 
     public PeerOptions {
-        if (pingAfterMs >= closeAfterMs) {
-            throw new IllegalArgumentException("pingAfterMs must be less than closeAfterMs");
+        if (pingAfterSilenceMs >= silenceTimeoutMs) {
+            throw new IllegalArgumentException("pingAfterSilenceMs must be less than silenceTimeoutMs");
         }
     }
 }
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
@@ -200,19 +200,19 @@
         long nowNanos = System.nanoTime();
         if (outstandingCalls.isEmpty() && handshakeComplete) {
             long idleMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - lastUseNanos);
-            if (idleMs >= options.idleCloseMs()) {
+            if (idleMs >= options.idleTimeoutMs()) {
                 fail(ResultCode.LINK_LOST, "idle");
             } else {
-                scheduleCheck(options.idleCloseMs() - idleMs + SILENCE_CHECK_PERIOD_MS);
+                scheduleCheck(options.idleTimeoutMs() - idleMs + SILENCE_CHECK_PERIOD_MS);
             }
             return;
         }
         long silentMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - silentSinceNanos);
-        if (silentMs >= options.closeAfterMs()) {
+        if (silentMs >= options.silenceTimeoutMs()) {
             fail(ResultCode.LINK_LOST, "silent for " + silentMs + " ms");
             return;
         }
-        if (silentMs >= options.pingAfterMs() && !pingSent && handshakeComplete) {
+        if (silentMs >= options.pingAfterSilenceMs() && !pingSent && handshakeComplete) {
             pingSent = true;
             channel.writeAndFlush(new Frame(Frame.ONE_WAY, new Ping()));
         }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -241,7 +241,7 @@
         }
 
         @Override
-        public synchronized List<RangeLoad> loads() {
+        public synchronized List<RangeLoad> rangeLoads() {
             return List.copyOf(serving);
         }
 
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
@@ -99,9 +99,9 @@
         daemons.write(members.get(1).withState(MemberState.LEAVING));
         await(() -> daemons.table().ownedBy(members.get(1).id()).isEmpty());
         awaitServed();
-        await(() -> daemons.gates.get(members.get(1).id()).loads().isEmpty());
+        await(() -> daemons.gates.get(members.get(1).id()).rangeLoads().isEmpty());
         startDaemon(4);
-        await(() -> !daemons.gates.get(members.get(4).id()).loads().isEmpty());
+        await(() -> !daemons.gates.get(members.get(4).id()).rangeLoads().isEmpty());
         awaitServed();
     }
 
@@ -113,7 +113,7 @@
     void reassignsRangesAfterWithdrawal() {
         daemons.write(ObjectNames.CONFIGURATION, JsonCodec.encode(Configuration.EMPTY));
         await(() -> daemons.table().assignments().isEmpty()
-                && daemons.gates.values().stream().allMatch(g -> g.loads().isEmpty()));
+                && daemons.gates.values().stream().allMatch(g -> g.rangeLoads().isEmpty()));
         long generation = daemons.table().generation().value();
         daemons.write(ObjectNames.CONFIGURATION, JsonCodec.encode(TestFleet.configuration()));
         awaitServed();
@@ -130,7 +130,7 @@
     }
 
     private boolean isServed(RangeAssignment assignment) {
-        List<KeyRange> served = daemons.gates.get(assignment.owner()).loads().stream()
+        List<KeyRange> served = daemons.gates.get(assignment.owner()).rangeLoads().stream()
                 .map(load -> load.range())
                 .toList();
         return KeyRanges.subtract(assignment.range(), served).isEmpty();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -350,7 +350,7 @@
                     .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server is attached yet"));
             OwnershipState state = findOrCreateState(service)
                     .orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many keyed services"));
-            return new LoadReport(context.self(), service, state.appliedGeneration(), gate.loads());
+            return new LoadReport(context.self(), service, state.appliedGeneration(), gate.rangeLoads());
         });
     }
 }
