--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/Await.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/Await.java
@@ -10,20 +10,20 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 
-/** Waiting for futures and conditions in tests. Stateless. */
+/** Waits for futures and conditions in tests. Stateless. */
 final class Await {
-    private static final long LIMIT_MS = 5_000;
+    private static final long TIMEOUT_MS = 5_000;
 
     private Await() {}
 
     static <T> T value(CompletableFuture<T> future) throws Exception {
-        return future.get(LIMIT_MS, TimeUnit.MILLISECONDS);
+        return future.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** The code with which a future failed; {@link ResultCode#OK} if it did not fail. */
+    /** Returns the code with which a future failed; {@link ResultCode#OK} if it did not fail. */
     static ResultCode code(CompletableFuture<?> future) throws InterruptedException, TimeoutException {
         try {
-            future.get(LIMIT_MS, TimeUnit.MILLISECONDS);
+            future.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             return ResultCode.OK;
         } catch (ExecutionException e) {
             return CrankException.of(e).code();
@@ -31,7 +31,7 @@
     }
 
     static void eventually(BooleanSupplier condition) throws InterruptedException {
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIMIT_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!condition.getAsBoolean() && System.nanoTime() < endNanos) {
             Thread.sleep(5);
         }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
@@ -32,9 +32,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What every adapter of a backend server must do; a subclass supplies a server that can be made to fail. */
+/** Contract tests for every backend server adapter; a subclass supplies a server into which faults can be injected. */
 abstract class BackendServerContract {
-    /** Faults of the server that the contract needs; {@code SLOW} adds {@link #SLOW_MS} to each execution. */
+    /** Faults that the contract injects into the server; {@code SLOW} adds {@link #SLOW_MS} to each execution. */
     enum BackendFault {
         NONE,
         UNREACHABLE,
@@ -65,7 +65,7 @@
     private static final long VALIDITY_MS = 60_000;
     private static final long DEADLINE_MS = 3_000;
 
-    /** Long enough that a pause of the machine is not taken for a call that waits behind requests. */
+    /** Long enough that a pause of the host is not mistaken for a control call that waits behind requests. */
     private static final long LONG_SERVICE_MS = 1_000;
 
     /** Starts a server and connects to it. */
@@ -73,7 +73,7 @@
 
     abstract void inject(BackendFault fault) throws Exception;
 
-    /** Fences of the executions of a request that took effect, as the server recorded them. */
+    /** Returns the fencing tokens of the executions of a request that took effect, as the server recorded them. */
     abstract List<Long> executions(RequestId id);
 
     abstract int peakConnections();
@@ -109,17 +109,22 @@
         return server;
     }
 
-    private void assertOutcome(BackendServer server, BackendCall call, ResultCode code, int count) throws Exception {
-        assertOutcome(call.request().id(), server.execute(call), code, count);
+    private void assertOutcome(BackendServer server, BackendCall call, ResultCode code, int executionCount)
+            throws Exception {
+        assertOutcome(call.request().id(), server.execute(call), code, executionCount);
     }
 
-    private void assertOutcome(RequestId id, CompletableFuture<CallerAnswer> answer, ResultCode code, int count)
+    private void assertOutcome(
+            RequestId id, CompletableFuture<CallerAnswer> answer, ResultCode code, int executionCount)
             throws Exception {
         assertThat(Await.code(answer)).isEqualTo(code);
-        assertThat(executions(id)).hasSize(count);
+        assertThat(executions(id)).hasSize(executionCount);
     }
 
-    /** Guards against a lost answer reported as not executed, a refusal reported as in doubt, and a second sending. */
+    /**
+     * Guards against a lost response reported as not executed, a rejection reported as unknown, and a request that is
+     * sent twice.
+     */
     @ParameterizedTest
     @CsvSource({
         "NONE,        OK,                  1",
@@ -130,26 +135,27 @@
         "UNANSWERED,  OUTCOME_UNKNOWN,     1",
         "CUT_ANSWER,  OUTCOME_UNKNOWN,     1",
     })
-    void reportsWhatHappened(BackendFault fault, ResultCode code, int count) throws Exception {
+    void reportsResultOfFaultyCall(BackendFault fault, ResultCode code, int executionCount) throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(2));
         inject(fault);
-        assertOutcome(server, put("r1", 5, DEADLINE_MS), code, count);
+        assertOutcome(server, put("r1", 5, DEADLINE_MS), code, executionCount);
     }
 
-    /** Guards against an execution after the deadline that is reported as not run. */
+    /** Guards against an execution after the deadline that is reported as not executed. */
     @ParameterizedTest
     @CsvSource({"true, DEADLINE_EXPIRED, 0", "false, OUTCOME_UNKNOWN, 1"})
-    void deadlineStopsOrLeavesDoubt(boolean honoured, ResultCode code, int count) throws Exception {
+    void stopsAtDeadlineOrReportsUnknownOutcome(boolean supported, ResultCode code, int executionCount)
+            throws Exception {
         Setup setup = Setup.withServiceMs(2);
-        BackendServer server = startGranted(honoured ? setup : setup.without(Capability.DEADLINE));
+        BackendServer server = startGranted(supported ? setup : setup.without(Capability.DEADLINE));
         inject(BackendFault.SLOW);
         BackendCall call = put("r1", 5, 150);
         assertThat(Await.code(server.execute(call))).isEqualTo(code);
         Thread.sleep(SLOW_MS);
-        assertThat(executions(call.request().id())).hasSize(count);
+        assertThat(executions(call.request().id())).hasSize(executionCount);
     }
 
-    /** Guards against a server or adapter that lets an old fence or an ungranted key through. */
+    /** Guards against a server or adapter that accepts an outdated fencing token or a key without a grant. */
     @ParameterizedTest
     @CsvSource({
         "4, true,  FENCE_REJECTED, 0",
@@ -157,16 +163,16 @@
         "6, true,  OK,             1",
         "4, false, OK,             1",
     })
-    void checksFence(long fence, boolean capable, ResultCode code, int count) throws Exception {
+    void checksFence(long fence, boolean supported, ResultCode code, int executionCount) throws Exception {
         Setup setup = Setup.withServiceMs(2);
-        BackendServer server = startGranted(capable ? setup : setup.without(Capability.FENCE));
-        assertOutcome(server, put("r1", fence, DEADLINE_MS), code, count);
-        if (count == 1) {
+        BackendServer server = startGranted(supported ? setup : setup.without(Capability.FENCE));
+        assertOutcome(server, put("r1", fence, DEADLINE_MS), code, executionCount);
+        if (executionCount == 1) {
             assertThat(executions(new RequestId("r1"))).containsExactly(fence);
         }
     }
 
-    /** Guards against execution of a request whose grant ended before or while it was in execution. */
+    /** Guards against the execution of a request whose grant ended before or during the execution. */
     @ParameterizedTest
     @ValueSource(strings = {"never granted", "lapsed", "lapses while running", "revoked while running", "other range"})
     void rejectsWithoutGrant(String grantCase) throws Exception {
@@ -190,9 +196,11 @@
         assertOutcome(new RequestId("r1"), answer, ResultCode.FENCE_REJECTED, 0);
     }
 
-    /** Guards against a late, older grant that takes back a newer one, and against a lost sequence. */
+    /**
+     * Guards against a delayed, older grant that replaces a newer one, and against a wrong sequence in the response.
+     */
     @Test
-    void refusesOlderGrant() throws Exception {
+    void rejectsOlderGrant() throws Exception {
         BackendServer server = start(Setup.withServiceMs(1));
         assertThat(Await.value(server.grant(grant(7, 9, VALIDITY_MS)))).isEqualTo(7);
         assertThat(Await.value(server.grant(grant(6, 5, VALIDITY_MS)))).isEqualTo(7);
@@ -200,22 +208,22 @@
         assertThat(Await.value(server.grant(grant(8, 9, VALIDITY_MS)))).isEqualTo(8);
     }
 
-    /** Guards against a cancelled call that still takes effect although reported as not run. */
+    /** Guards against a cancelled call that takes effect although it is reported as not executed. */
     @ParameterizedTest
     @CsvSource({"true, BACKEND_UNAVAILABLE, 0", "false, OK, 1"})
-    void cancelStopsACallInExecution(boolean capable, ResultCode code, int count) throws Exception {
+    void cancelStopsRunningCall(boolean supported, ResultCode code, int executionCount) throws Exception {
         Setup setup = Setup.withServiceMs(300);
-        BackendServer server = startGranted(capable ? setup : setup.without(Capability.CANCEL));
+        BackendServer server = startGranted(supported ? setup : setup.without(Capability.CANCEL));
         CompletableFuture<CallerAnswer> answer = server.execute(put("r1", 5, DEADLINE_MS));
         Thread.sleep(100);
         server.cancel(new RequestId("r1"));
-        assertOutcome(new RequestId("r1"), answer, code, count);
+        assertOutcome(new RequestId("r1"), answer, code, executionCount);
     }
 
     /** Guards against more connections than allowed, and against grants that wait behind requests. */
     @ParameterizedTest
     @ValueSource(ints = {2, 4, 8})
-    void staysWithinConnectionsWithoutDelayingGrants(int maxConnections) throws Exception {
+    void respectsConnectionLimitWithoutDelayingGrants(int maxConnections) throws Exception {
         BackendServer server = startGranted(
                 new Setup(maxConnections, maxConnections, LONG_SERVICE_MS, EnumSet.allOf(Capability.class)));
         List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
@@ -234,19 +242,19 @@
         assertThat(peakConnections()).isLessThanOrEqualTo(maxConnections);
     }
 
-    /** Guards against callers that reach control calls of the server through the path of a request. */
+    /** Guards against callers that reach control endpoints of the server through the path of a request. */
     @ParameterizedTest
     @CsvSource({"POST, /control/drain", "PUT, /control/grant", "GET, /ledger", "POST, /admin/faults"})
-    void requestNeverReachesControl(String method, String path) throws Exception {
+    void requestNeverReachesControlEndpoint(String method, String path) throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(1));
         Await.value(server.execute(call("r1", method, path, 5, DEADLINE_MS)));
         assertThat(executions(new RequestId("r1"))).containsExactly(5L);
         assertThat(Await.value(server.health()).draining()).isFalse();
     }
 
-    /** Guards against values that change on their way or belong to another key. */
+    /** Guards against values that are changed in transfer or belong to another key. */
     @Test
-    void storesAndReadsTheValueOfAKey() throws Exception {
+    void storesAndReadsValueOfKey() throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(1));
         Await.value(server.execute(put("r1", 5, DEADLINE_MS)));
         Await.value(server.execute(call("r2", "POST", "/other/path", 5, DEADLINE_MS)));
@@ -254,9 +262,9 @@
         assertThat(new String(answer.body(), StandardCharsets.UTF_8)).isEqualTo("valuevalue");
     }
 
-    /** Guards against new work on a draining server. */
+    /** Guards against a draining server that executes new requests. */
     @Test
-    void drainRefusesNewWork() throws Exception {
+    void drainRejectsNewRequests() throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(200));
         CompletableFuture<CallerAnswer> before = server.execute(put("r1", 5, DEADLINE_MS));
         Thread.sleep(50);
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
@@ -46,7 +46,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The contract over HTTP against {@code crank-backend}, and what is special to HTTP. */
+/** Runs the contract over HTTP against {@code crank-backend}, and tests that are specific to HTTP. */
 class HttpBackendServerTest extends BackendServerContract {
     private static final PluginRegistry REGISTRY = PluginRegistry.load();
     private static final HostAddress ANY_PORT = new HostAddress("127.0.0.1", 0);
@@ -57,18 +57,18 @@
     @TempDir
     Path directory;
 
-    /** Bound but not listening: connections to its port are refused, and no other process can take the port. */
-    private final Socket unreachable = new Socket();
+    /** Bound but not listening, so that connections to its port are refused and no other process can use the port. */
+    private final Socket boundSocket = new Socket();
 
-    private CrankBackend program;
-    private HttpClient admin;
+    private CrankBackend backendProgram;
+    private HttpClient adminClient;
     private BackendServer server;
 
     @AfterEach
     void stop() throws Exception {
-        unreachable.close();
+        boundSocket.close();
         server.close();
-        program.close();
+        backendProgram.close();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
@@ -77,13 +77,13 @@
         String capabilities = setup.capabilities().stream()
                 .map(capability -> capability.name().toLowerCase(Locale.ROOT))
                 .collect(Collectors.joining(","));
-        // The server takes more connections than announced, so that an adapter that opens too many is seen.
+        // The server accepts more connections than announced, so that an adapter that opens too many is detected.
         startProgram(
                 "--slots=" + setup.slots(),
                 "--max-connections=" + (setup.maxConnections() + 5),
                 "--service-ms=" + setup.serviceMs(),
                 "--capabilities=" + capabilities);
-        BackendInfo info = program.info();
+        BackendInfo info = backendProgram.info();
         return connect(new BackendInfo(
                 info.name(),
                 info.service(),
@@ -104,29 +104,31 @@
         arguments.add("--service=counter-desk");
         arguments.add("--listen=127.0.0.1:0");
         arguments.add("--ledger-file=" + directory.resolve("ledger"));
-        program = CrankBackend.start(SettingsLoader.load(new BackendSettings(), arguments, Map.of()));
-        admin = new HttpClient(group, program.info().address(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
+        backendProgram = CrankBackend.start(SettingsLoader.load(new BackendSettings(), arguments, Map.of()));
+        adminClient = new HttpClient(
+                group, backendProgram.info().address(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
     }
 
-    private HttpResponse admin(String method, String path, String json) {
-        HttpResponse reply =
-                admin.send(HttpRequest.of(method, path, json), TIMEOUT_MS).join();
-        assertThat(reply.status()).isEqualTo(200);
-        return reply;
+    private HttpResponse adminClient(String method, String path, String json) {
+        HttpResponse response =
+                adminClient.send(HttpRequest.of(method, path, json), TIMEOUT_MS).join();
+        assertThat(response.status()).isEqualTo(200);
+        return response;
     }
 
     @Override
     void inject(BackendFault fault) throws Exception {
         if (fault == BackendFault.UNREACHABLE) {
-            program.close();
-            unreachable.setReuseAddress(true);
-            unreachable.bind(new InetSocketAddress(
-                    InetAddress.getLoopbackAddress(), program.info().address().port()));
-            // Until the client has seen its warm connections close, a call is rightly in doubt.
+            backendProgram.close();
+            boundSocket.setReuseAddress(true);
+            boundSocket.bind(new InetSocketAddress(
+                    InetAddress.getLoopbackAddress(),
+                    backendProgram.info().address().port()));
+            // Until the client has detected that its open connections were closed, OUTCOME_UNKNOWN is correct.
             Thread.sleep(100);
         } else if (fault != BackendFault.NONE) {
             String kind = fault.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            admin("POST", "/admin/faults", "{\"kind\":\"" + kind + "\",\"delayMs\":" + SLOW_MS + "}");
+            adminClient("POST", "/admin/faults", "{\"kind\":\"" + kind + "\",\"delayMs\":" + SLOW_MS + "}");
         }
     }
 
@@ -144,35 +146,36 @@
 
     @Override
     int peakConnections() {
-        JsonNode stats = JsonCodec.decode(admin("GET", "/admin/stats", "").body(), JsonNode.class);
-        return stats.path("peakConnections").asInt() - admin.openConnections();
+        JsonNode stats = JsonCodec.decode(adminClient("GET", "/admin/stats", "").body(), JsonNode.class);
+        return stats.path("peakConnections").asInt() - adminClient.openConnections();
     }
 
-    /** Guards against a grant from before a freeze that becomes valid when the server returns. */
+    /** Guards against a grant that was sent before the server was suspended and becomes valid when it resumes. */
     @ParameterizedTest
     @CsvSource({"0, OK", "900, OK", "1100, FENCE_REJECTED"})
-    void validityCountsFromSending(long ageMs, ResultCode expected) throws Exception {
+    void validityStartsWhenGrantIsSent(long ageMs, ResultCode expected) throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
-        String clock = admin("GET", "/control/clock", "").header("crank-clock").orElseThrow();
+        String clock =
+                adminClient("GET", "/control/clock", "").header("crank-clock").orElseThrow();
         int colon = clock.indexOf(':');
         long sentAtNanos = Long.parseLong(clock.substring(colon + 1)) - TimeUnit.MILLISECONDS.toNanos(ageMs);
-        HttpRequest call = new HttpRequest(
+        HttpRequest request = new HttpRequest(
                 "PUT",
                 "/control/grant",
                 List.of(new Header("crank-sent-at", clock.substring(0, colon + 1) + sentAtNanos)),
                 JsonCodec.encode(grant(1, 5, 1_000)));
-        assertThat(admin.send(call, TIMEOUT_MS).join().status()).isEqualTo(200);
+        assertThat(adminClient.send(request, TIMEOUT_MS).join().status()).isEqualTo(200);
         assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
     }
 
-    /** Guards against a grant that is lost, or counted on a foreign clock, after the server process was replaced. */
+    /** Guards against a grant that is lost, or measured by the clock of the old process, after a server is replaced. */
     @Test
-    void grantReachesAReplacedProcess() throws Exception {
+    void grantReachesReplacedProcess() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
         Await.value(backend.grant(grant(1, 5, 60_000)));
-        String address = program.info().address().toString();
-        program.close();
-        program = CrankBackend.start(SettingsLoader.load(
+        String address = backendProgram.info().address().toString();
+        backendProgram.close();
+        backendProgram = CrankBackend.start(SettingsLoader.load(
                 new BackendSettings(), List.of("--service=counter-desk", "--listen=" + address), Map.of()));
         Await.eventually(() -> backend.grant(grant(2, 5, 60_000))
                 .handle((sequence, e) -> e == null)
@@ -180,7 +183,7 @@
         assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
     }
 
-    /** Guards against an answer without a result of the call that is passed on as executed or as not executed. */
+    /** Guards against a response without a result of the call that is reported as executed or as not executed. */
     @ParameterizedTest
     @CsvSource({
         "200, ,         OK",
@@ -193,64 +196,67 @@
         "409, fence,    FENCE_REJECTED",
         "999, ,         OUTCOME_UNKNOWN",
     })
-    void mapsAnswers(int status, String notRunReason, ResultCode expected) throws Exception {
+    void mapsResponses(int status, String notRunReason, ResultCode expected) throws Exception {
         startProgram();
         List<Header> headers = notRunReason == null
                 ? List.of()
                 : List.of(new Header("crank-not-run", "true"), new Header("crank-reason", notRunReason));
-        HttpResponse reply = new HttpResponse(status, headers, new byte[0]);
+        HttpResponse response = new HttpResponse(status, headers, new byte[0]);
         try (HttpServer other = HttpServer.listen(
                 group,
                 ANY_PORT,
                 HttpServerOptions.DEFAULTS,
-                (call, closed) -> CompletableFuture.completedFuture(reply))) {
-            BackendInfo info = program.info();
+                (request, closed) -> CompletableFuture.completedFuture(response))) {
+            BackendInfo info = backendProgram.info();
             connect(new BackendInfo(info.name(), info.service(), other.address(), 1, 1, info.capabilities()));
             assertThat(Await.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(expected);
         }
     }
 
-    /** Guards against health reports that are truthful in tests of lagging or false ones. */
+    /**
+     * Guards against a {@code crank-backend} that reports correct health although the test requests outdated or false
+     * reports.
+     */
     @Test
-    void healthLagsOrLies() throws Exception {
+    void healthReportCanLagOrBeWrong() throws Exception {
         startProgram("--health-lag-ms=200", "--slots=1");
-        connect(program.info());
+        connect(backendProgram.info());
         Await.value(server.drain());
         assertThat(Await.value(server.health()).draining()).isFalse();
         Await.eventually(() -> server.health().join().draining());
-        admin("POST", "/admin/health", "{\"healthy\":false,\"draining\":false,\"load\":77}");
+        adminClient("POST", "/admin/health", "{\"healthy\":false,\"draining\":false,\"load\":77}");
         assertThat(Await.value(server.health())).isEqualTo(new BackendHealth(false, false, 77));
     }
 
-    /** Guards against a server that a daemon never learns of because it started or restarted later. */
+    /** Guards against a server that stays unknown to a daemon that starts or restarts later. */
     @Test
-    void announcesItselfUntilAcceptedAndAgain() throws Exception {
+    void announcesItselfUntilAcceptedAndRepeatedly() throws Exception {
         AtomicInteger announcements = new AtomicInteger();
         List<BackendInfo> seen = new CopyOnWriteArrayList<>();
-        try (HttpServer daemon = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (call, closed) -> {
-            seen.add(JsonCodec.decode(call.body(), BackendInfo.class));
+        try (HttpServer daemon = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (request, closed) -> {
+            seen.add(JsonCodec.decode(request.body(), BackendInfo.class));
             int status = announcements.incrementAndGet() == 1 ? 503 : 200;
-            return CompletableFuture.completedFuture(HttpResponse.text(status, call.path()));
+            return CompletableFuture.completedFuture(HttpResponse.text(status, request.path()));
         })) {
             startProgram("--daemon=" + daemon.address(), "--capabilities=fence");
-            connect(program.info());
+            connect(backendProgram.info());
             Await.eventually(() -> announcements.get() >= 3);
-            assertThat(seen).allMatch(program.info()::equals);
+            assertThat(seen).allMatch(backendProgram.info()::equals);
         }
     }
 
-    /** Guards against an adapter that leaves the validity of a grant to count from its arrival. */
+    /** Guards against an adapter that omits the send time, so that the validity of a grant starts on arrival. */
     @Test
-    void grantStatesItsSendingOnTheServersClock() throws Exception {
+    void grantStatesSendTimeOnServerClock() throws Exception {
         startProgram();
         List<HttpRequest> calls = new CopyOnWriteArrayList<>();
-        HttpResponse reply = new HttpResponse(
+        HttpResponse response = new HttpResponse(
                 200, List.of(new Header("crank-clock", "i:1000")), JsonCodec.encode(Map.of("sequence", 4)));
-        try (HttpServer other = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (call, closed) -> {
-            calls.add(call);
-            return CompletableFuture.completedFuture(reply);
+        try (HttpServer other = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (request, closed) -> {
+            calls.add(request);
+            return CompletableFuture.completedFuture(response);
         })) {
-            BackendInfo info = program.info();
+            BackendInfo info = backendProgram.info();
             connect(new BackendInfo(info.name(), info.service(), other.address(), 1, 1, info.capabilities()));
             assertThat(Await.value(server.grant(grant(4, 5, 1_000)))).isEqualTo(4);
             String sentAt = calls.get(calls.size() - 1).header("crank-sent-at").orElseThrow();
@@ -259,34 +265,34 @@
         }
     }
 
-    /** Guards against a cancellation that is lost because it overtakes its request on another connection. */
+    /** Guards against a cancellation that is lost because it arrives before its request, on another connection. */
     @Test
-    void cancellationBeforeItsRequestStopsIt() throws Exception {
+    void cancellationBeforeRequestStopsRequest() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
         Await.value(backend.grant(grant(1, 5, 60_000)));
-        admin("POST", "/control/cancel/r1", "");
+        adminClient("POST", "/control/cancel/r1", "");
         assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.BACKEND_UNAVAILABLE);
         assertThat(executions(new RequestId("r1"))).isEmpty();
     }
 
-    /** Guards against a cold start that costs nothing, which would hide a missing ramp-up at the gate. */
+    /** Guards against a cold start without cost, which would hide a missing slow start of the gate. */
     @Test
     void coldStartTakesLonger() throws Exception {
         startProgram("--service-ms=20", "--cold-start-ms=60000", "--cold-start-factor=10", "--capabilities=none");
-        connect(program.info());
+        connect(backendProgram.info());
         long sentAtNanos = System.nanoTime();
         assertThat(Await.code(server.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos))
                 .isGreaterThanOrEqualTo(100);
     }
 
-    /** Guards against a ledger that a checker cannot read or that disagrees with the file. */
+    /** Guards against a ledger that cannot be parsed or that differs from the ledger file. */
     @Test
     void ledgerListsExecutions() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(5));
         Await.value(backend.grant(grant(1, 5, 60_000)));
         Await.value(backend.execute(put("r1", 5, TIMEOUT_MS)));
-        String text = admin("GET", "/ledger", "").bodyText();
+        String text = adminClient("GET", "/ledger", "").bodyText();
         assertThat(text).isEqualTo(Files.readString(directory.resolve("ledger")));
         JsonNode entry = JsonCodec.mapper().readTree(text);
         assertThat(entry.path("key").asText()).isEqualTo("ticket 7/\u00e4");
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
@@ -34,39 +34,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The contract over HTTP against {@code crank-store}, and what is special to HTTP. */
+/** Runs the contract over HTTP against {@code crank-store}, and tests that are specific to HTTP. */
 class HttpObjectStoreTest extends ObjectStoreContract {
     private static final PluginRegistry REGISTRY = PluginRegistry.load();
 
-    /** Only keeps a hung test from lasting; the first such call of a JVM loads classes of the stand-in. */
-    private static final long ADMIN_LIMIT_MS = 30_000;
+    /** Long, because the first call of a JVM loads the classes of the test store; only limits a test that hangs. */
+    private static final long ADMIN_TIMEOUT_MS = 30_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-    /** Bound but not listening: connections to its port are refused, and no other process can take the port. */
-    private final Socket unreachable = new Socket();
+    /** Bound but not listening, so that connections to its port are refused and no other process can use the port. */
+    private final Socket boundSocket = new Socket();
 
-    private CrankStore program;
-    private HttpClient admin;
+    private CrankStore storeProgram;
+    private HttpClient adminClient;
     private ObjectStore reachable;
     private ObjectStore store;
 
     @BeforeEach
     void start() throws Exception {
-        program = CrankStore.start(SettingsLoader.load(
+        storeProgram = CrankStore.start(SettingsLoader.load(
                 new StoreSettings(), List.of("--listen", "127.0.0.1:0", "--history-entries", "10"), Map.of()));
-        admin = new HttpClient(group, program.address(), HttpClientOptions.DEFAULTS);
-        reachable = open(program.address());
+        adminClient = new HttpClient(group, storeProgram.address(), HttpClientOptions.DEFAULTS);
+        reachable = open(storeProgram.address());
         store = reachable;
-        // The first calls of a JVM load classes and can exceed the time-out.
+        // The first calls of a JVM load classes and can exceed the timeout.
         Await.eventually(() -> store.get("warm-up").handle((v, e) -> e == null).join());
     }
 
     @AfterEach
     void stop() throws Exception {
-        unreachable.close();
+        boundSocket.close();
         reachable.close();
-        program.close();
+        storeProgram.close();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
@@ -82,8 +82,8 @@
     @Override
     void inject(StoreFault fault) throws Exception {
         if (fault == StoreFault.UNREACHABLE) {
-            unreachable.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            store = open(new HostAddress("127.0.0.1", unreachable.getLocalPort()));
+            boundSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            store = open(new HostAddress("127.0.0.1", boundSocket.getLocalPort()));
             return;
         }
         store = reachable;
@@ -94,19 +94,21 @@
     }
 
     private void inject(String json) throws Exception {
-        HttpResponse reply = Await.value(admin.send(HttpRequest.of("POST", "/admin/faults", json), ADMIN_LIMIT_MS));
-        assertThat(reply.status()).isEqualTo(200);
+        HttpResponse response =
+                Await.value(adminClient.send(HttpRequest.of("POST", "/admin/faults", json), ADMIN_TIMEOUT_MS));
+        assertThat(response.status()).isEqualTo(200);
     }
 
     private String stats() {
-        return admin.send(HttpRequest.of("GET", "/admin/stats"), ADMIN_LIMIT_MS)
+        return adminClient
+                .send(HttpRequest.of("GET", "/admin/stats"), ADMIN_TIMEOUT_MS)
                 .join()
                 .bodyText();
     }
 
-    /** Guards against a consumer that misses changes which the bounded history no longer has. */
+    /** Guards against a watch that misses changes that the bounded history no longer contains. */
     @Test
-    void watchFromBeforeTheHistoryIsAWholeListing() throws Exception {
+    void watchFromBeforeHistoryReturnsFullListing() throws Exception {
         Revision revision = Revision.NONE;
         for (int i = 0; i < 12; i++) {
             revision = Await.value(store().put("members/a", bytes("v" + i), revision));
@@ -122,9 +124,11 @@
         assertThat(restarted.upTo()).isEqualTo(revision);
     }
 
-    /** Guards against counts that hide the cost of watches, and against faults that do not end by themselves. */
+    /**
+     * Guards against statistics that do not count watches, and against injected faults that do not end as configured.
+     */
     @Test
-    void countsCallsAndEndsFaults() throws Exception {
+    void countsCallsAndLimitsFaults() throws Exception {
         CompletableFuture<WatchBatch> waiting = store().watch("members/", Revision.NONE, 4_000);
         Await.eventually(() -> stats().contains("\"waitingWatches\":1"));
         inject("{\"kind\":\"unanswered\",\"count\":1}");
@@ -140,7 +144,7 @@
         assertThat(stats()).contains("\"watch\":1").contains("\"put\":2");
     }
 
-    /** Guards against an unreadable answer taken for a value, or for a write without effect. */
+    /** Guards against a malformed response that is treated as a value, or as a write without effect. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -153,15 +157,16 @@
                 "500 |    | broken  | STORE_UNAVAILABLE | STORE_UNAVAILABLE | WRITE_UNANSWERED",
                 "503 |    | broken  | STORE_UNAVAILABLE | STORE_UNAVAILABLE | WRITE_UNANSWERED",
             })
-    void mapsMalformedAnswers(int status, String revision, String body, ResultCode get, ResultCode list, ResultCode put)
+    void mapsMalformedResponses(
+            int status, String revision, String body, ResultCode get, ResultCode list, ResultCode put)
             throws Exception {
         List<Header> headers = revision == null ? List.of() : List.of(new Header("crank-revision", revision));
-        HttpResponse reply = new HttpResponse(status, headers, bytes(body));
+        HttpResponse response = new HttpResponse(status, headers, bytes(body));
         try (HttpServer server = HttpServer.listen(
                         group,
                         new HostAddress("127.0.0.1", 0),
                         HttpServerOptions.DEFAULTS,
-                        (call, closed) -> CompletableFuture.completedFuture(reply));
+                        (call, closed) -> CompletableFuture.completedFuture(response));
                 ObjectStore broken = open(server.address())) {
             assertThat(Await.code(broken.get("a"))).isEqualTo(get);
             assertThat(Await.code(broken.list("a"))).isEqualTo(list);
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What every adapter of the object store must do; a subclass supplies a store that can be made to fail. */
+/** Contract tests for every object store adapter; a subclass supplies a store into which faults can be injected. */
 abstract class ObjectStoreContract {
-    /** Faults of the store that the contract needs. */
+    /** Faults that the contract injects into the store. */
     enum StoreFault {
         NONE,
         UNREACHABLE,
@@ -35,7 +35,10 @@
         DELETE
     }
 
-    /** Time-out of calls; a slow or delayed call takes {@link #FAULT_DELAY_MS}. 150 ms was too short once for a first call. */
+    /**
+     * Timeout of calls; a slow or delayed call takes {@link #FAULT_DELAY_MS}. The first call of a JVM can exceed 150
+     * ms.
+     */
     static final long CALL_TIMEOUT_MS = 500;
 
     static final long FAULT_DELAY_MS = 900;
@@ -44,7 +47,7 @@
     private static final byte[] OLD = bytes("old");
     private static final byte[] NEW = bytes("new");
 
-    /** A client of the store under test. */
+    /** Returns a client of the store under test. */
     abstract ObjectStore store();
 
     abstract void inject(StoreFault fault) throws Exception;
@@ -63,7 +66,7 @@
         };
     }
 
-    /** Guards against a lost write reported as without effect, and against a refusal reported as in doubt. */
+    /** Guards against a lost write reported as without effect, and against a rejection reported as unanswered. */
     @ParameterizedTest
     @CsvSource({
         "NONE,          GET,    OK,                 false",
@@ -94,7 +97,7 @@
         "CUT_ANSWER,    PUT,    WRITE_UNANSWERED,   true",
         "CUT_ANSWER,    DELETE, WRITE_UNANSWERED,   true",
     })
-    void reportsWhatHappened(StoreFault fault, Operation operation, ResultCode expected, boolean effect)
+    void reportsResultOfFaultyCall(StoreFault fault, Operation operation, ResultCode expected, boolean effect)
             throws Exception {
         Revision before = Await.value(store().put(NAME, OLD, Revision.NONE));
         inject(fault);
@@ -112,10 +115,10 @@
         return store().get(NAME).join().map(StoredObject::revision).orElse(Revision.NONE);
     }
 
-    /** Guards against a write that overwrites a state it did not see. */
+    /** Guards against a write that replaces a revision other than the expected one. */
     @ParameterizedTest
     @CsvSource({"PUT, 0", "PUT, 1", "PUT, 99", "DELETE, 0", "DELETE, 1", "DELETE, 99"})
-    void refusesOtherRevision(Operation operation, long expected) throws Exception {
+    void rejectsWriteWithOtherRevision(Operation operation, long expected) throws Exception {
         Revision first = Await.value(store().put(NAME, OLD, Revision.NONE));
         Revision second = Await.value(store().put(NAME, NEW, first));
         assertThat(second.isNewerThan(first)).isTrue();
@@ -124,9 +127,9 @@
         assertThat(currentRevision()).isEqualTo(second);
     }
 
-    /** Guards against a value changed on its way, and against a needless limit below 1 MB. */
+    /** Guards against a value that is changed in transfer, and against a limit below 1 MB. */
     @Test
-    void keepsValuesUpToTheLimit() throws Exception {
+    void storesValuesUpToLimit() throws Exception {
         byte[] value = new byte[1_000_000];
         value[7] = -1;
         Await.value(store().put(NAME, value, Revision.NONE));
@@ -136,9 +139,9 @@
         assertThat(Await.value(store().get("large"))).isEmpty();
     }
 
-    /** Guards against a listing that misses objects or takes in other prefixes. */
+    /** Guards against a listing that misses objects or contains objects with another prefix. */
     @Test
-    void listsOnePrefixByRevision() throws Exception {
+    void listsOnePrefixOrderedByRevision() throws Exception {
         Await.value(store().put("members/b", OLD, Revision.NONE));
         Await.value(store().put("members/a", OLD, Revision.NONE));
         Revision last = Await.value(store().put("notes/a", OLD, Revision.NONE));
@@ -147,7 +150,7 @@
         assertThat(listing.upTo()).isEqualTo(last);
     }
 
-    /** Guards against a watch that misses a change or a deletion made before or while it waits. */
+    /** Guards against a watch that misses a change or a deletion made before or during the watch. */
     @Test
     void watchReportsChangesAndDeletions() throws Exception {
         Revision first = Await.value(store().put("members/a", OLD, Revision.NONE));
@@ -163,7 +166,7 @@
                 .isEmpty();
     }
 
-    /** Guards against waiting watches that hold up other calls. */
+    /** Guards against waiting watches that delay other calls. */
     @Test
     void watchesDoNotDelayOtherCalls() throws Exception {
         for (int i = 0; i < 40; i++) {
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Guards against rows with a fence below one that the server has seen on their keys. It refuses such a row, rejects each
- * request of the keys, and nothing renews the fence as long as the table stands.
+ * Guards against rows with a fencing token older than one that the server has seen on a key of the row. The server
+ * rejects such a row and every request for its keys, and the token stays the same until the assignment table changes.
  */
 class GrantRowMergerTest {
-    private static final int MANY = 160;
+    private static final int MAX_ROWS = 160;
 
     private static GrantedRange row(long first, long last, long fence, String token) {
         return new GrantedRange(new KeyRange(new KeyHash(first), new KeyHash(last)), new Generation(fence), token);
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void neighboursOfOneFenceAreOneRow() {
-        GrantRowMerger rows = new GrantRowMerger(MANY);
+    void mergesAdjacentRangesWithSameFence() {
+        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
         assertThat(rows.merge(
                         List.of(row(20, 29, 7), row(0, 9, 7), row(10, 19, 7), row(30, 39, 8), row(40, 49, 8, "5c")),
                         List.of()))
@@ -42,15 +42,15 @@
     }
 
     @Test
-    void neighboursOfDifferentFencesAreOneRowOnlyAboveTheBound() {
+    void mergesAdjacentRangesWithDifferentFencesOnlyAboveTheLimit() {
         GrantRowMerger rows = new GrantRowMerger(2);
         List<GrantedRange> granted = List.of(row(0, 9, 7), row(10, 19, 9), row(20, 29, 8));
         assertThat(rows.merge(granted, List.of())).containsExactly(row(0, 29, 9));
     }
 
-    /** Seen on the bench: a range left a joined row, and its former neighbour was rejected for ten seconds. */
+    /** Guards against a failure in which one range of a merged row moved away and the other was rejected for 10 s. */
     @Test
-    void restOfAJoinedRowKeepsItsFence() {
+    void remainderOfMergedRowKeepsItsFence() {
         GrantRowMerger rows = new GrantRowMerger(1);
         rows.merge(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
         assertThat(rows.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
@@ -58,19 +58,19 @@
     }
 
     @Test
-    void restartedDaemonKeepsTheFencesThatTheServerHolds() {
-        GrantRowMerger rows = new GrantRowMerger(MANY);
+    void restartedDaemonKeepsFencesHeldByServer() {
+        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
         assertThat(rows.merge(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
     }
 
-    /** Each heartbeat is answered on the thread that reads callers' requests, which would be read late. */
+    /** Heartbeats are processed on the thread that reads callers' requests, which a slow merge would delay. */
     @Test
-    void manyRangesAreJoinedInFewComparisons() {
+    void mergeOfManyRangesTakesOnePass() {
         List<GrantedRange> granted = new ArrayList<>();
         for (int i = 0; i < 20_000; i++) {
             granted.add(row(2L * i, 2L * i, i + 1));
         }
-        GrantRowMerger rows = new GrantRowMerger(MANY);
+        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
             for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
                 assertThat(rows.merge(granted, granted)).hasSize(20_000);
@@ -78,14 +78,14 @@
         });
     }
 
-    /** Ranges come under new fences and go, in any order; the server remembers the newest fence of each key. */
+    /** Adds ranges with new fencing tokens and removes ranges at random; the server keeps the newest token of a key. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 8})
-    void fenceOfAKeyNeverFalls(int maxRows) {
+    void fenceOfKeyNeverDecreases(int maxRows) {
         Random random = new Random(maxRows);
         GrantRowMerger rows = new GrantRowMerger(maxRows);
         Map<Long, Long> owned = new HashMap<>();
-        Map<Long, Long> seen = new HashMap<>();
+        Map<Long, Long> newestSent = new HashMap<>();
         long generation = 0;
         for (int step = 0; step < 2_000; step++) {
             generation++;
@@ -95,13 +95,13 @@
             }
             List<GrantedRange> granted = new ArrayList<>();
             owned.forEach((k, fence) -> granted.add(row(k, k, fence)));
-            for (GrantedRange told : rows.merge(granted, List.of())) {
-                for (long k = told.range().first().value();
-                        k <= told.range().last().value();
+            for (GrantedRange row : rows.merge(granted, List.of())) {
+                for (long k = row.range().first().value();
+                        k <= row.range().last().value();
                         k++) {
-                    assertThat(told.fence().value()).isGreaterThanOrEqualTo(seen.getOrDefault(k, 0L));
-                    assertThat(told.fence().value()).isBetween(owned.get(k), generation);
-                    seen.put(k, told.fence().value());
+                    assertThat(row.fence().value()).isGreaterThanOrEqualTo(newestSent.getOrDefault(k, 0L));
+                    assertThat(row.fence().value()).isBetween(owned.get(k), generation);
+                    newestSent.put(k, row.fence().value());
                 }
             }
         }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/BackendFailureDetectorTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/internal/BackendFailureDetectorTest.java
@@ -11,25 +11,25 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Guards against a lost server that keeps its ranges, and against a living one that loses them. */
+/** Guards against a failed server that keeps its ranges, and against a running server that loses them. */
 class BackendFailureDetectorTest {
-    /** A sign of life, or its absence, at a time. An empty presence is an announcement. */
-    record Sign(long atMs, Optional<ProbeResult> presence) {}
+    /** The result of a probe at a time; an empty result stands for an announcement of the server. */
+    record Observation(long atMs, Optional<ProbeResult> probeResult) {}
 
-    private static Sign announced(long atMs) {
-        return new Sign(atMs, Optional.empty());
+    private static Observation announced(long atMs) {
+        return new Observation(atMs, Optional.empty());
     }
 
-    private static Sign answered(long atMs) {
-        return new Sign(atMs, Optional.of(ProbeResult.ANSWERED));
+    private static Observation answered(long atMs) {
+        return new Observation(atMs, Optional.of(ProbeResult.ANSWERED));
     }
 
-    private static Sign refused(long atMs) {
-        return new Sign(atMs, Optional.of(ProbeResult.REFUSED));
+    private static Observation refused(long atMs) {
+        return new Observation(atMs, Optional.of(ProbeResult.REFUSED));
     }
 
-    private static Sign silent(long atMs) {
-        return new Sign(atMs, Optional.of(ProbeResult.SILENT));
+    private static Observation silent(long atMs) {
+        return new Observation(atMs, Optional.of(ProbeResult.SILENT));
     }
 
     static Stream<Arguments> histories() {
@@ -43,16 +43,17 @@
                         true,
                         List.of(refused(0), refused(900), answered(1_000), refused(1_500)),
                         ""),
-                Arguments.of("announced meanwhile", true, List.of(refused(0), announced(800), refused(1_200)), ""),
+                Arguments.of(
+                        "announced between refusals", true, List.of(refused(0), announced(800), refused(1_200)), ""),
                 Arguments.of("silent", true, List.of(silent(0), silent(1_000), silent(1_250)), "silent"),
                 Arguments.of(
-                        "silent and refused by turns",
+                        "silent between refusals",
                         true,
                         List.of(refused(0), silent(600), refused(1_100)),
                         "connections-refused"),
                 Arguments.of("silent, no validity", false, List.of(silent(0), silent(2_500), silent(60_000)), ""),
                 Arguments.of(
-                        "silent at times",
+                        "silent from time to time",
                         true,
                         List.of(silent(0), answered(1_100), silent(2_000), answered(3_100)),
                         ""),
@@ -62,7 +63,7 @@
                         List.of(answered(0), silent(60_000), answered(60_250)),
                         ""),
                 Arguments.of(
-                        "busy, but it announces itself",
+                        "announced while it does not answer probes",
                         true,
                         List.of(silent(0), announced(1_100), silent(1_250), silent(2_300)),
                         ""));
@@ -70,16 +71,16 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("histories")
-    void tellsALostServerFromALivingOne(String name, boolean honoursValidity, List<Sign> signs, String expected) {
-        BackendFailureDetector watch = new BackendFailureDetector(honoursValidity);
+    void detectsFailedServer(String name, boolean honoursValidity, List<Observation> observations, String expected) {
+        BackendFailureDetector detector = new BackendFailureDetector(honoursValidity);
         Optional<String> reason = Optional.empty();
-        for (Sign sign : signs) {
+        for (Observation observation : observations) {
             assertThat(reason).isEmpty();
-            long nowNanos = TimeUnit.MILLISECONDS.toNanos(sign.atMs());
-            if (sign.presence().isPresent()) {
-                reason = watch.onProbeResult(sign.presence().get(), nowNanos);
+            long nowNanos = TimeUnit.MILLISECONDS.toNanos(observation.atMs());
+            if (observation.probeResult().isPresent()) {
+                reason = detector.onProbeResult(observation.probeResult().get(), nowNanos);
             } else {
-                watch.onAnnounced();
+                detector.onAnnounced();
             }
         }
         assertThat(reason).isEqualTo(Optional.of(expected).filter(text -> !text.isEmpty()));
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
@@ -15,14 +15,16 @@
 import org.coriandercrank.kernel.table.KeyRange;
 import org.junit.jupiter.api.Test;
 
-/** Guards grants against outlasting the lease and releases against completing while the server still holds a range. */
+/**
+ * Guards against grants that outlast the lease, and against releases that complete while the server holds the range.
+ */
 class HeartbeatGrantsTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final KeyRange LOW = range(0, 99);
     private static final KeyRange HIGH = range(100, 199);
 
     private final AtomicLong nowNanos = new AtomicLong();
-    private long next = 1;
+    private long nextSequence = 1;
     private final HeartbeatGrants grants = new HeartbeatGrants(nowNanos::get, 5_000, 160);
 
     private static KeyRange range(long first, long last) {
@@ -44,93 +46,94 @@
                 .toList();
     }
 
-    /** A restarted daemon knows nothing yet; an empty list would make the server drop what it holds. */
+    /** A restarted daemon has no grant yet; an empty list of rows would make the server give up its ranges. */
     @Test
-    void heartbeatBeforeTheFirstGrantRenewsNothing() {
-        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).isEmpty();
+    void heartbeatBeforeFirstGrantRenewsNothing() {
+        assertThat(grants.onHeartbeat(nextSequence++, held(LOW), List.of())).isEmpty();
     }
 
     @Test
-    void validityCountsFromTheOffer() {
+    void validityStartsWhenGrantIsOffered() {
         grants.offer(grant(1, 5_000, LOW));
-        nowNanos.set(1_200 * MS);
-        assertThat(grants.onHeartbeat(next++, held(), List.of()))
+        nowNanos.set(1_200 * NANOS_PER_MS);
+        assertThat(grants.onHeartbeat(nextSequence++, held(), List.of()))
                 .map(Renewal::validityMs)
                 .contains(3_800L);
-        nowNanos.set(5_000 * MS);
-        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).isEmpty();
+        nowNanos.set(5_000 * NANOS_PER_MS);
+        assertThat(grants.onHeartbeat(nextSequence++, held(LOW), List.of())).isEmpty();
     }
 
-    /** The gate may hand a range on once its grant is acknowledged, so the server must have released it. */
+    /** The gate hands a range over once a grant without it is acknowledged, so the server must have released it. */
     @Test
-    void grantIsAcknowledgedOnlyWhenTheServerHoldsNothingElse() {
+    void grantIsAcknowledgedOnlyWhenServerHoldsNoOtherRange() {
         CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
-        grants.onHeartbeat(next++, held(), List.of());
+        grants.onHeartbeat(nextSequence++, held(), List.of());
         assertThat(both).isCompletedWithValue(1L);
 
         CompletableFuture<Long> lowOnly = grants.offer(grant(2, 5_000, LOW));
-        assertThat(grants.onHeartbeat(next++, held(LOW, HIGH), List.of())).isPresent();
+        assertThat(grants.onHeartbeat(nextSequence++, held(LOW, HIGH), List.of()))
+                .isPresent();
         assertThat(lowOnly).isNotDone();
-        grants.onHeartbeat(next++, held(LOW), List.of(new Handover(HIGH, "t1")));
+        grants.onHeartbeat(nextSequence++, held(LOW), List.of(new Handover(HIGH, "t1")));
         assertThat(lowOnly).isCompletedWithValue(2L);
     }
 
-    /** A row of the server may span ranges of the table that were granted apart. */
+    /** A row that the server reports may span several ranges that were granted separately. */
     @Test
-    void rowOverSeveralGrantedRangesCountsAsGranted() {
+    void rowAcrossGrantedRangesIsGranted() {
         CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
-        grants.onHeartbeat(next++, held(range(50, 150)), List.of());
+        grants.onHeartbeat(nextSequence++, held(range(50, 150)), List.of());
         assertThat(both).isCompleted();
     }
 
     @Test
-    void revocationOfEverythingIsDeliveredWithoutALease() {
+    void revocationOfAllRangesIsDeliveredWithoutLease() {
         grants.offer(grant(1, 0));
-        nowNanos.set(9_000 * MS);
-        assertThat(grants.onHeartbeat(next++, held(LOW), List.of())).contains(new Renewal(List.of(), 0));
+        nowNanos.set(9_000 * NANOS_PER_MS);
+        assertThat(grants.onHeartbeat(nextSequence++, held(LOW), List.of())).contains(new Renewal(List.of(), 0));
     }
 
     @Test
-    void handoverIsTakenOnceAndTheNewestCounts() {
-        grants.onHeartbeat(next++, held(), List.of(new Handover(LOW, "t1"), new Handover(HIGH, "t2")));
-        grants.onHeartbeat(next++, held(), List.of(new Handover(LOW, "t3")));
+    void newestHandoverIsReturnedOnce() {
+        grants.onHeartbeat(nextSequence++, held(), List.of(new Handover(LOW, "t1"), new Handover(HIGH, "t2")));
+        grants.onHeartbeat(nextSequence++, held(), List.of(new Handover(LOW, "t3")));
         assertThat(grants.takeHandovers(LOW)).containsExactly(new Handover(LOW, "t3"));
         assertThat(grants.takeHandovers(LOW)).isEmpty();
         assertThat(grants.takeHandovers(HIGH)).containsExactly(new Handover(HIGH, "t2"));
     }
 
     @Test
-    void newerGrantEndsTheWaitForTheOneBefore() {
+    void newerGrantFailsPreviousOne() {
         CompletableFuture<Long> first = grants.offer(grant(1, 5_000, LOW));
         grants.offer(grant(2, 5_000, LOW));
         assertThat(first).isCompletedExceptionally();
     }
 
     /**
-     * The former process of the daemon may have granted any range. A restarted daemon that answers a release request
-     * without looking would let two servers hold the range.
+     * An earlier process of the daemon may have granted any range. If the restarted daemon confirmed a release request
+     * without a check, two servers could hold the range.
      */
     @Test
-    void leftGrantsCountUntilAHeartbeatOrTheirEnd() {
+    void earlierGrantsMayBeHeldUntilHeartbeatOrExpiry() {
         assertThat(grants.mayHold(LOW)).isTrue();
-        nowNanos.set(1_000 * MS);
-        grants.onHeartbeat(next++, held(LOW), List.of());
+        nowNanos.set(1_000 * NANOS_PER_MS);
+        grants.onHeartbeat(nextSequence++, held(LOW), List.of());
         assertThat(grants.mayHold(LOW)).isTrue();
         assertThat(grants.mayHold(HIGH)).isFalse();
-        nowNanos.set(5_999 * MS);
+        nowNanos.set(5_999 * NANOS_PER_MS);
         assertThat(grants.mayHold(LOW)).isTrue();
-        nowNanos.set(6_000 * MS);
+        nowNanos.set(6_000 * NANOS_PER_MS);
         assertThat(grants.mayHold(LOW)).isFalse();
     }
 
     @Test
-    void silentServerHoldsNothingAfterTheLongestValidity() {
-        nowNanos.set(5_000 * MS);
+    void silentServerHoldsNoRangeAfterLongestValidity() {
+        nowNanos.set(5_000 * NANOS_PER_MS);
         assertThat(grants.mayHold(LOW)).isFalse();
     }
 
     @Test
-    void overtakenHeartbeatRenewsNothing() {
+    void outdatedHeartbeatRenewsNothing() {
         grants.offer(grant(1, 5_000, LOW));
         assertThat(grants.onHeartbeat(9, held(), List.of())).isPresent();
         assertThat(grants.onHeartbeat(8, held(), List.of())).isEmpty();
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
@@ -8,117 +8,123 @@
 import org.coriandercrank.daemon.ServerIncarnation;
 import org.junit.jupiter.api.Test;
 
-/** Guards which member a daemon is while its backend server crashes, returns, leaves or falls silent. */
+/** Guards the choice of the daemon's member while its backend server crashes, restarts, leaves or becomes silent. */
 class MemberLifecycleTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final ServerIncarnation FIRST = new ServerIncarnation("i-1", 1_000);
-    private static final ServerIncarnation SAME_ID_LATER = new ServerIncarnation("i-1", 9_000);
+    private static final ServerIncarnation RESTARTED = new ServerIncarnation("i-1", 9_000);
     private static final ServerIncarnation OTHER = new ServerIncarnation("i-2", 9_000);
 
-    private long next = 1;
-    private final MemberLifecycle watch = new MemberLifecycle(new MemberLifecycle.Timeouts(5_000, 8_000, 2_000), 0);
+    private long nextSequence = 1;
+    private final MemberLifecycle lifecycle = new MemberLifecycle(new MemberLifecycle.Timeouts(5_000, 8_000, 2_000), 0);
 
     @Test
     void repeatedHeartbeatsAttachOnce() {
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 10 * MS)).containsExactly(new Action.Attach(FIRST, 1, 0));
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 900 * MS)).isEmpty();
-        assertThat(watch.onTick(1_000 * MS)).isEmpty();
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 10 * NANOS_PER_MS))
+                .containsExactly(new Action.Attach(FIRST, 1, 0));
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 900 * NANOS_PER_MS))
+                .isEmpty();
+        assertThat(lifecycle.onTick(1_000 * NANOS_PER_MS)).isEmpty();
     }
 
-    /** A server that starts again under its id holds nothing; its member must not keep the fences of before. */
+    /** A restarted server holds no range, so its member must not keep ranges under the earlier fencing tokens. */
     @Test
-    void serverThatStartsAgainUnderItsIdGetsAnotherMember() {
-        watch.onHeartbeat(FIRST, next++, false, 0);
-        assertThat(watch.onHeartbeat(SAME_ID_LATER, next++, false, 900 * MS))
-                .containsExactly(new Action.Detach("server-replaced", true), new Action.Attach(SAME_ID_LATER, 1, 0));
+    void serverRestartedUnderSameIdGetsNewMember() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, false, 0);
+        assertThat(lifecycle.onHeartbeat(RESTARTED, nextSequence++, false, 900 * NANOS_PER_MS))
+                .containsExactly(new Action.Detach("server-replaced", true), new Action.Attach(RESTARTED, 1, 0));
     }
 
-    /** A heartbeat held up by a partition arrives after its sender was replaced. */
+    /** A network partition can delay a heartbeat until after its sender was replaced. */
     @Test
-    void lateHeartbeatOfAnEarlierIncarnationChangesNothing() {
-        watch.onHeartbeat(OTHER, next++, false, 0);
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 900 * MS)).isEmpty();
-        assertThat(watch.current()).contains(OTHER);
+    void lateHeartbeatOfEarlierIncarnationIsIgnored() {
+        lifecycle.onHeartbeat(OTHER, nextSequence++, false, 0);
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 900 * NANOS_PER_MS))
+                .isEmpty();
+        assertThat(lifecycle.current()).contains(OTHER);
     }
 
-    /** The keys of a silent server must move: its grants cannot be valid any more. */
+    /** The ranges of a silent server must move to other servers once its grants have expired. */
     @Test
-    void silentServerIsDroppedAfterItsGrantsHaveLapsed() {
-        watch.onHeartbeat(FIRST, next++, false, 0);
-        assertThat(watch.onTick(4_999 * MS)).isEmpty();
-        assertThat(watch.onTick(5_000 * MS)).containsExactly(new Action.Detach("server-silent", false));
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 6_000 * MS)).containsExactly(new Action.Attach(FIRST, 2, 0));
+    void silentServerIsDetachedAfterItsGrantsExpired() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, false, 0);
+        assertThat(lifecycle.onTick(4_999 * NANOS_PER_MS)).isEmpty();
+        assertThat(lifecycle.onTick(5_000 * NANOS_PER_MS)).containsExactly(new Action.Detach("server-silent", false));
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 6_000 * NANOS_PER_MS))
+                .containsExactly(new Action.Attach(FIRST, 2, 0));
     }
 
     @Test
-    void leavingServerIsDrainedWithinTheDrainTime() {
-        watch.onHeartbeat(FIRST, next++, false, 0);
-        assertThat(watch.onHeartbeat(FIRST, next++, true, 100 * MS)).containsExactly(new Action.Leave(FIRST));
-        assertThat(watch.onHeartbeat(FIRST, next++, true, 900 * MS)).isEmpty();
-        assertThat(watch.onTick(2_099 * MS)).isEmpty();
-        assertThat(watch.onTick(2_100 * MS)).containsExactly(new Action.Drain(FIRST));
-        assertThat(watch.onTick(2_200 * MS)).isEmpty();
+    void leavingServerIsDrainedAfterDrainDelay() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, false, 0);
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, true, 100 * NANOS_PER_MS))
+                .containsExactly(new Action.Leave(FIRST));
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, true, 900 * NANOS_PER_MS))
+                .isEmpty();
+        assertThat(lifecycle.onTick(2_099 * NANOS_PER_MS)).isEmpty();
+        assertThat(lifecycle.onTick(2_100 * NANOS_PER_MS)).containsExactly(new Action.Drain(FIRST));
+        assertThat(lifecycle.onTick(2_200 * NANOS_PER_MS)).isEmpty();
     }
 
     @Test
-    void departureWithoutNoticeIsALeaving() {
-        watch.onHeartbeat(FIRST, next++, false, 0);
-        assertThat(watch.onDeregister("i-1", MS)).containsExactly(new Action.Leave(FIRST));
-        assertThat(watch.onDeregister("i-2", MS)).isEmpty();
+    void deregistrationIsTreatedAsLeaving() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, false, 0);
+        assertThat(lifecycle.onDeregister("i-1", NANOS_PER_MS)).containsExactly(new Action.Leave(FIRST));
+        assertThat(lifecycle.onDeregister("i-2", NANOS_PER_MS)).isEmpty();
     }
 
     /**
-     * A server that stays after all must get requests again, under a member that may own ranges. It may hold what it got
-     * before, so the next member must not seal the former one earlier.
+     * A server that stays after it announced that it was leaving must receive requests again, under a member that can
+     * own ranges. It may still hold ranges of its previous member, so the new member must not seal that one earlier.
      */
     @Test
-    void serverThatTakesItsLeavingBackGetsAnotherMember() {
-        watch.onHeartbeat(FIRST, next++, true, 0);
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 900 * MS))
+    void serverThatStopsLeavingGetsNewMember() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, true, 0);
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 900 * NANOS_PER_MS))
                 .containsExactly(new Action.Detach("server-returned", true), new Action.Attach(FIRST, 2, 5_000));
     }
 
     @Test
     void daemonWithoutServerJoinsAloneOnce() {
-        assertThat(watch.onTick(7_999 * MS)).isEmpty();
-        assertThat(watch.onTick(8_000 * MS)).containsExactly(new Action.JoinAlone());
-        assertThat(watch.onTick(9_000 * MS)).isEmpty();
-        assertThat(watch.onHeartbeat(FIRST, next++, false, 9_100 * MS))
+        assertThat(lifecycle.onTick(7_999 * NANOS_PER_MS)).isEmpty();
+        assertThat(lifecycle.onTick(8_000 * NANOS_PER_MS)).containsExactly(new Action.JoinAlone());
+        assertThat(lifecycle.onTick(9_000 * NANOS_PER_MS)).isEmpty();
+        assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 9_100 * NANOS_PER_MS))
                 .containsExactly(new Action.Detach("server-arrived", true), new Action.Attach(FIRST, 1, 0));
     }
 
     @Test
-    void sealedMemberOfALivingServerIsReplaced() {
-        watch.onHeartbeat(FIRST, next++, false, 0);
-        assertThat(watch.onMemberSealed(MS))
+    void sealedMemberOfActiveServerIsReplaced() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, false, 0);
+        assertThat(lifecycle.onMemberSealed(NANOS_PER_MS))
                 .containsExactly(new Action.Detach("sealed-by-others", true), new Action.Attach(FIRST, 2, 0));
     }
 
-    /** A server on its way out must not get ranges again when its member is sealed early. */
+    /** A leaving server must not receive ranges again when its member is sealed. */
     @Test
-    void sealedMemberOfALeavingServerIsNotReplaced() {
-        watch.onHeartbeat(FIRST, next++, true, 0);
-        List<Action> actions = watch.onMemberSealed(MS);
+    void sealedMemberOfLeavingServerIsNotReplaced() {
+        lifecycle.onHeartbeat(FIRST, nextSequence++, true, 0);
+        List<Action> actions = lifecycle.onMemberSealed(NANOS_PER_MS);
         assertThat(actions).containsExactly(new Action.Detach("sealed-by-others", false));
     }
 
     /**
-     * A heartbeat may arrive seconds late. One sent before the announcement of the leaving looked as if the server had
-     * taken it back, and its requests went on after the drain time.
+     * A heartbeat can arrive seconds late. Guards against one that was sent before the server announced that it was
+     * leaving and seemed to revoke the announcement, so that the server received requests after the drain time.
      */
     @Test
-    void overtakenHeartbeatDoesNotTakeALeavingBack() {
-        watch.onHeartbeat(FIRST, 5, false, 0);
-        watch.onHeartbeat(FIRST, 7, true, 100 * MS);
-        assertThat(watch.onHeartbeat(FIRST, 6, false, 900 * MS)).isEmpty();
-        assertThat(watch.onTick(2_100 * MS)).containsExactly(new Action.Drain(FIRST));
+    void outdatedHeartbeatDoesNotCancelLeaving() {
+        lifecycle.onHeartbeat(FIRST, 5, false, 0);
+        lifecycle.onHeartbeat(FIRST, 7, true, 100 * NANOS_PER_MS);
+        assertThat(lifecycle.onHeartbeat(FIRST, 6, false, 900 * NANOS_PER_MS)).isEmpty();
+        assertThat(lifecycle.onTick(2_100 * NANOS_PER_MS)).containsExactly(new Action.Drain(FIRST));
     }
 
-    /** The counts of a server start anew with it. */
+    /** Each incarnation of a server counts its heartbeats from the start. */
     @Test
-    void firstHeartbeatOfAnotherIncarnationCountsWhateverItsNumber() {
-        watch.onHeartbeat(FIRST, 500, false, 0);
-        assertThat(watch.onHeartbeat(OTHER, 1, false, 900 * MS))
+    void firstHeartbeatOfNewIncarnationIsAcceptedWithAnySequence() {
+        lifecycle.onHeartbeat(FIRST, 500, false, 0);
+        assertThat(lifecycle.onHeartbeat(OTHER, 1, false, 900 * NANOS_PER_MS))
                 .containsExactly(new Action.Detach("server-replaced", true), new Action.Attach(OTHER, 1, 0));
     }
 }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/package-info.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the parts of the daemon that decide without input and output. */
+/** Tests of the state machines of the daemon, which perform no input or output. */
 package org.coriandercrank.daemon.test;
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/FaultyStore.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/FaultyStore.java
@@ -22,34 +22,34 @@
 import org.coriandercrank.standin.StoreSettings;
 
 /**
- * The stand-in store in this process, with faults that start at once or at the next write of the configuration. Not
- * thread safe.
+ * A {@code crank-store} in this process, with faults that start immediately or at the next write of the configuration.
+ * Not thread safe.
  */
 final class FaultyStore implements ObjectStore {
     private static final long CALL_TIMEOUT_MS = 400;
 
-    private final CrankStore program;
+    private final CrankStore storeProgram;
     private final ObjectStore client;
-    private final HttpClient admin = HttpClient.newHttpClient();
+    private final HttpClient adminClient = HttpClient.newHttpClient();
     private volatile List<String> faultsAtWrite = List.of();
 
     FaultyStore() {
-        program = CrankStore.start(
+        storeProgram = CrankStore.start(
                 SettingsLoader.load(new StoreSettings(), List.of("--listen", "127.0.0.1:0"), Map.of()));
         client = PluginRegistry.load()
                 .get(PluginRegistry.Kind.STORE, HttpAdapterPlugin.NAME)
-                .open(program.address(), CALL_TIMEOUT_MS);
-        // The first calls of a JVM load classes and can exceed the time-out.
+                .open(storeProgram.address(), CALL_TIMEOUT_MS);
+        // The first calls of a JVM load classes and can exceed the timeout.
         while (client.get("warm-up").handle((value, failure) -> failure != null).join()) {
             Thread.onSpinWait();
         }
     }
 
-    /** Adds a fault in the form of the protocol page. */
-    void fault(String json) {
+    /** Injects a fault, in the JSON form of {@code docs/PROTOCOL_STORE.md}. */
+    void injectFault(String json) {
         try {
-            admin.send(
-                    HttpRequest.newBuilder(URI.create("http://" + program.address() + "/admin/faults"))
+            adminClient.send(
+                    HttpRequest.newBuilder(URI.create("http://" + storeProgram.address() + "/admin/faults"))
                             .POST(HttpRequest.BodyPublishers.ofString(json))
                             .build(),
                     HttpResponse.BodyHandlers.discarding());
@@ -61,17 +61,17 @@
         }
     }
 
-    /** Adds faults immediately before the next write of the configuration is sent. */
-    void faultsAtConfigurationWrite(List<String> jsons) {
+    /** Injects faults immediately before the next write of the configuration is sent. */
+    void injectFaultsAtConfigurationWrite(List<String> jsons) {
         faultsAtWrite = jsons;
     }
 
     @Override
     public CompletableFuture<Revision> put(String name, byte[] value, Revision expected) {
         if (name.equals(ObjectNames.CONFIGURATION)) {
-            List<String> due = faultsAtWrite;
+            List<String> faults = faultsAtWrite;
             faultsAtWrite = List.of();
-            due.forEach(this::fault);
+            faults.forEach(this::injectFault);
         }
         return client.put(name, value, expected);
     }
@@ -99,6 +99,6 @@
     @Override
     public void close() {
         client.close();
-        program.close();
+        storeProgram.close();
     }
 }
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against notes that are accepted in part, or refused without naming each fault. */
+/** Guards against notes that are applied partially, or rejected without a report of every error. */
 class NoteErrorsTest {
     private static final ServiceName DESK = new ServiceName("counter-desk");
     private static final Configuration BASE = new Configuration(
@@ -26,15 +26,15 @@
     private static final Environment ENVIRONMENT =
             new Environment(Set.of(DESK), Set.of("availability", "low-churn"), Set.of("two-choices"));
 
-    private final List<NoteError> faults = new ArrayList<>();
+    private final List<NoteError> errors = new ArrayList<>();
 
     private Optional<Configuration> apply(String json) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(json);
-        faults.addAll(parser.errors());
+        errors.addAll(parser.errors());
         NoteApplier application = new NoteApplier(BASE, ENVIRONMENT);
         Optional<Configuration> result = note.flatMap(application::apply);
-        faults.addAll(application.errors());
+        errors.addAll(application.errors());
         return result;
     }
 
@@ -75,26 +75,26 @@
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1","drain":1}]}} | change.backends[0].drain | WRONG_TYPE
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1"}]},"withdraw":{"backends":["desk-1"]}} | withdraw.backends[0] | CONFLICTING_ENTRIES
             """)
-    void refusesAndNamesTheFault(String json, String path, NoteError.Kind kind) {
+    void rejectsNoteAndReportsError(String json, String path, NoteError.Kind kind) {
         Optional<Configuration> result = apply(json);
 
         assertThat(result).isEmpty();
-        assertThat(faults).anySatisfy(fault -> {
-            assertThat(fault.path()).isEqualTo(path == null ? "" : path);
-            assertThat(fault.kind()).isEqualTo(kind);
+        assertThat(errors).anySatisfy(error -> {
+            assertThat(error.path()).isEqualTo(path == null ? "" : path);
+            assertThat(error.kind()).isEqualTo(kind);
         });
     }
 
     @Test
-    void reportsAllFaultsTogether() {
+    void reportsAllErrorsTogether() {
         apply("{\"id\":\"n\",\"basedOn\":1,\"change\":{\"services\":[{\"name\":\"counter-desk\","
                 + "\"maxBodyBytes\":-1,\"maxQueueLength\":-1}],\"backends\":[{\"backendName\":\"x\"}]}}");
 
-        assertThat(faults).hasSize(3);
+        assertThat(errors).hasSize(3);
     }
 
     @Test
-    void appliesAValidNoteAsAWhole() {
+    void appliesValidNoteCompletely() {
         Configuration result = apply("{\"id\":\"n\",\"basedOn\":1,"
                         + "\"add\":{\"services\":[{\"name\":\"cashbook\",\"keyed\":false}]},"
                         + "\"change\":{\"services\":[{\"name\":\"counter-desk\",\"placementPolicy\":\"low-churn\"}],"
@@ -113,7 +113,7 @@
     @CsvSource(
             nullValues = "-",
             value = {"-,DOMAIN_FIRST", "any,ANY", "region-first,REGION_FIRST", "domain-first,DOMAIN_FIRST"})
-    void localityIsTakenFromTheNoteAndKeptInTheStoredForm(String text, Locality expected) {
+    void localityOfNoteIsStored(String text, Locality expected) {
         String field = text == null ? "" : ",\"locality\":\"" + text + "\"";
         Configuration result = apply("{\"id\":\"n\",\"basedOn\":1,\"add\":{\"services\":[{\"name\":\"cashbook\","
                         + "\"keyed\":false" + field + "}]}}")
@@ -125,7 +125,7 @@
                 .hasValueSatisfying(s -> assertThat(s.locality()).isEqualTo(expected));
     }
 
-    /** Guards against daemons that cannot read a configuration written before the field existed. */
+    /** Guards against daemons that cannot read a configuration that was written before the field existed. */
     @Test
     void configurationWithoutLocalityIsRead() {
         String before = new String(JsonCodec.encode(BASE), StandardCharsets.UTF_8);
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against notes that are applied twice, lost, or reported with another result than they had. */
+/** Guards against notes that are applied twice, are lost, or get a wrong result. */
 class NoteSubmitterTest {
     private static final Environment ENVIRONMENT = new Environment(Set.of(), Set.of(), Set.of());
     private static final long TIMEOUT_MS = 1_300;
-    private static final long SETTLE_MS = 1_800;
+    private static final long DELAYED_WRITES_MS = 1_800;
 
     private final FaultyStore store = new FaultyStore();
 
@@ -77,18 +77,18 @@
             write   | {"kind":"delayed-write","delayMs":1600}                             | WRITE_UNANSWERED
             write   | {"kind":"delayed-write","delayMs":300,"count":1};{"kind":"slow","delayMs":1500} | WRITE_UNANSWERED
             """)
-    void reportsWhatIsCertainAndAppliesOnce(String at, String faults, ResultCode expected) throws Exception {
+    void reportsDefiniteResultAndAppliesOnce(String at, String faults, ResultCode expected) throws Exception {
         String text = note("n", Revision.NONE, "desk-1");
         if ("start".equals(at)) {
-            store.fault(faults);
+            store.injectFault(faults);
         } else {
-            store.faultsAtConfigurationWrite(List.of(faults.split(";")));
+            store.injectFaultsAtConfigurationWrite(List.of(faults.split(";")));
         }
 
         assertThat(submit(text).code()).isEqualTo(expected);
-        store.fault("{\"kind\":\"up\"}");
+        store.injectFault("{\"kind\":\"up\"}");
         if (faults.contains("delayMs")) {
-            Thread.sleep(SETTLE_MS);
+            Thread.sleep(DELAYED_WRITES_MS);
         }
         if (expected != ResultCode.WRITE_UNANSWERED) {
             assertThat(acceptedIds()).isEqualTo(expected == ResultCode.OK ? List.of("n") : List.of());
@@ -101,11 +101,12 @@
     }
 
     @Test
-    void findsTheRevisionOfAnUnansweredNoteBelowALaterOne() {
+    void findsRevisionOfUnansweredNoteBeforeLaterNote() {
         String first = note("n-1", Revision.NONE, "desk-1");
-        store.faultsAtConfigurationWrite(List.of("{\"kind\":\"unanswered\"}", "{\"kind\":\"slow\",\"delayMs\":1500}"));
+        store.injectFaultsAtConfigurationWrite(
+                List.of("{\"kind\":\"unanswered\"}", "{\"kind\":\"slow\",\"delayMs\":1500}"));
         ResultCode unanswered = submit(first).code();
-        store.fault("{\"kind\":\"up\"}");
+        store.injectFault("{\"kind\":\"up\"}");
         Revision accepted = awaitRevision();
         ResultCode second = submit(note("n-2", accepted, "desk-2")).code();
 
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void conflictingNoteHasNoEffectHoweverOftenItIsSubmitted() {
+    void repeatedConflictingNoteHasNoEffect() {
         Revision current = submit(note("n-1", Revision.NONE, "desk-1")).revision();
         String late = note("n-2", Revision.NONE, "desk-2");
 
@@ -137,7 +138,7 @@
     }
 
     @Test
-    void invalidNoteLeavesItsIdFree() {
+    void invalidNoteDoesNotClaimId() {
         String invalid = "{\"id\":\"n\",\"basedOn\":0,\"withdraw\":{\"backends\":[\"desk-1\"]}}";
 
         assertThat(submit(invalid).code()).isEqualTo(ResultCode.NOTE_INVALID);
@@ -146,7 +147,7 @@
     }
 
     @Test
-    void idOfAnAcceptedNoteIsRefusedForAnotherText() {
+    void idOfAcceptedNoteIsRejectedForOtherText() {
         Revision current = submit(note("n", Revision.NONE, "desk-1")).revision();
 
         assertThat(submit(note("n", Revision.NONE, "desk-2")).code()).isEqualTo(ResultCode.NOTE_ID_REUSED);
@@ -155,12 +156,12 @@
     }
 
     @Test
-    void idOfAGivenUpNoteIsFreeOnceItCannotBeAccepted() {
-        store.faultsAtConfigurationWrite(List.of("{\"kind\":\"down\"}"));
-        ResultCode givenUp = submit(note("n", Revision.NONE, "desk-1")).code();
-        store.fault("{\"kind\":\"up\"}");
+    void idOfAbandonedNoteIsReusableOnceNoteCannotBeAccepted() {
+        store.injectFaultsAtConfigurationWrite(List.of("{\"kind\":\"down\"}"));
+        ResultCode abandoned = submit(note("n", Revision.NONE, "desk-1")).code();
+        store.injectFault("{\"kind\":\"up\"}");
 
-        assertThat(givenUp).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        assertThat(abandoned).isEqualTo(ResultCode.STORE_UNAVAILABLE);
         assertThat(submit(note("n", Revision.NONE, "desk-2")).code()).isEqualTo(ResultCode.NOTE_ID_REUSED);
         Revision current = submit(note("other", Revision.NONE, "desk-3")).revision();
         assertThat(submit(note("n", current, "desk-2")).code()).isEqualTo(ResultCode.OK);
@@ -169,23 +170,24 @@
 
     @ParameterizedTest
     @CsvSource({"up,0", "unanswered,0", "delayed-write,150"})
-    void racingSubmissionsOfOneTextGetOneRevision(String kind, int delayMs) {
+    void concurrentSubmissionsOfOneTextGetOneRevision(String kind, int delayMs) {
         String text = note("n", Revision.NONE, "desk-1");
-        store.fault("{\"kind\":\"" + kind + "\",\"delayMs\":" + delayMs + ",\"count\":3}");
+        store.injectFault("{\"kind\":\"" + kind + "\",\"delayMs\":" + delayMs + ",\"count\":3}");
 
-        List<CompletableFuture<SubmitResult>> race = IntStream.range(0, 4)
+        List<CompletableFuture<SubmitResult>> submissions = IntStream.range(0, 4)
                 .mapToObj(i -> CompletableFuture.supplyAsync(() -> submit(text)))
                 .toList();
-        List<SubmitResult> results = race.stream().map(CompletableFuture::join).toList();
+        List<SubmitResult> results =
+                submissions.stream().map(CompletableFuture::join).toList();
 
         assertThat(results).containsOnly(SubmitResult.accepted(history().revision()));
         assertThat(acceptedIds()).containsExactly("n");
     }
 
-    /** A full list of later notes hides an acceptance; the record decides, or the result stays open. */
+    /** A full list of later notes no longer contains the note; its record decides, or the result stays unknown. */
     @ParameterizedTest
     @CsvSource({"ACCEPTED,OK", "SUBMITTED,WRITE_UNANSWERED", "REFUSED,NOTE_CONFLICT"})
-    void usesTheRecordOnceLaterNotesHideTheResult(NoteRecord.State fate, ResultCode expected) {
+    void usesRecordIfLaterNotesDisplacedAcceptance(NoteRecord.State fate, ResultCode expected) {
         String text = note("n", Revision.NONE, "desk-1");
         NoteId id = new NoteId("n");
         NoteRecord record = new NoteRecord(id, fate, Revision.NONE, new Revision(7), text);
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against a schema and a page of release notes that differ from what is accepted. */
+/** Guards against a schema or a documentation page of release notes that differs from the implementation. */
 class DocumentedNotesTest {
     private static final Path DOCS = Path.of("../docs");
     private static final Pattern EXAMPLE = Pattern.compile("```json\n(.*?)```", Pattern.DOTALL);
 
     @ParameterizedTest
     @CsvSource({"SERVICE,service", "BACKEND,backend"})
-    void schemaAndPageHaveTheFieldsAndLimitsOfEntries(Subject subject, String definition) throws IOException {
+    void schemaAndPageListFieldsAndLimitsOfEntries(Subject subject, String definition) throws IOException {
         JsonNode properties = schema().path("$defs").path(definition).path("properties");
         String page = Files.readString(DOCS.resolve("RELEASE_NOTES.md"));
         assertThat(names(properties))
@@ -68,19 +68,19 @@
     }
 
     @Test
-    void schemaHasTheFieldsOfANote() throws IOException {
+    void schemaListsFieldsOfNote() throws IOException {
         List<String> fields = names(schema().path("properties"));
         NoteParser parser = new NoteParser();
         parser.parse("{\"absent\":1}");
 
         assertThat(parser.errors())
-                .filteredOn(fault -> fault.kind() == NoteError.Kind.UNKNOWN_FIELD)
+                .filteredOn(error -> error.kind() == NoteError.Kind.UNKNOWN_FIELD)
                 .extracting(NoteError::message)
                 .containsExactly("known fields: " + fields.stream().sorted().toList());
     }
 
     @Test
-    void pageListsTheKindsOfFaults() throws IOException {
+    void pageListsKindsOfErrors() throws IOException {
         String page = Files.readString(DOCS.resolve("RELEASE_NOTES.md"));
 
         assertThat(NoteError.Kind.values())
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void examplesAreAcceptedOneAfterTheOther() throws IOException {
+    void examplesAreAcceptedInOrder() throws IOException {
         Set<String> placement = Set.of("availability");
         Set<String> balancing = Set.of("two-choices");
         Matcher examples = EXAMPLE.matcher(Files.readString(DOCS.resolve("RELEASE_NOTES.md")));
