--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.logging.Level;
+import org.coriandercrank.ctl.internal.ClusterReader;
 import org.coriandercrank.ctl.internal.CtlCommand;
 import org.coriandercrank.ctl.internal.CtlResult;
 import org.coriandercrank.ctl.internal.CtlSettings;
-import org.coriandercrank.ctl.internal.ClusterReader;
 import org.coriandercrank.ctl.internal.NoteCommands;
 import org.coriandercrank.ctl.internal.StatusCommands;
 import org.coriandercrank.kernel.code.CrankException;
@@ -64,56 +64,56 @@
 
     /** Runs one command and returns the exit code. */
     public static int run(List<String> arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
-        List<String> words = new ArrayList<>();
+        List<String> commandWords = new ArrayList<>();
         List<String> flags = new ArrayList<>(arguments);
         while (!flags.isEmpty() && !flags.get(0).startsWith("--")) {
-            words.add(flags.remove(0));
+            commandWords.add(flags.remove(0));
         }
         CtlSettings settings = new CtlSettings();
         OptionalInt exitCode = new CommandLine("crankctl", SYNOPSIS, out, err).load(settings, flags, environment);
         if (exitCode.isPresent()) {
             return exitCode.getAsInt();
         }
-        String command = String.join(" ", words);
+        String command = String.join(" ", commandWords);
         if (!COMMANDS.containsKey(command)) {
-            return unknown(command, err);
+            return reportUnknownCommand(command, err);
         }
         return run(command, settings, out, err);
     }
 
     private static int run(String name, CtlSettings settings, PrintStream out, PrintStream err) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         PluginRegistry plugins = PluginRegistry.load();
         try (ObjectStore store = plugins.get(Kind.STORE, settings.storeAdapterName())
                 .open(settings.storeHostAddress(), settings.storeTimeoutMs())) {
-            ClusterReader fleet = new ClusterReader(store, group, plugins);
+            ClusterReader fleet = new ClusterReader(store, eventLoopGroup, plugins);
             Commands commands = new Commands(
                     new NoteCommands(settings, fleet, () -> readNote(settings.noteFile()), err::println),
                     new StatusCommands(settings, fleet));
-            return print(COMMANDS.get(name).apply(commands).execute(), settings, out);
+            return printResult(COMMANDS.get(name).apply(commands).execute(), settings, out);
         } catch (CrankException e) {
-            return print(fail(e, err), settings, out);
+            return printResult(reportFailure(e, err), settings, out);
         } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private static int unknown(String command, PrintStream err) {
+    private static int reportUnknownCommand(String command, PrintStream err) {
         err.println("\"" + command + "\" is not a command"
                 + SpellingSuggestion.find(command, COMMANDS.keySet())
-                        .map(nearest -> "; did you mean \"" + nearest + "\"?")
+                        .map(suggestion -> "; did you mean \"" + suggestion + "\"?")
                         .orElse(""));
         err.println("commands: " + String.join(", ", COMMANDS.keySet()));
         return CommandLine.EXIT_USAGE;
     }
 
     /** Prints a failure for people; the result has it for programs. */
-    private static CtlResult fail(CrankException failure, PrintStream err) {
+    private static CtlResult reportFailure(CrankException failure, PrintStream err) {
         err.println(failure.code() + " (" + failure.code().number() + "): " + failure.getMessage());
         return new CtlResult(failure.code(), Map.of("message", String.valueOf(failure.getMessage())), List.of());
     }
 
-    private static int print(CtlResult result, CtlSettings settings, PrintStream out) {
+    private static int printResult(CtlResult result, CtlSettings settings, PrintStream out) {
         if (settings.printJson()) {
             out.println(new String(
                     JsonCodec.encode(
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.id.Revision;
@@ -39,12 +39,12 @@
     public record MemberStatus(Member member, Optional<DaemonStatus> status) {}
 
     private final ObjectStore store;
-    private final EventLoopGroup group;
+    private final EventLoopGroup eventLoopGroup;
     private final PluginRegistry plugins;
 
-    public ClusterReader(ObjectStore store, EventLoopGroup group, PluginRegistry plugins) {
+    public ClusterReader(ObjectStore store, EventLoopGroup eventLoopGroup, PluginRegistry plugins) {
         this.store = store;
-        this.group = group;
+        this.eventLoopGroup = eventLoopGroup;
         this.plugins = plugins;
     }
 
@@ -52,7 +52,7 @@
         return store;
     }
 
-    CurrentConfiguration configuration() {
+    CurrentConfiguration currentConfiguration() {
         return await(store.get(ObjectNames.CONFIGURATION))
                 .map(object -> new CurrentConfiguration(
                         object.revision(), JsonCodec.decode(object.value(), Configuration.class)))
@@ -81,43 +81,43 @@
 
     /** Members that are not sealed, with the status of their daemons, asked in parallel. */
     List<MemberStatus> memberStatuses() {
-        List<CompletableFuture<MemberStatus>> asked = new ArrayList<>();
+        List<CompletableFuture<MemberStatus>> pending = new ArrayList<>();
         for (Member member : members()) {
             if (member.state() != MemberState.SEALED) {
-                asked.add(status(member).thenApply(status -> new MemberStatus(member, status)));
+                pending.add(requestStatus(member).thenApply(status -> new MemberStatus(member, status)));
             }
         }
-        return asked.stream().map(CompletableFuture::join).toList();
+        return pending.stream().map(CompletableFuture::join).toList();
     }
 
     /** What notes are checked against. */
     NoteApplier.Environment noteEnvironment() {
-        Configuration configuration = configuration().configuration();
+        Configuration configuration = currentConfiguration().configuration();
         Set<ServiceName> servicesInUse = members().stream()
                 .filter(member -> member.state() == MemberState.ACTIVE)
                 .flatMap(member -> member.backend().stream())
                 .filter(backend -> !configuration.isDraining(backend.name()))
                 .map(backend -> backend.service())
                 .collect(Collectors.toSet());
-        return new NoteApplier.Environment(
-                servicesInUse, plugins.names(Kind.PLACEMENT), plugins.names(Kind.BALANCING));
+        return new NoteApplier.Environment(servicesInUse, plugins.names(Kind.PLACEMENT), plugins.names(Kind.BALANCING));
     }
 
-    private CompletableFuture<Optional<DaemonStatus>> status(Member member) {
+    private CompletableFuture<Optional<DaemonStatus>> requestStatus(Member member) {
         HttpClient client =
-                new HttpClient(group, member.adminAddress(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
-        return client.send(HttpRequest.of("GET", "/v1/status"), STATUS_TIMEOUT_MS).handle((reply, failure) -> {
-            client.close();
-            if (failure != null || reply.status() != STATUS_OK) {
-                return Optional.<DaemonStatus>empty();
-            }
-            try {
-                return Optional.of(JsonCodec.decode(reply.body(), DaemonStatus.class))
-                        .filter(status -> status.member().equals(member.id()));
-            } catch (CrankException e) {
-                return Optional.<DaemonStatus>empty();
-            }
-        });
+                new HttpClient(eventLoopGroup, member.adminAddress(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
+        return client.send(HttpRequest.of("GET", "/v1/status"), STATUS_TIMEOUT_MS)
+                .handle((response, failure) -> {
+                    client.close();
+                    if (failure != null || response.status() != STATUS_OK) {
+                        return Optional.<DaemonStatus>empty();
+                    }
+                    try {
+                        return Optional.of(JsonCodec.decode(response.body(), DaemonStatus.class))
+                                .filter(status -> status.member().equals(member.id()));
+                    } catch (CrankException e) {
+                        return Optional.<DaemonStatus>empty();
+                    }
+                });
     }
 
     private static <T> T await(CompletableFuture<T> future) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlResult.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlResult.java
@@ -10,12 +10,12 @@
  * @param lines what is printed otherwise
  */
 public record CtlResult(ResultCode code, Object value, List<String> lines) {
-    private static final int EXIT_OTHER = 1;
-    private static final int EXIT_SETTINGS = 2;
-    private static final int EXIT_NOTE_REFUSED = 3;
+    private static final int EXIT_OTHER_FAILURE = 1;
+    private static final int EXIT_SETTING_INVALID = 2;
+    private static final int EXIT_NOTE_REJECTED = 3;
     private static final int EXIT_NOTE_CONFLICT = 4;
     private static final int EXIT_NOT_IN_FORCE = 5;
-    private static final int EXIT_STORE = 6;
+    private static final int EXIT_STORE_UNAVAILABLE = 6;
 
     public CtlResult {
         lines = List.copyOf(lines);
@@ -29,12 +29,12 @@
     public int exitCode() {
         return switch (code) {
             case OK -> 0;
-            case SETTING_INVALID -> EXIT_SETTINGS;
-            case NOTE_UNREADABLE, NOTE_INVALID, NOTE_ID_REUSED -> EXIT_NOTE_REFUSED;
+            case SETTING_INVALID -> EXIT_SETTING_INVALID;
+            case NOTE_UNREADABLE, NOTE_INVALID, NOTE_ID_REUSED -> EXIT_NOTE_REJECTED;
             case NOTE_CONFLICT -> EXIT_NOTE_CONFLICT;
             case NOTE_NOT_IN_FORCE -> EXIT_NOT_IN_FORCE;
-            case STORE_UNAVAILABLE, WRITE_UNANSWERED -> EXIT_STORE;
-            default -> EXIT_OTHER;
+            case STORE_UNAVAILABLE, WRITE_UNANSWERED -> EXIT_STORE_UNAVAILABLE;
+            default -> EXIT_OTHER_FAILURE;
         };
     }
 }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
@@ -4,14 +4,14 @@
 import org.coriandercrank.kernel.id.Key;
 import org.coriandercrank.kernel.id.NoteId;
 import org.coriandercrank.kernel.id.ServiceName;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.ExplicitBooleanOptionHandler;
 
 /** Settings of {@code crankctl}. Not thread safe; read-only after loading. */
 public final class CtlSettings implements Settings {
-    private static final long MAX_WAIT_MS = 600_000;
+    private static final long MAX_TIMEOUT_MS = 600_000;
 
     @Option(name = "--store", metaVar = "IP:PORT", usage = "address of the object store")
     private String store = "127.0.0.1:7100";
@@ -26,19 +26,19 @@
     private String file = "-";
 
     @Option(name = "--wait-ms", metaVar = "MS", usage = "time to wait for a note to be in force; 0: do not wait")
-    private long waitMs = 10_000;
+    private long waitInForceMs = 10_000;
 
     @Option(
             name = "--timeout-ms",
             metaVar = "MS",
             usage = "time after which a note without a certain answer is given up")
-    private long timeoutMs = 15_000;
+    private long submitTimeoutMs = 15_000;
 
     @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "time-out of a call of the store")
     private long storeTimeoutMs = 2_000;
 
     @Option(name = "--note", metaVar = "ID", usage = "id of a release note")
-    private String note = "";
+    private String noteId = "";
 
     @Option(name = "--service", metaVar = "NAME", usage = "name of a service")
     private String service = "";
@@ -49,19 +49,19 @@
     private HostAddress storeAddress;
 
     @Override
-    public void validate(ValidationErrors faults) {
-        storeAddress = faults.parse("--store", store, HostAddress::parse);
-        faults.requireRange("--wait-ms", waitMs, 0, MAX_WAIT_MS);
-        faults.requireRange("--timeout-ms", timeoutMs, 1, MAX_WAIT_MS);
-        faults.requireRange("--store-timeout-ms", storeTimeoutMs, 10, 60_000);
+    public void validate(ValidationErrors errors) {
+        storeAddress = errors.parse("--store", store, HostAddress::parse);
+        errors.requireRange("--wait-ms", waitInForceMs, 0, MAX_TIMEOUT_MS);
+        errors.requireRange("--timeout-ms", submitTimeoutMs, 1, MAX_TIMEOUT_MS);
+        errors.requireRange("--store-timeout-ms", storeTimeoutMs, 10, 60_000);
         if (!service.isEmpty()) {
-            faults.attempt("--service", () -> new ServiceName(service));
+            errors.attempt("--service", () -> new ServiceName(service));
         }
-        if (!note.isEmpty()) {
-            faults.attempt("--note", () -> new NoteId(note));
+        if (!noteId.isEmpty()) {
+            errors.attempt("--note", () -> new NoteId(noteId));
         }
         if (!key.isEmpty()) {
-            faults.attempt("--key", () -> new Key(key));
+            errors.attempt("--key", () -> new Key(key));
         }
     }
 
@@ -81,20 +81,20 @@
         return file;
     }
 
-    long waitMs() {
-        return waitMs;
+    long waitInForceMs() {
+        return waitInForceMs;
     }
 
     public long storeTimeoutMs() {
         return storeTimeoutMs;
     }
 
-    long timeoutMs() {
-        return timeoutMs;
+    long submitTimeoutMs() {
+        return submitTimeoutMs;
     }
 
-    String note() {
-        return note;
+    String noteId() {
+        return noteId;
     }
 
     String service() {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -22,13 +22,13 @@
 import org.coriandercrank.note.NoteError;
 import org.coriandercrank.note.NoteParser;
 import org.coriandercrank.note.NoteRecord;
-import org.coriandercrank.note.ReleaseNote;
 import org.coriandercrank.note.NoteSubmitter;
+import org.coriandercrank.note.ReleaseNote;
 import org.coriandercrank.note.SubmitResult;
 
 /** Commands {@code note ...}. Not thread safe. */
 public final class NoteCommands {
-    private static final long POLL_PERIOD_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
 
     /** Result of {@link #check} without faults. Immutable. */
     private record ValidNote(boolean valid, Revision revision) {}
@@ -37,9 +37,9 @@
     private record Conflict(Revision revision, List<AcceptedNote> newerNotes) {}
 
     private final CtlSettings settings;
-    private final ClusterReader fleet;
+    private final ClusterReader cluster;
     private final Supplier<String> noteText;
-    private final ProgressListener progress;
+    private final ProgressListener progressListener;
 
     /** Prints a line while a command goes on. */
     @FunctionalInterface
@@ -47,24 +47,25 @@
         void report(String line);
     }
 
-    public NoteCommands(CtlSettings settings, ClusterReader fleet, Supplier<String> noteText, ProgressListener progress) {
+    public NoteCommands(
+            CtlSettings settings, ClusterReader cluster, Supplier<String> noteText, ProgressListener progressListener) {
         this.settings = settings;
-        this.fleet = fleet;
+        this.cluster = cluster;
         this.noteText = noteText;
-        this.progress = progress;
+        this.progressListener = progressListener;
     }
 
     /** Checks a note against the current configuration without submitting it. */
     public CtlResult check() {
-        CurrentConfiguration current = fleet.configuration();
+        CurrentConfiguration current = cluster.currentConfiguration();
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(noteText.get());
         if (note.isEmpty()) {
-            return faults(parser.code(), parser.errors());
+            return invalidNote(parser.code(), parser.errors());
         }
-        NoteApplier application = new NoteApplier(current.configuration(), fleet.noteEnvironment());
-        if (application.apply(note.get()).isEmpty()) {
-            return faults(ResultCode.NOTE_INVALID, application.errors());
+        NoteApplier applier = new NoteApplier(current.configuration(), cluster.noteEnvironment());
+        if (applier.apply(note.get()).isEmpty()) {
+            return invalidNote(ResultCode.NOTE_INVALID, applier.errors());
         }
         if (!note.get().basedOn().equals(current.revision())) {
             return conflict(current.revision(), List.of());
@@ -75,8 +76,8 @@
 
     /** Submits a note and waits until it is in force on all live daemons or the time is over. */
     public CtlResult submit() {
-        SubmitResult result =
-                new NoteSubmitter(fleet.store(), fleet::noteEnvironment, settings.timeoutMs()).submit(noteText.get());
+        SubmitResult result = new NoteSubmitter(cluster.store(), cluster::noteEnvironment, settings.submitTimeoutMs())
+                .submit(noteText.get());
         if (result.code() == ResultCode.NOTE_CONFLICT) {
             return conflict(result.revision(), result.newerNotes());
         }
@@ -86,21 +87,21 @@
                             result.code(),
                             result,
                             List.of(result.code() + ": " + result.code().description()))
-                    : faults(result.code(), result.faults());
+                    : invalidNote(result.code(), result.faults());
         }
-        progress.report("accepted at revision " + result.revision());
-        return settings.waitMs() == 0
+        progressListener.report("accepted at revision " + result.revision());
+        return settings.waitInForceMs() == 0
                 ? CtlResult.ok(result, List.of("accepted at revision " + result.revision()))
-                : waitInForce(result.revision());
+                : waitUntilInForce(result.revision());
     }
 
     /** On how many live daemons a note, or the current configuration, is in force. */
     public CtlResult status() {
-        CurrentConfiguration current = fleet.configuration();
+        CurrentConfiguration current = cluster.currentConfiguration();
         Revision revision = current.revision();
-        if (!settings.note().isEmpty()) {
-            NoteId id = new NoteId(settings.note());
-            Optional<Revision> accepted = acceptedAt(history(current), id, record(id));
+        if (!settings.noteId().isEmpty()) {
+            NoteId id = new NoteId(settings.noteId());
+            Optional<Revision> accepted = acceptanceRevision(acceptanceHistory(current), id, findRecord(id));
             if (accepted.isEmpty()) {
                 return new CtlResult(
                         ResultCode.NOTE_INVALID,
@@ -109,37 +110,38 @@
             }
             revision = accepted.get();
         }
-        RolloutStatus inForce = RolloutStatus.of(revision, fleet.memberStatuses());
-        ResultCode code = inForce.reachesAllDaemons() ? ResultCode.OK : ResultCode.NOTE_NOT_IN_FORCE;
-        return new CtlResult(code, inForce, List.of(inForce.summaryLine()));
+        RolloutStatus rollout = RolloutStatus.of(revision, cluster.memberStatuses());
+        ResultCode code = rollout.reachesAllDaemons() ? ResultCode.OK : ResultCode.NOTE_NOT_IN_FORCE;
+        return new CtlResult(code, rollout, List.of(rollout.summaryLine()));
     }
 
     /** Recorded notes by the revision at which they were accepted; those that were not come first. */
     public CtlResult list() {
-        AcceptanceHistory history = history(fleet.configuration());
-        List<NoteRecord> records = fleet.notes().stream()
-                .map(NoteCommands::decode)
-                .map(note -> acceptedAt(history, note.id(), Optional.of(note))
+        AcceptanceHistory history = acceptanceHistory(cluster.currentConfiguration());
+        List<NoteRecord> records = cluster.notes().stream()
+                .map(NoteCommands::decodeRecord)
+                .map(note -> acceptanceRevision(history, note.id(), Optional.of(note))
                         .map(note::acceptedAt)
                         .orElse(note))
                 .sorted(Comparator.comparing(NoteRecord::accepted))
                 .toList();
         return CtlResult.ok(
-                records, records.stream().map(NoteCommands::listLine).toList());
+                records, records.stream().map(NoteCommands::summaryLine).toList());
     }
 
-    private static String listLine(NoteRecord note) {
+    private static String summaryLine(NoteRecord note) {
         boolean accepted = note.fate() == NoteRecord.State.ACCEPTED;
         return note.id() + " " + note.fate() + (accepted ? " at " + note.accepted() : "") + " based on "
                 + note.basedOn();
     }
 
-    private static AcceptanceHistory history(CurrentConfiguration current) {
+    private static AcceptanceHistory acceptanceHistory(CurrentConfiguration current) {
         return new AcceptanceHistory(current.revision(), current.configuration());
     }
 
     /** The configuration decides; the record only where its list of notes no longer reaches back. */
-    private static Optional<Revision> acceptedAt(AcceptanceHistory history, NoteId id, Optional<NoteRecord> record) {
+    private static Optional<Revision> acceptanceRevision(
+            AcceptanceHistory history, NoteId id, Optional<NoteRecord> record) {
         return history.find(id)
                 .map(Acceptance::revision)
                 .or(() -> record.filter(note -> note.fate() == NoteRecord.State.ACCEPTED)
@@ -147,25 +149,25 @@
     }
 
     public CtlResult show() {
-        if (settings.note().isEmpty()) {
+        if (settings.noteId().isEmpty()) {
             return new CtlResult(ResultCode.SETTING_INVALID, Map.of(), List.of("note show needs --note ID"));
         }
-        return record(new NoteId(settings.note()))
+        return findRecord(new NoteId(settings.noteId()))
                 .map(note -> CtlResult.ok(note, List.of(note.id() + " " + note.fate(), note.text())))
                 .orElseGet(() -> new CtlResult(
-                        ResultCode.NOTE_INVALID, Map.of("found", false), List.of("no note " + settings.note())));
+                        ResultCode.NOTE_INVALID, Map.of("found", false), List.of("no note " + settings.noteId())));
     }
 
     /** What a note would change in the current configuration. */
     public CtlResult diff() {
-        Configuration current = fleet.configuration().configuration();
+        Configuration current = cluster.currentConfiguration().configuration();
         NoteParser parser = new NoteParser();
-        NoteApplier application = new NoteApplier(current, fleet.noteEnvironment());
-        Optional<Configuration> next = parser.parse(noteText.get()).flatMap(application::apply);
+        NoteApplier applier = new NoteApplier(current, cluster.noteEnvironment());
+        Optional<Configuration> next = parser.parse(noteText.get()).flatMap(applier::apply);
         if (next.isEmpty()) {
-            List<NoteError> all = new ArrayList<>(parser.errors());
-            all.addAll(application.errors());
-            return faults(parser.code(), all);
+            List<NoteError> errors = new ArrayList<>(parser.errors());
+            errors.addAll(applier.errors());
+            return invalidNote(parser.code(), errors);
         }
         List<String> lines = new ArrayList<>();
         addDifference(current.services(), next.get().services(), lines);
@@ -174,64 +176,68 @@
     }
 
     private static void addDifference(List<?> before, List<?> after, List<String> lines) {
-        before.stream().filter(entry -> !after.contains(entry)).forEach(entry -> lines.add("- " + text(entry)));
-        after.stream().filter(entry -> !before.contains(entry)).forEach(entry -> lines.add("+ " + text(entry)));
+        before.stream()
+                .filter(element -> !after.contains(element))
+                .forEach(element -> lines.add("- " + toJson(element)));
+        after.stream()
+                .filter(element -> !before.contains(element))
+                .forEach(element -> lines.add("+ " + toJson(element)));
     }
 
     /** The note is accepted whatever happens here, so a fault of the store only ends in "not in force". */
-    private CtlResult waitInForce(Revision revision) {
-        long deadlineNanos = System.nanoTime() + settings.waitMs() * 1_000_000;
-        RolloutStatus last = new RolloutStatus(revision, 0, 0, List.of(), List.of());
+    private CtlResult waitUntilInForce(Revision revision) {
+        long deadlineNanos = System.nanoTime() + settings.waitInForceMs() * 1_000_000;
+        RolloutStatus rollout = new RolloutStatus(revision, 0, 0, List.of(), List.of());
         String lastLine = "";
         while (true) {
             String line;
             try {
-                last = RolloutStatus.of(revision, fleet.memberStatuses());
-                line = last.summaryLine();
-                if (last.reachesAllDaemons()) {
-                    return CtlResult.ok(last, List.of(line));
+                rollout = RolloutStatus.of(revision, cluster.memberStatuses());
+                line = rollout.summaryLine();
+                if (rollout.reachesAllDaemons()) {
+                    return CtlResult.ok(rollout, List.of(line));
                 }
             } catch (CrankException e) {
                 line = "accepted at revision " + revision + "; members not known: " + e.code();
             }
             if (System.nanoTime() - deadlineNanos > 0) {
-                return new CtlResult(ResultCode.NOTE_NOT_IN_FORCE, last, List.of(line));
+                return new CtlResult(ResultCode.NOTE_NOT_IN_FORCE, rollout, List.of(line));
             }
             if (!line.equals(lastLine)) {
                 lastLine = line;
-                progress.report(line);
+                progressListener.report(line);
             }
-            sleep();
+            sleepBetweenPolls();
         }
     }
 
-    private static void sleep() {
+    private static void sleepBetweenPolls() {
         try {
-            Thread.sleep(POLL_PERIOD_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
         }
     }
 
-    private Optional<NoteRecord> record(NoteId id) {
-        return fleet.notes().stream()
-                .map(NoteCommands::decode)
+    private Optional<NoteRecord> findRecord(NoteId id) {
+        return cluster.notes().stream()
+                .map(NoteCommands::decodeRecord)
                 .filter(note -> note.id().equals(id))
                 .findFirst();
     }
 
-    private static NoteRecord decode(StoredObject object) {
+    private static NoteRecord decodeRecord(StoredObject object) {
         return JsonCodec.decode(object.value(), NoteRecord.class);
     }
 
-    private static String text(Object value) {
+    private static String toJson(Object value) {
         return new String(JsonCodec.encode(value), StandardCharsets.UTF_8);
     }
 
-    private static CtlResult faults(ResultCode code, List<NoteError> faults) {
+    private static CtlResult invalidNote(ResultCode code, List<NoteError> errors) {
         return new CtlResult(
-                code, faults, faults.stream().map(NoteError::toString).toList());
+                code, errors, errors.stream().map(NoteError::toString).toList());
     }
 
     private static CtlResult conflict(Revision current, List<AcceptedNote> newerNotes) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/RolloutStatus.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/RolloutStatus.java
@@ -12,24 +12,25 @@
  * @param missing live members that follow an older revision
  * @param unreachable members that are not sealed and did not answer
  */
-public record RolloutStatus(Revision revision, int inForce, int live, List<MemberId> missing, List<MemberId> unreachable) {
+public record RolloutStatus(
+        Revision revision, int inForce, int live, List<MemberId> missing, List<MemberId> unreachable) {
     public RolloutStatus {
         missing = List.copyOf(missing);
         unreachable = List.copyOf(unreachable);
     }
 
-    static RolloutStatus of(Revision revision, List<MemberStatus> members) {
+    static RolloutStatus of(Revision revision, List<MemberStatus> memberStatuses) {
         List<MemberId> missing = new ArrayList<>();
         List<MemberId> unreachable = new ArrayList<>();
-        for (MemberStatus live : members) {
-            if (live.status().isEmpty()) {
-                unreachable.add(live.member().id());
-            } else if (revision.isNewerThan(live.status().get().configurationRevision())) {
-                missing.add(live.member().id());
+        for (MemberStatus memberStatus : memberStatuses) {
+            if (memberStatus.status().isEmpty()) {
+                unreachable.add(memberStatus.member().id());
+            } else if (revision.isNewerThan(memberStatus.status().get().configurationRevision())) {
+                missing.add(memberStatus.member().id());
             }
         }
-        int inForce = members.size() - missing.size() - unreachable.size();
-        return new RolloutStatus(revision, inForce, members.size(), missing, unreachable);
+        int inForce = memberStatuses.size() - missing.size() - unreachable.size();
+        return new RolloutStatus(revision, inForce, memberStatuses.size(), missing, unreachable);
     }
 
     boolean reachesAllDaemons() {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
@@ -21,50 +21,52 @@
 /** Commands that show the state of the system. Not thread safe. */
 public final class StatusCommands {
     private final CtlSettings settings;
-    private final ClusterReader fleet;
+    private final ClusterReader cluster;
 
-    public StatusCommands(CtlSettings settings, ClusterReader fleet) {
+    public StatusCommands(CtlSettings settings, ClusterReader cluster) {
         this.settings = settings;
-        this.fleet = fleet;
+        this.cluster = cluster;
     }
 
     /** Answer of {@link #status}. Immutable. */
     private record Report(RolloutStatus configuration, List<MemberStatus> members) {}
 
     public CtlResult status() {
-        CurrentConfiguration current = fleet.configuration();
-        List<MemberStatus> live = fleet.memberStatuses();
-        RolloutStatus inForce = RolloutStatus.of(current.revision(), live);
+        CurrentConfiguration current = cluster.currentConfiguration();
+        List<MemberStatus> memberStatuses = cluster.memberStatuses();
+        RolloutStatus rollout = RolloutStatus.of(current.revision(), memberStatuses);
         List<String> lines = new ArrayList<>();
-        lines.add(inForce.summaryLine());
+        lines.add(rollout.summaryLine());
         current.configuration()
                 .services()
                 .forEach(service -> lines.add("service " + service.name() + " keyed=" + service.keyed() + " placement="
                         + service.placementPolicy()));
-        live.forEach(member -> lines.add(memberLine(member)));
-        return CtlResult.ok(new Report(inForce, live), lines);
+        memberStatuses.forEach(member -> lines.add(memberLine(member)));
+        return CtlResult.ok(new Report(rollout, memberStatuses), lines);
     }
 
     public CtlResult members() {
-        List<Member> members = fleet.members();
+        List<Member> members = cluster.members();
         List<String> lines = members.stream()
-                .map(m -> m.id() + " " + m.state() + " " + m.region() + "/" + m.failureDomain() + " callers="
-                        + m.callerAddress() + " backend="
-                        + m.backend().map(b -> b.name()).orElse("-") + " witnesses=" + m.witnesses())
+                .map(member -> member.id() + " " + member.state() + " " + member.region() + "/" + member.failureDomain()
+                        + " callers="
+                        + member.callerAddress() + " backend="
+                        + member.backend().map(b -> b.name()).orElse("-") + " witnesses=" + member.witnesses())
                 .toList();
         return CtlResult.ok(members, lines);
     }
 
     public CtlResult owners() {
         List<String> lines = new ArrayList<>();
-        List<AssignmentTable> tables = fleet.tables().stream()
-                .filter(t -> settings.service().isEmpty() || t.service().value().equals(settings.service()))
+        List<AssignmentTable> tables = cluster.tables().stream()
+                .filter(table ->
+                        settings.service().isEmpty() || table.service().value().equals(settings.service()))
                 .toList();
         for (AssignmentTable table : tables) {
             lines.add("service " + table.service() + " generation " + table.generation());
-            for (RangeAssignment a : table.assignments()) {
-                lines.add("  " + a.range() + " owner=" + a.owner() + " fence=" + a.fence()
-                        + (a.previousOwners().isEmpty() ? "" : " previous=" + a.previousOwners()));
+            for (RangeAssignment assignment : table.assignments()) {
+                lines.add("  " + assignment.range() + " owner=" + assignment.owner() + " fence=" + assignment.fence()
+                        + (assignment.previousOwners().isEmpty() ? "" : " previous=" + assignment.previousOwners()));
             }
         }
         return CtlResult.ok(tables, lines);
@@ -78,10 +80,11 @@
         }
         ServiceName service = new ServiceName(settings.service());
         Key key = new Key(settings.key());
-        Optional<RangeAssignment> assignment = fleet.table(service).flatMap(table -> table.find(key.hash()));
+        Optional<RangeAssignment> assignment = cluster.table(service).flatMap(table -> table.find(key.hash()));
         if (assignment.isEmpty()) {
-            Explanation none = new Explanation(service, key.value(), null, null, null, List.of(), false, "no owner");
-            return CtlResult.ok(none, List.of("key " + key + " of " + service + " has no owner"));
+            Explanation explanation =
+                    new Explanation(service, key.value(), null, null, null, List.of(), false, "no owner");
+            return CtlResult.ok(explanation, List.of("key " + key + " of " + service + " has no owner"));
         }
         Explanation explanation = explain(service, key, assignment.get());
         return CtlResult.ok(
@@ -108,11 +111,11 @@
             String reason) {}
 
     private Explanation explain(ServiceName service, Key key, RangeAssignment assignment) {
-        Optional<DaemonStatus> status = fleet.memberStatuses().stream()
-                .filter(live -> live.member().id().equals(assignment.owner()))
+        Optional<DaemonStatus> status = cluster.memberStatuses().stream()
+                .filter(memberStatus -> memberStatus.member().id().equals(assignment.owner()))
                 .findFirst()
                 .flatMap(MemberStatus::status);
-        String reason = whyNotServed(status, key, assignment);
+        String reason = reasonNotServed(status, key, assignment);
         return new Explanation(
                 service,
                 key.value(),
@@ -124,7 +127,7 @@
                 reason.isEmpty() ? "the owner serves the range and its lease holds" : reason);
     }
 
-    private static String whyNotServed(Optional<DaemonStatus> status, Key key, RangeAssignment assignment) {
+    private static String reasonNotServed(Optional<DaemonStatus> status, Key key, RangeAssignment assignment) {
         if (status.isEmpty()) {
             return "the daemon of the owner does not answer";
         }
@@ -139,12 +142,15 @@
         return "the owner does not serve the range yet";
     }
 
-    private static String memberLine(MemberStatus live) {
-        String id = live.member().id() + " " + live.member().state();
-        return live.status()
-                .map(s -> id + " lease=" + s.leaseRemainingMs() + "ms configuration=" + s.configurationRevision()
-                        + " ranges=" + s.serving().size() + " queued=" + s.queued() + " inFlight=" + s.inFlight()
-                        + (s.planner() ? " planner" : "") + (s.relay() ? " relay" : ""))
-                .orElse(id + " unreachable");
+    private static String memberLine(MemberStatus memberStatus) {
+        String prefix = memberStatus.member().id() + " " + memberStatus.member().state();
+        return memberStatus
+                .status()
+                .map(daemonStatus -> prefix + " lease=" + daemonStatus.leaseRemainingMs() + "ms configuration="
+                        + daemonStatus.configurationRevision()
+                        + " ranges=" + daemonStatus.serving().size() + " queued=" + daemonStatus.queued() + " inFlight="
+                        + daemonStatus.inFlight()
+                        + (daemonStatus.planner() ? " planner" : "") + (daemonStatus.relay() ? " relay" : ""))
+                .orElse(prefix + " unreachable");
     }
 }
--- a/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementResultTest.java
+++ b/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementResultTest.java
@@ -89,7 +89,7 @@
                 List.of(call("1", 0, 5, true), call("2", 110, 260, true), call("3", 120, 261, true)),
                 List.of(execution("a", "1", 1, 1), execution("b", "2", 250, 2), execution("b", "3", 251, 2)));
 
-        assertThat(gaps.planned(List.of(change(100)))).containsExactly(140.0);
+        assertThat(gaps.plannedMoveGapsMs(List.of(change(100)))).containsExactly(140.0);
     }
 
     @Test
@@ -98,7 +98,7 @@
                 List.of(call("1", 100, 1_100, false), call("2", 2_000, 2_010, true)),
                 List.of(execution("b", "2", 2_005, 2)));
 
-        assertThat(gaps.takeover(List.of(change(1_500)), TimeUnit.MILLISECONDS.toNanos(50)))
+        assertThat(gaps.takeoverGapsMs(List.of(change(1_500)), TimeUnit.MILLISECONDS.toNanos(50)))
                 .containsExactly(1_905.0);
     }
 
@@ -108,7 +108,7 @@
                 List.of(call("1", 500, 510, true)),
                 List.of(execution("b", "other", 200, 2), execution("b", "1", 505, 2)));
 
-        assertThat(gaps.planned(List.of(change(100)))).isEmpty();
+        assertThat(gaps.plannedMoveGapsMs(List.of(change(100)))).isEmpty();
     }
 
     @Test
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Await.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Await.java
@@ -5,19 +5,19 @@
 
 /** Blocking waits of experiments. Stateless. */
 final class Await {
-    private static final long START_LIMIT_MS = 120_000;
-    private static final long POLL_MS = 20;
+    private static final long TIMEOUT_MS = 120_000;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private Await() {}
 
     /** Polls a condition; fails after two minutes. */
     static void until(String what, BooleanSupplier condition) {
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_LIMIT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new IllegalStateException("not within " + START_LIMIT_MS + " ms: " + what);
+                throw new IllegalStateException("not within " + TIMEOUT_MS + " ms: " + what);
             }
-            sleep(POLL_MS);
+            sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
@@ -12,6 +12,6 @@
     static Churn of(List<OwnerChange> changes) {
         return new Churn(
                 changes.size(),
-                changes.stream().mapToDouble(c -> c.range().share()).sum());
+                changes.stream().mapToDouble(change -> change.range().share()).sum());
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 
 /** Settings of {@code crank-experiment}. Not thread safe; read-only after loading. */
@@ -66,35 +66,35 @@
     private final List<Long> parsedSeeds = new ArrayList<>();
 
     @Override
-    public void validate(ValidationErrors faults) {
+    public void validate(ValidationErrors errors) {
         for (String size : sizes.split(",")) {
-            Integer parsed = faults.parse("--sizes", size, Integer::valueOf);
+            Integer parsed = errors.parse("--sizes", size, Integer::valueOf);
             if (parsed != null) {
-                faults.requireRange("--sizes", parsed, 1, MAX_DAEMONS);
+                errors.requireRange("--sizes", parsed, 1, MAX_DAEMONS);
                 parsedSizes.add(parsed);
             }
         }
         for (String seed : seeds.split(",")) {
-            Long parsed = faults.parse("--seeds", seed, Long::valueOf);
+            Long parsed = errors.parse("--seeds", seed, Long::valueOf);
             if (parsed != null) {
                 parsedSeeds.add(parsed);
             }
         }
         if (!EXPERIMENTS.contains(experiment)) {
-            faults.add("--experiment", "must be one of " + EXPERIMENTS);
+            errors.add("--experiment", "must be one of " + EXPERIMENTS);
         }
         if (!(zipfExponent >= 0 && zipfExponent <= 3)) {
-            faults.add("--zipf", "must be between 0 and 3");
+            errors.add("--zipf", "must be between 0 and 3");
         }
-        faults.requireRange("--rate", ratePerSecond, 1, 1_000_000);
-        faults.requireRange("--duration-ms", durationMs, 1_000, 3_600_000);
-        faults.requireRange("--keys", keys, 1, 10_000_000);
-        faults.requireRange("--hot-keys", hotKeys, 0, keys);
-        faults.requireRange("--hot-change-ms", hotChangeMs, 1, 3_600_000);
-        faults.requireRange("--service-ms", serviceMs, 1, 60_000);
-        faults.requireRange("--settle-ms", settleMs, 0, 600_000);
-        faults.requireRange("--sample-ms", sampleMs, 100, 600_000);
-        faults.requireRange("--changes", changes, 0, 1_000);
+        errors.requireRange("--rate", ratePerSecond, 1, 1_000_000);
+        errors.requireRange("--duration-ms", durationMs, 1_000, 3_600_000);
+        errors.requireRange("--keys", keys, 1, 10_000_000);
+        errors.requireRange("--hot-keys", hotKeys, 0, keys);
+        errors.requireRange("--hot-change-ms", hotChangeMs, 1, 3_600_000);
+        errors.requireRange("--service-ms", serviceMs, 1, 60_000);
+        errors.requireRange("--settle-ms", settleMs, 0, 600_000);
+        errors.requireRange("--sample-ms", sampleMs, 100, 600_000);
+        errors.requireRange("--changes", changes, 0, 1_000);
     }
 
     public String experiment() {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -22,9 +22,9 @@
 import org.coriandercrank.note.SubmitResult;
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
+import org.coriandercrank.testkit.ClusterHost;
 import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.LocalCluster;
-import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * Measures a fleet at rest and the spreading of configuration changes. Not thread safe.
@@ -47,33 +47,35 @@
 
     /** Measures one size; blocks. */
     public void run(int size) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         List<CrankBackend> backends = new ArrayList<>();
-        Path directory = ServiceSite.createDirectory();
-        try (LocalCluster site = new LocalCluster(directory, specs(size));
-                FleetSampler probe = new FleetSampler(site, group);
+        Path directory = ServiceCluster.createDirectory();
+        try (LocalCluster cluster = new LocalCluster(directory, hostSpecs(size));
+                FleetSampler sampler = new FleetSampler(cluster, eventLoopGroup);
                 ObjectStore store =
-                        PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), 5_000)) {
-            site.hosts().forEach(host -> host.startDaemon(List.of("--log-level", "WARNING")));
-            site.hosts().forEach(host -> backends.add(backend(host)));
+                        PluginRegistry.load().get(Kind.STORE, "http").open(cluster.storeAddress(), 5_000)) {
+            cluster.hosts().forEach(host -> host.startDaemon(List.of("--log-level", "WARNING")));
+            cluster.hosts().forEach(host -> backends.add(startBackend(host)));
             Await.until(
                     "all daemons have a backend server",
-                    () -> site.hosts().stream().allMatch(h -> hasBackend(probe, h)));
-            submit(
+                    () -> cluster.hosts().stream().allMatch(clusterHost -> hasBackend(sampler, clusterHost)));
+            submitNote(
                     store,
                     "{\"id\":\"first\",\"basedOn\":0,\"add\":{\"services\":[{\"name\":\"" + SERVICE
                             + "\",\"keyed\":true}]}}");
-            Await.until("all hosts serve ranges", () -> site.hosts().stream().allMatch(h -> serves(probe, h)));
+            Await.until(
+                    "all hosts serve ranges",
+                    () -> cluster.hosts().stream().allMatch(clusterHost -> hasServingRanges(sampler, clusterHost)));
             Await.sleep(settings.settleMs());
-            measureRest(size, probe);
-            measureChanges(size, site, probe, store);
+            measureIdle(size, sampler);
+            measureConfigurationChanges(size, cluster, sampler, store);
         } finally {
             backends.forEach(CrankBackend::close);
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private static List<HostSpec> specs(int size) {
+    private static List<HostSpec> hostSpecs(int size) {
         List<HostSpec> specs = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             int domain = i % FAILURE_DOMAINS;
@@ -82,8 +84,8 @@
         return specs;
     }
 
-    private static CrankBackend backend(ClusterHost host) {
-        BackendSettings backend = SettingsLoader.load(
+    private static CrankBackend startBackend(ClusterHost host) {
+        BackendSettings settings = SettingsLoader.load(
                 new BackendSettings(),
                 List.of(
                         "--name=" + host.spec().name(),
@@ -91,14 +93,14 @@
                         "--listen=" + host.backendAddress(),
                         "--daemon=" + host.adminAddress()),
                 Map.of());
-        return CrankBackend.start(backend);
+        return CrankBackend.start(settings);
     }
 
-    private void measureRest(int size, FleetSampler probe) {
-        FleetSample before = probe.sample();
+    private void measureIdle(int size, FleetSampler sampler) {
+        FleetSample before = sampler.sample();
         Await.sleep(settings.sampleMs());
-        FleetSample after = probe.sample();
-        double seconds = (after.atNanos() - before.atNanos()) / NANOS_PER_SECOND;
+        FleetSample after = sampler.sample();
+        double seconds = (after.takenAtNanos() - before.takenAtNanos()) / NANOS_PER_SECOND;
         double perDaemon = seconds * size;
         out.accept(String.format(
                 "size %d: cpu %.2f %% of a core, control %.0f bytes/s and %.1f messages/s, heap %.1f MB, resident %.1f MB"
@@ -114,11 +116,11 @@
                 (after.storeWatches() - before.storeWatches()) / seconds));
     }
 
-    private void measureChanges(int size, LocalCluster site, FleetSampler probe, ObjectStore store) {
+    private void measureConfigurationChanges(int size, LocalCluster cluster, FleetSampler sampler, ObjectStore store) {
         for (int change = 1; change <= settings.changes(); change++) {
-            FleetSample before = probe.sample();
+            FleetSample before = sampler.sample();
             Revision base = store.get("config/current").join().orElseThrow().revision();
-            Revision accepted = submit(
+            Revision accepted = submitNote(
                     store,
                     "{\"id\":\"change-" + change + "\",\"basedOn\":" + base
                             + ",\"change\":{\"services\":[{\"name\":\"" + SERVICE + "\",\"maxQueueLength\":"
@@ -127,20 +129,21 @@
             long acceptedNanos = System.nanoTime();
             Await.until(
                     "the change is in force everywhere",
-                    () -> site.hosts().stream().allMatch(h -> follows(probe, h, accepted)));
-            double everywhereMs = (System.nanoTime() - acceptedNanos) / 1e6;
-            FleetSample after = probe.sample();
+                    () -> cluster.hosts().stream()
+                            .allMatch(clusterHost -> hasConfiguration(sampler, clusterHost, accepted)));
+            double rolloutMs = (System.nanoTime() - acceptedNanos) / 1e6;
+            FleetSample after = sampler.sample();
             out.accept(String.format(
                     "size %d: change in force everywhere after %.0f ms; store reads %d, writes %d, watches %d",
                     size,
-                    everywhereMs,
+                    rolloutMs,
                     after.storeReads() - before.storeReads(),
                     after.storeWrites() - before.storeWrites(),
                     after.storeWatches() - before.storeWatches()));
         }
     }
 
-    private static Revision submit(ObjectStore store, String note) {
+    private static Revision submitNote(ObjectStore store, String note) {
         NoteApplier.Environment environment =
                 new NoteApplier.Environment(Set.<ServiceName>of(), Set.of("availability"), Set.of("two-choices"));
         SubmitResult result = new NoteSubmitter(store, () -> environment, 10_000).submit(note);
@@ -150,17 +153,17 @@
         return result.revision();
     }
 
-    private static boolean hasBackend(FleetSampler probe, ClusterHost host) {
-        return probe.status(host).flatMap(DaemonStatus::backendName).isPresent();
+    private static boolean hasBackend(FleetSampler sampler, ClusterHost host) {
+        return sampler.status(host).flatMap(DaemonStatus::backendName).isPresent();
     }
 
-    private static boolean serves(FleetSampler probe, ClusterHost host) {
-        return probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false);
+    private static boolean hasServingRanges(FleetSampler sampler, ClusterHost host) {
+        return sampler.status(host).map(status -> !status.serving().isEmpty()).orElse(false);
     }
 
-    private static boolean follows(FleetSampler probe, ClusterHost host, Revision revision) {
-        return probe.status(host)
-                .map(s -> s.configurationRevision().compareTo(revision) >= 0)
+    private static boolean hasConfiguration(FleetSampler sampler, ClusterHost host, Revision revision) {
+        return sampler.status(host)
+                .map(status -> status.configurationRevision().compareTo(revision) >= 0)
                 .orElse(false);
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
@@ -9,7 +9,7 @@
  * @param storeWrites calls of put and delete
  */
 record FleetSample(
-        long atNanos,
+        long takenAtNanos,
         double cpuMs,
         double controlBytes,
         double controlMessages,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/JsonReport.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/JsonReport.java
@@ -11,12 +11,12 @@
     private JsonReport() {}
 
     /** Replaces a file; an empty name writes nothing. */
-    static void write(String file, Object figures) {
+    static void write(String file, Object results) {
         if (file.isEmpty()) {
             return;
         }
         try {
-            Files.write(Path.of(file), JsonCodec.encode(figures));
+            Files.write(Path.of(file), JsonCodec.encode(results));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -23,7 +23,7 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** The watch of the store shows a table a little after daemons may have seen it. */
-    private static final long SEEN_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long MAX_OBSERVATION_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     /** Calls of a key in due order, and its executions by the caller's request id, each list by start. */
     private record KeyHistory(KeyHash hash, List<CallRecord> calls, Map<String, List<Execution>> executions) {}
@@ -34,14 +34,14 @@
     public MoveGaps(List<CallRecord> calls, List<Execution> executions) {
         Map<String, List<Execution>> executionsOfKey =
                 executions.stream().collect(Collectors.groupingBy(Execution::key));
-        calls.stream().collect(Collectors.groupingBy(CallRecord::key)).forEach((key, ofKey) -> {
-            List<CallRecord> ordered = new ArrayList<>(ofKey);
-            ordered.sort(Comparator.comparingLong(CallRecord::intendedNanos));
-            List<Execution> executed = new ArrayList<>(executionsOfKey.getOrDefault(key, List.of()));
-            executed.sort(Comparator.comparingLong(Execution::startNanos));
-            Map<String, List<Execution>> byRequest =
-                    executed.stream().collect(Collectors.groupingBy(Execution::callerRequestId));
-            keys.add(new KeyHistory(new Key(key).hash(), ordered, byRequest));
+        calls.stream().collect(Collectors.groupingBy(CallRecord::key)).forEach((key, callsOfKey) -> {
+            List<CallRecord> orderedCalls = new ArrayList<>(callsOfKey);
+            orderedCalls.sort(Comparator.comparingLong(CallRecord::intendedNanos));
+            List<Execution> orderedExecutions = new ArrayList<>(executionsOfKey.getOrDefault(key, List.of()));
+            orderedExecutions.sort(Comparator.comparingLong(Execution::startNanos));
+            Map<String, List<Execution>> executionsByRequestId =
+                    orderedExecutions.stream().collect(Collectors.groupingBy(Execution::callerRequestId));
+            keys.add(new KeyHistory(new Key(key).hash(), orderedCalls, executionsByRequestId));
         });
     }
 
@@ -50,48 +50,50 @@
      * the previous owner did not execute to the start of its execution, or, if it failed, to the first execution of the
      * interval.
      */
-    public List<Double> planned(List<OwnerChange> changes) {
-        List<Double> gaps = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, change.observedNanos() - SEEN_LATE_NANOS, gaps));
-        Collections.sort(gaps);
-        return gaps;
+    public List<Double> plannedMoveGapsMs(List<OwnerChange> changes) {
+        List<Double> gapsMs = new ArrayList<>();
+        changes.forEach(change -> addGaps(change, change.observedNanos() - MAX_OBSERVATION_DELAY_NANOS, gapsMs));
+        Collections.sort(gapsMs);
+        return gapsMs;
     }
 
     /** Gaps of all keys of a lost owner in milliseconds, sorted, as above but for calls due after the loss. */
-    public List<Double> takeover(List<OwnerChange> changes, long lostNanos) {
-        List<Double> gaps = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, lostNanos, gaps));
-        Collections.sort(gaps);
-        return gaps;
+    public List<Double> takeoverGapsMs(List<OwnerChange> changes, long lostNanos) {
+        List<Double> gapsMs = new ArrayList<>();
+        changes.forEach(change -> addGaps(change, lostNanos, gapsMs));
+        Collections.sort(gapsMs);
+        return gapsMs;
     }
 
-    private void addGaps(OwnerChange change, long fromNanos, List<Double> gaps) {
-        List<KeyHistory> moved =
-                keys.stream().filter(k -> change.range().contains(k.hash())).toList();
-        OptionalLong servedNanos = moved.stream()
-                .flatMap(k -> k.executions().values().stream())
+    private void addGaps(OwnerChange change, long earliestDueNanos, List<Double> gapsMs) {
+        List<KeyHistory> movedKeys =
+                keys.stream().filter(key -> change.range().contains(key.hash())).toList();
+        OptionalLong firstServedNanos = movedKeys.stream()
+                .flatMap(key -> key.executions().values().stream())
                 .flatMap(List::stream)
-                .filter(e -> isByNewOwner(change, e))
+                .filter(execution -> isByNewOwner(change, execution))
                 .mapToLong(Execution::startNanos)
                 .min();
-        if (servedNanos.isPresent()) {
-            moved.forEach(key -> addGap(change, key, fromNanos, servedNanos.getAsLong(), gaps));
+        if (firstServedNanos.isPresent()) {
+            movedKeys.forEach(key -> addGap(change, key, earliestDueNanos, firstServedNanos.getAsLong(), gapsMs));
         }
     }
 
     private static void addGap(
-            OwnerChange change, KeyHistory key, long fromNanos, long servedNanos, List<Double> gaps) {
+            OwnerChange change, KeyHistory key, long earliestDueNanos, long firstServedNanos, List<Double> gapsMs) {
         for (CallRecord call : key.calls()) {
-            if (call.intendedNanos() < fromNanos) {
+            if (call.intendedNanos() < earliestDueNanos) {
                 continue;
             }
-            if (call.intendedNanos() > servedNanos) {
+            if (call.intendedNanos() > firstServedNanos) {
                 return;
             }
-            List<Execution> own = key.executions().getOrDefault(call.requestId(), List.of());
-            if (own.stream().allMatch(e -> isByNewOwner(change, e))) {
-                long endNanos = own.isEmpty() ? servedNanos : own.get(0).startNanos();
-                gaps.add((endNanos - call.intendedNanos()) / NANOS_PER_MS);
+            List<Execution> executionsOfCall = key.executions().getOrDefault(call.requestId(), List.of());
+            if (executionsOfCall.stream().allMatch(execution -> isByNewOwner(change, execution))) {
+                long endNanos = executionsOfCall.isEmpty()
+                        ? firstServedNanos
+                        : executionsOfCall.get(0).startNanos();
+                gapsMs.add((endNanos - call.intendedNanos()) / NANOS_PER_MS);
                 return;
             }
         }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
@@ -21,13 +21,13 @@
     private static final int MS_PER_SECOND = 1_000;
     private static final long DEADLINE_MS = 1_000;
     private static final int WRITE_PERCENT = 20;
-    private static final long WARM_UP_MS = 4_000;
-    private static final List<Double> FACTORS = List.of(1.0, 2.0, 4.0);
-    private static final List<Double> HOT_KEY_FACTORS = List.of(0.8, 2.0);
+    private static final long WARMUP_MS = 4_000;
+    private static final List<Double> LOAD_FACTORS = List.of(1.0, 2.0, 4.0);
+    private static final List<Double> HOT_KEY_LOAD_FACTORS = List.of(0.8, 2.0);
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
-    private final List<OverloadResult> figures = new ArrayList<>();
+    private final List<OverloadResult> results = new ArrayList<>();
 
     public OverloadExperiment(ExperimentSettings settings, Consumer<String> out) {
         this.settings = settings;
@@ -37,67 +37,72 @@
     /** Runs all loads with each seed on one site per seed. Blocks. */
     public void run() {
         int capacityPerSecond = (int) (SLOTS * MS_PER_SECOND / settings.serviceMs());
-        out.accept("capacity " + capacityPerSecond + "/s\n" + OverloadResult.HEADING);
+        out.accept("capacity " + capacityPerSecond + "/s\n" + OverloadResult.TABLE_HEADING);
         for (long seed : settings.seeds()) {
-            try (ServiceSite site = new ServiceSite(specs(), settings.daemonFlags())) {
-                startSite(site);
-                load(site, capacityPerSecond / 2, WARM_UP_MS, settings.keys(), seed + 100)
+            try (ServiceCluster cluster = new ServiceCluster(hostSpecs(), settings.daemonFlags())) {
+                startCluster(cluster);
+                startLoad(cluster, capacityPerSecond / 2, WARMUP_MS, settings.keys(), seed + 100)
                         .join();
-                for (double factor : FACTORS) {
+                for (double factor : LOAD_FACTORS) {
                     int ratePerSecond = (int) (capacityPerSecond * factor);
-                    List<CallRecord> calls = load(site, ratePerSecond, settings.durationMs(), settings.keys(), seed)
+                    List<CallRecord> calls = startLoad(
+                                    cluster, ratePerSecond, settings.durationMs(), settings.keys(), seed)
                             .join();
-                    add(factor + "x, seed " + seed, calls);
+                    addResult(factor + "x, seed " + seed, calls);
                 }
-                for (double factor : HOT_KEY_FACTORS) {
-                    measureHotKey(site, (int) (capacityPerSecond * factor), factor, seed);
+                for (double factor : HOT_KEY_LOAD_FACTORS) {
+                    measureHotKey(cluster, (int) (capacityPerSecond * factor), factor, seed);
                 }
             }
         }
     }
 
-    private void measureHotKey(ServiceSite site, int ratePerSecond, double factor, long seed) {
-        List<CallRecord> even = load(site, ratePerSecond, settings.durationMs(), settings.keys(), seed + 1)
+    private void measureHotKey(ServiceCluster cluster, int ratePerSecond, double factor, long seed) {
+        List<CallRecord> uniformLoadCalls = startLoad(
+                        cluster, ratePerSecond, settings.durationMs(), settings.keys(), seed + 1)
                 .join();
-        add(factor + "x, even keys, seed " + seed, even);
-        CompletableFuture<List<CallRecord>> hot = load(site, ratePerSecond / 2, settings.durationMs(), 1, seed + 2);
-        List<CallRecord> others = load(site, ratePerSecond / 2, settings.durationMs(), settings.keys(), seed + 3)
+        addResult(factor + "x, even keys, seed " + seed, uniformLoadCalls);
+        CompletableFuture<List<CallRecord>> hotKeyCalls =
+                startLoad(cluster, ratePerSecond / 2, settings.durationMs(), 1, seed + 2);
+        List<CallRecord> otherKeyCalls = startLoad(
+                        cluster, ratePerSecond / 2, settings.durationMs(), settings.keys(), seed + 3)
                 .join();
-        add(factor + "x, other keys beside a hot key, seed " + seed, others);
-        add(factor + "x, hot key, seed " + seed, hot.join());
+        addResult(factor + "x, other keys beside a hot key, seed " + seed, otherKeyCalls);
+        addResult(factor + "x, hot key, seed " + seed, hotKeyCalls.join());
     }
 
-    private void add(String name, List<CallRecord> calls) {
+    private void addResult(String name, List<CallRecord> calls) {
         OverloadResult result = OverloadResult.of(name, settings.durationMs(), calls);
-        figures.add(result);
-        out.accept(result.row());
-        JsonReport.write(settings.report(), figures);
+        results.add(result);
+        out.accept(result.toTableRow());
+        JsonReport.write(settings.report(), results);
     }
 
-    private static List<HostSpec> specs() {
+    private static List<HostSpec> hostSpecs() {
         List<HostSpec> specs = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceSite.SERVICE));
+            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceCluster.SERVICE));
         }
         return specs;
     }
 
-    private void startSite(ServiceSite site) {
+    private void startCluster(ServiceCluster cluster) {
         for (int i = 0; i < HOSTS - 1; i++) {
-            site.startDaemon(site.host(i));
+            cluster.startDaemon(cluster.host(i));
         }
-        site.startHost(site.host(HOSTS - 1), List.of("--service-ms=" + settings.serviceMs(), "--slots=" + SLOTS));
-        site.awaitBackend(site.host(HOSTS - 1));
-        site.submit("first", "\"add\":{\"services\":[{\"name\":\"" + ServiceSite.SERVICE + "\",\"keyed\":true}]}");
-        site.awaitServing(site.host(HOSTS - 1));
+        cluster.startHost(cluster.host(HOSTS - 1), List.of("--service-ms=" + settings.serviceMs(), "--slots=" + SLOTS));
+        cluster.awaitBackend(cluster.host(HOSTS - 1));
+        cluster.submitNote(
+                "first", "\"add\":{\"services\":[{\"name\":\"" + ServiceCluster.SERVICE + "\",\"keyed\":true}]}");
+        cluster.awaitServing(cluster.host(HOSTS - 1));
         Await.sleep(settings.settleMs());
     }
 
     /** Even load on a number of keys; the future ends with the last answer. */
-    private static CompletableFuture<List<CallRecord>> load(
-            ServiceSite site, int ratePerSecond, long durationMs, int keys, long seed) {
+    private static CompletableFuture<List<CallRecord>> startLoad(
+            ServiceCluster cluster, int ratePerSecond, long durationMs, int keys, long seed) {
         LoadPlan plan = new LoadPlan(
-                ServiceSite.SERVICE,
+                ServiceCluster.SERVICE,
                 true,
                 ratePerSecond,
                 durationMs,
@@ -111,8 +116,8 @@
                 0,
                 seed);
         return CompletableFuture.supplyAsync(() -> {
-            try (LoadDriver driver =
-                    new LoadDriver(site.group(), site.callerAddresses(HOSTS - 1), plan, LoadDriver::routedRequest)) {
+            try (LoadDriver driver = new LoadDriver(
+                    cluster.eventLoopGroup(), cluster.callerAddresses(HOSTS - 1), plan, LoadDriver::routedRequest)) {
                 return driver.run();
             }
         });
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadResult.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadResult.java
@@ -30,7 +30,7 @@
     private static final double MS_PER_SECOND = 1e3;
     private static final double US_PER_MS = 1e3;
 
-    static final String HEADING = """
+    static final String TABLE_HEADING = """
             | run | calls | goodput/s | success, ms: p50, p99 | refused, ms: p99 | outcomes |
             |---|---|---|---|---|---|""";
 
@@ -39,16 +39,16 @@
     }
 
     static OverloadResult of(String name, long durationMs, List<CallRecord> calls) {
-        Histogram success = new Histogram(MAX_LATENCY_US, 3);
-        Histogram refused = new Histogram(MAX_LATENCY_US, 3);
+        Histogram successLatencyUs = new Histogram(MAX_LATENCY_US, 3);
+        Histogram refusedLatencyUs = new Histogram(MAX_LATENCY_US, 3);
         Map<String, Long> outcomes = new TreeMap<>();
         for (CallRecord call : calls) {
-            long us = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
-            long bounded = Math.min(Math.max(us, 0), MAX_LATENCY_US);
+            long latencyUs = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
+            long boundedLatencyUs = Math.min(Math.max(latencyUs, 0), MAX_LATENCY_US);
             if (call.succeeded()) {
-                success.recordValue(bounded);
+                successLatencyUs.recordValue(boundedLatencyUs);
             } else if (call.outcome().equals(Optional.of(Outcome.NOT_RUN))) {
-                refused.recordValue(bounded);
+                refusedLatencyUs.recordValue(boundedLatencyUs);
             }
             outcomes.merge(
                     ResultCode.ofNumber(call.resultCode()).map(ResultCode::name).orElse("NO_ANSWER"), 1L, Long::sum);
@@ -56,15 +56,15 @@
         return new OverloadResult(
                 name,
                 calls.size(),
-                success.getTotalCount() / (durationMs / MS_PER_SECOND),
-                success.getValueAtPercentile(50) / US_PER_MS,
-                success.getValueAtPercentile(99) / US_PER_MS,
-                refused.getTotalCount() == 0 ? 0 : refused.getValueAtPercentile(99) / US_PER_MS,
+                successLatencyUs.getTotalCount() / (durationMs / MS_PER_SECOND),
+                successLatencyUs.getValueAtPercentile(50) / US_PER_MS,
+                successLatencyUs.getValueAtPercentile(99) / US_PER_MS,
+                refusedLatencyUs.getTotalCount() == 0 ? 0 : refusedLatencyUs.getValueAtPercentile(99) / US_PER_MS,
                 outcomes);
     }
 
     /** A line of the table. */
-    String row() {
+    String toTableRow() {
         return String.format(
                 Locale.ROOT,
                 "| %s | %d | %.0f | %.1f, %.1f | %.1f | %s |",
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -24,15 +24,16 @@
     public static List<OwnerChange> of(List<ObservedTable> tables) {
         List<OwnerChange> changes = new ArrayList<>();
         for (int i = 1; i < tables.size(); i++) {
-            ObservedTable seen = tables.get(i);
-            for (RangeAssignment now : seen.table().assignments()) {
-                for (RangeAssignment before : tables.get(i - 1).table().assignments()) {
-                    if (before.range().overlaps(now.range()) && !before.owner().equals(now.owner())) {
+            ObservedTable observed = tables.get(i);
+            for (RangeAssignment assignment : observed.table().assignments()) {
+                for (RangeAssignment previous : tables.get(i - 1).table().assignments()) {
+                    if (previous.range().overlaps(assignment.range())
+                            && !previous.owner().equals(assignment.owner())) {
                         changes.add(new OwnerChange(
-                                common(before.range(), now.range()),
-                                before.owner(),
-                                seen.table().generation(),
-                                seen.observedNanos()));
+                                intersection(previous.range(), assignment.range()),
+                                previous.owner(),
+                                observed.table().generation(),
+                                observed.observedNanos()));
                     }
                 }
             }
@@ -40,9 +41,9 @@
         return changes;
     }
 
-    private static KeyRange common(KeyRange one, KeyRange other) {
-        KeyHash first = one.first().compareTo(other.first()) > 0 ? one.first() : other.first();
-        KeyHash last = one.last().compareTo(other.last()) < 0 ? one.last() : other.last();
+    private static KeyRange intersection(KeyRange left, KeyRange right) {
+        KeyHash first = left.first().compareTo(right.first()) > 0 ? left.first() : right.first();
+        KeyHash last = left.last().compareTo(right.last()) < 0 ? left.last() : right.last();
         return new KeyRange(first, last);
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -15,8 +15,8 @@
 import org.coriandercrank.load.LoadReport;
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
-import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.ClusterHost;
+import org.coriandercrank.testkit.HostSpec;
 
 /**
  * Measures placement policies under moving hot keys while a server joins, one is drained and one host is killed.
@@ -29,15 +29,15 @@
     private static final int CALLER_HOSTS = 2;
     private static final int DRAINED_HOST = 2;
     private static final int KILLED_HOST = 3;
-    private static final double JOIN_AT = 0.2;
-    private static final double DRAIN_AT = 0.55;
-    private static final double KILL_AT = 0.75;
+    private static final double JOIN_AT_FRACTION = 0.2;
+    private static final double DRAIN_AT_FRACTION = 0.55;
+    private static final double KILL_AT_FRACTION = 0.75;
     private static final int WRITE_PERCENT = 20;
     private static final long DEADLINE_MS = 2_000;
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
-    private final List<PlacementResult> figures = new ArrayList<>();
+    private final List<PlacementResult> results = new ArrayList<>();
 
     public PlacementExperiment(ExperimentSettings settings, Consumer<String> out) {
         this.settings = settings;
@@ -46,25 +46,25 @@
 
     /** Runs each policy with each seed, one run after the other. Blocks. */
     public void call() {
-        out.accept(PlacementResult.HEADING);
+        out.accept(PlacementResult.TABLE_HEADING);
         for (long seed : settings.seeds()) {
             for (String policy : settings.policies()) {
                 PlacementResult result = run(policy, seed);
-                figures.add(result);
-                out.accept(result.row());
+                results.add(result);
+                out.accept(result.toTableRow());
                 result.failedByCode().forEach((code, count) -> out.accept("  " + code + " " + count));
                 result.violations().stream().limit(3).forEach(v -> out.accept("  violation " + v));
-                JsonReport.write(settings.report(), figures);
+                JsonReport.write(settings.report(), results);
             }
         }
     }
 
     private PlacementResult run(String policy, long seed) {
-        try (ServiceSite site = new ServiceSite(specs(), settings.daemonFlags());
-                TableRecorder tables = new TableRecorder(site.store())) {
-            startSite(site, policy);
+        try (ServiceCluster cluster = new ServiceCluster(hostSpecs(), settings.daemonFlags());
+                TableRecorder tables = new TableRecorder(cluster.store())) {
+            startCluster(cluster, policy);
             LoadPlan plan = new LoadPlan(
-                    ServiceSite.SERVICE,
+                    ServiceCluster.SERVICE,
                     true,
                     settings.ratePerSecond(),
                     settings.durationMs(),
@@ -77,41 +77,41 @@
                     DEADLINE_MS,
                     0,
                     seed);
-            int firstTable = Math.max(tables.tables().size() - 1, 0);
-            try (LoadDriver driver =
-                    new LoadDriver(site.group(), site.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routedRequest)) {
+            int firstTableIndex = Math.max(tables.tables().size() - 1, 0);
+            try (LoadDriver driver = new LoadDriver(
+                    cluster.eventLoopGroup(), cluster.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routedRequest)) {
                 long startNanos = System.nanoTime();
-                CompletableFuture<List<CallRecord>> running = CompletableFuture.supplyAsync(driver::run);
-                Events events = causeEvents(site, startNanos);
-                List<CallRecord> calls = running.join();
+                CompletableFuture<List<CallRecord>> pendingCalls = CompletableFuture.supplyAsync(driver::run);
+                EventTimes eventTimes = triggerEvents(cluster, startNanos);
+                List<CallRecord> calls = pendingCalls.join();
                 List<OwnerChange> changes = OwnerChange.of(
-                        tables.tables().subList(firstTable, tables.tables().size()));
-                return figures(policy, seed, events, driver.startedNanos(), calls, site.executions(), changes);
+                        tables.tables().subList(firstTableIndex, tables.tables().size()));
+                return results(policy, seed, eventTimes, driver.startedNanos(), calls, cluster.executions(), changes);
             }
         }
     }
 
-    private static List<HostSpec> specs() {
+    private static List<HostSpec> hostSpecs() {
         List<HostSpec> specs = new ArrayList<>();
         for (int i = 0; i <= HOSTS; i++) {
-            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceSite.SERVICE));
+            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceCluster.SERVICE));
         }
         return specs;
     }
 
-    private void startSite(ServiceSite site, String policy) {
+    private void startCluster(ServiceCluster cluster, String policy) {
         for (int i = 0; i < HOSTS; i++) {
-            site.startHost(site.host(i), backendFlags());
+            cluster.startHost(cluster.host(i), backendFlags());
         }
         for (int i = 0; i < HOSTS; i++) {
-            site.awaitBackend(site.host(i));
+            cluster.awaitBackend(cluster.host(i));
         }
-        site.submit(
+        cluster.submitNote(
                 "first",
-                "\"add\":{\"services\":[{\"name\":\"" + ServiceSite.SERVICE + "\",\"keyed\":true,\"placementPolicy\":\""
-                        + policy + "\"}]}");
+                "\"add\":{\"services\":[{\"name\":\"" + ServiceCluster.SERVICE
+                        + "\",\"keyed\":true,\"placementPolicy\":\"" + policy + "\"}]}");
         for (int i = 0; i < HOSTS; i++) {
-            site.awaitServing(site.host(i));
+            cluster.awaitServing(cluster.host(i));
         }
         Await.sleep(settings.settleMs());
     }
@@ -121,51 +121,51 @@
     }
 
     /** When the events of a run happened, by the monotonic clock. Immutable. */
-    private record Events(long joinNanos, long drainNanos, long killNanos) {}
+    private record EventTimes(long joinNanos, long drainNanos, long killNanos) {}
 
-    private Events causeEvents(ServiceSite site, long startNanos) {
-        waitFor(startNanos, JOIN_AT);
-        ClusterHost joining = site.host(HOSTS);
+    private EventTimes triggerEvents(ServiceCluster cluster, long startNanos) {
+        waitUntilFraction(startNanos, JOIN_AT_FRACTION);
+        ClusterHost joining = cluster.host(HOSTS);
         long joinNanos = System.nanoTime();
-        site.startHost(joining, backendFlags());
-        waitFor(startNanos, DRAIN_AT);
+        cluster.startHost(joining, backendFlags());
+        waitUntilFraction(startNanos, DRAIN_AT_FRACTION);
         long drainNanos = System.nanoTime();
-        site.submit(
+        cluster.submitNote(
                 "drain",
                 "\"add\":{\"backends\":[{\"backendName\":\""
-                        + site.host(DRAINED_HOST).spec().name() + "\",\"drain\":true}]}");
-        waitFor(startNanos, KILL_AT);
+                        + cluster.host(DRAINED_HOST).spec().name() + "\",\"drain\":true}]}");
+        waitUntilFraction(startNanos, KILL_AT_FRACTION);
         long killNanos = System.nanoTime();
-        site.killHost(site.host(KILLED_HOST));
-        return new Events(joinNanos, drainNanos, killNanos);
+        cluster.killHost(cluster.host(KILLED_HOST));
+        return new EventTimes(joinNanos, drainNanos, killNanos);
     }
 
-    private void waitFor(long startNanos, double part) {
-        long dueMs = (long) (settings.durationMs() * part);
+    private void waitUntilFraction(long startNanos, double fraction) {
+        long dueMs = (long) (settings.durationMs() * fraction);
         Await.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
     }
 
-    private PlacementResult figures(
+    private PlacementResult results(
             String policy,
             long seed,
-            Events events,
+            EventTimes eventTimes,
             long startedNanos,
             List<CallRecord> calls,
             List<Execution> executions,
             List<OwnerChange> changes) {
         LoadReport report = LoadReport.of(startedNanos, calls, executions);
-        Map<String, ActivePeriod> servers = new HashMap<>();
+        Map<String, ActivePeriod> activePeriods = new HashMap<>();
         for (int i = 0; i < CALLER_HOSTS; i++) {
-            servers.put("h" + i, new ActivePeriod(0, Long.MAX_VALUE));
+            activePeriods.put("h" + i, new ActivePeriod(0, Long.MAX_VALUE));
         }
-        servers.put("h" + DRAINED_HOST, new ActivePeriod(0, sinceMs(startedNanos, events.drainNanos())));
-        servers.put("h" + KILLED_HOST, new ActivePeriod(0, sinceMs(startedNanos, events.killNanos())));
-        servers.put("h" + HOSTS, new ActivePeriod(sinceMs(startedNanos, events.joinNanos()), Long.MAX_VALUE));
+        activePeriods.put("h" + DRAINED_HOST, new ActivePeriod(0, sinceMs(startedNanos, eventTimes.drainNanos())));
+        activePeriods.put("h" + KILLED_HOST, new ActivePeriod(0, sinceMs(startedNanos, eventTimes.killNanos())));
+        activePeriods.put("h" + HOSTS, new ActivePeriod(sinceMs(startedNanos, eventTimes.joinNanos()), Long.MAX_VALUE));
         MoveGaps gaps = new MoveGaps(calls, executions);
-        Map<Boolean, List<OwnerChange>> byLoss =
-                changes.stream().collect(Collectors.partitioningBy(c -> isLoss(c, events)));
-        Map<String, Long> failed = new HashMap<>(report.resultCodes());
-        failed.remove("OK");
+        Map<Boolean, List<OwnerChange>> changesByCause =
+                changes.stream().collect(Collectors.partitioningBy(c -> isCausedByKill(c, eventTimes)));
+        Map<String, Long> failedByCode = new HashMap<>(report.resultCodes());
+        failedByCode.remove("OK");
         return new PlacementResult(
                 policy,
                 seed,
@@ -173,22 +173,23 @@
                 settings.durationMs(),
                 report.calls(),
                 report.calls() - report.succeeded(),
-                failed,
+                failedByCode,
                 report.latencyP50Ms(),
                 report.latencyP99Ms(),
-                ServerLoads.of(startedNanos, settings.durationMs(), executions, servers),
+                ServerLoads.of(startedNanos, settings.durationMs(), executions, activePeriods),
                 Churn.of(changes),
                 report.unavailableKeySeconds(),
-                PlacementResult.Gaps.of(gaps.planned(byLoss.get(false))),
-                PlacementResult.Gaps.of(gaps.takeover(byLoss.get(true), events.killNanos())),
+                PlacementResult.Gaps.of(gaps.plannedMoveGapsMs(changesByCause.get(false))),
+                PlacementResult.Gaps.of(gaps.takeoverGapsMs(changesByCause.get(true), eventTimes.killNanos())),
                 report.violations().stream().map(Object::toString).toList(),
                 report.perSecond().stream().map(LoadReport.SecondStats::failed).toList(),
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
     }
 
     /** Member ids start with the name of the host. */
-    private static boolean isLoss(OwnerChange change, Events events) {
-        return change.observedNanos() > events.killNanos() && change.from().value().startsWith("h" + KILLED_HOST + "-");
+    private static boolean isCausedByKill(OwnerChange change, EventTimes eventTimes) {
+        return change.observedNanos() > eventTimes.killNanos()
+                && change.from().value().startsWith("h" + KILLED_HOST + "-");
     }
 
     private static long sinceMs(long startedNanos, long nanos) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
@@ -45,7 +45,7 @@
         }
     }
 
-    static final String HEADING = """
+    static final String TABLE_HEADING = """
             | policy | seed | imbalance, mean | imbalance, p95 | hash space moved | moves | failed calls | key-seconds unavailable \
             | gap of a planned move, ms: p50, p99, max (keys) | gap after the kill, ms | violations | load average |
             |---|---|---|---|---|---|---|---|---|---|---|---|""";
@@ -57,7 +57,7 @@
     }
 
     /** A line of the table. */
-    String row() {
+    String toTableRow() {
         return String.format(
                 Locale.ROOT,
                 "| %s | %d | %.3f | %.3f | %.2f | %d | %d of %d | %.1f | %s | %s | %d | %.0f |",
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -40,34 +40,37 @@
      * busiest server. A second without executions counts as 0.
      */
     public static ServerLoads of(
-            long startedNanos, long durationMs, List<Execution> executions, Map<String, ActivePeriod> servers) {
+            long startedNanos, long durationMs, List<Execution> executions, Map<String, ActivePeriod> activePeriods) {
         int seconds = (int) TimeUnit.MILLISECONDS.toSeconds(durationMs);
-        List<Map<String, Long>> counts = new ArrayList<>();
+        List<Map<String, Long>> executionsPerSecond = new ArrayList<>();
         for (int second = 0; second < seconds; second++) {
-            counts.add(new HashMap<>());
+            executionsPerSecond.add(new HashMap<>());
         }
         for (Execution execution : executions) {
             long second = Math.floorDiv(execution.endNanos() - startedNanos, NANOS_PER_SECOND);
             if (second >= 0 && second < seconds) {
-                counts.get((int) second).merge(execution.server(), 1L, Long::sum);
+                executionsPerSecond.get((int) second).merge(execution.server(), 1L, Long::sum);
             }
         }
-        List<Double> values = new ArrayList<>();
+        List<Double> imbalances = new ArrayList<>();
         for (int second = 0; second < seconds; second++) {
             long ms = TimeUnit.SECONDS.toMillis(second);
-            long inForce = servers.values().stream().filter(s -> s.contains(ms)).count();
-            values.add(imbalance(counts.get(second), inForce));
+            long activeServers = activePeriods.values().stream()
+                    .filter(period -> period.contains(ms))
+                    .count();
+            imbalances.add(imbalance(executionsPerSecond.get(second), activeServers));
         }
-        List<Double> sorted = new ArrayList<>(values);
+        List<Double> sorted = new ArrayList<>(imbalances);
         Collections.sort(sorted);
-        double mean = values.stream().mapToDouble(v -> v).average().orElse(0);
+        double mean = imbalances.stream().mapToDouble(v -> v).average().orElse(0);
         double p95 = sorted.isEmpty() ? 0 : sorted.get((int) Math.ceil(PERCENTILE * sorted.size()) - 1);
-        return new ServerLoads(mean, p95, values);
+        return new ServerLoads(mean, p95, imbalances);
     }
 
-    private static double imbalance(Map<String, Long> counts, long servers) {
-        long total = counts.values().stream().mapToLong(v -> v).sum();
-        long busiest = counts.values().stream().mapToLong(v -> v).max().orElse(0);
-        return total == 0 || servers == 0 ? 0 : busiest * (double) servers / total;
+    private static double imbalance(Map<String, Long> executionsByServer, long activeServers) {
+        long total = executionsByServer.values().stream().mapToLong(v -> v).sum();
+        long busiest =
+                executionsByServer.values().stream().mapToLong(v -> v).max().orElse(0);
+        return total == 0 || activeServers == 0 ? 0 : busiest * (double) activeServers / total;
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceSite.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
@@ -29,9 +29,9 @@
 import org.coriandercrank.note.SubmitResult;
 import org.coriandercrank.standin.BackendSettings;
 import org.coriandercrank.standin.CrankBackend;
+import org.coriandercrank.testkit.ClusterHost;
 import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.LocalCluster;
-import org.coriandercrank.testkit.ClusterHost;
 
 /**
  * A site with one service under load. Not thread safe.
@@ -39,7 +39,7 @@
  * <p>Daemons and the store are processes; the backend servers share this process. Executions are read from ledger files
  * of a temporary directory, which is kept for inspection.
  */
-final class ServiceSite implements AutoCloseable {
+final class ServiceCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
 
     private static final int IO_THREADS = 3;
@@ -50,23 +50,24 @@
             Set.of("availability", "low-churn", "static", "greedy"),
             Set.of("two-choices", "round-robin", "least-in-flight"));
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final Map<String, CrankBackend> backends = new HashMap<>();
     private final List<String> daemonFlags;
-    private final LocalCluster site;
-    private final FleetSampler probe;
+    private final LocalCluster cluster;
+    private final FleetSampler sampler;
     private final ObjectStore store;
 
     /** Starts the store; hosts are started by {@link #startHost} and {@link #startDaemon}. */
-    ServiceSite(List<HostSpec> specs, List<String> daemonFlags) {
+    ServiceCluster(List<HostSpec> specs, List<String> daemonFlags) {
         this.daemonFlags = List.copyOf(daemonFlags);
-        site = new LocalCluster(createDirectory(), specs);
-        probe = new FleetSampler(site, group);
-        store = PluginRegistry.load().get(Kind.STORE, "http").open(site.storeAddress(), STORE_TIMEOUT_MS);
+        cluster = new LocalCluster(createDirectory(), specs);
+        sampler = new FleetSampler(cluster, eventLoopGroup);
+        store = PluginRegistry.load().get(Kind.STORE, "http").open(cluster.storeAddress(), STORE_TIMEOUT_MS);
     }
 
-    EventLoopGroup group() {
-        return group;
+    EventLoopGroup eventLoopGroup() {
+        return eventLoopGroup;
     }
 
     ObjectStore store() {
@@ -74,11 +75,11 @@
     }
 
     ClusterHost host(int index) {
-        return site.host(index);
+        return cluster.host(index);
     }
 
-    List<HostAddress> callerAddresses(int hosts) {
-        return site.hosts().subList(0, hosts).stream()
+    List<HostAddress> callerAddresses(int hostCount) {
+        return cluster.hosts().subList(0, hostCount).stream()
                 .map(ClusterHost::callerAddress)
                 .toList();
     }
@@ -104,13 +105,15 @@
     void awaitBackend(ClusterHost host) {
         Await.until(
                 "backend server of " + host.spec().name(),
-                () -> probe.status(host).flatMap(DaemonStatus::backendName).isPresent());
+                () -> sampler.status(host).flatMap(DaemonStatus::backendName).isPresent());
     }
 
     void awaitServing(ClusterHost host) {
         Await.until(
                 "ranges of " + host.spec().name(),
-                () -> probe.status(host).map(s -> !s.serving().isEmpty()).orElse(false));
+                () -> sampler.status(host)
+                        .map(status -> !status.serving().isEmpty())
+                        .orElse(false));
     }
 
     /** Ends daemon and backend server of a host at once. */
@@ -120,10 +123,10 @@
     }
 
     /** Submits a note whose content follows the id and the base revision, as {@code "add":{...}}. */
-    void submit(String id, String content) {
+    void submitNote(String id, String content) {
         Revision base = store.get(ObjectNames.CONFIGURATION)
                 .join()
-                .map(o -> o.revision())
+                .map(object -> object.revision())
                 .orElse(Revision.NONE);
         SubmitResult result = new NoteSubmitter(store, () -> ENVIRONMENT, NOTE_TIMEOUT_MS)
                 .submit("{\"id\":\"" + id + "\",\"basedOn\":" + base + "," + content + "}");
@@ -133,7 +136,8 @@
     }
 
     List<Execution> executions() {
-        return LedgerReader.read(site.hosts().stream().map(ClusterHost::ledgerFile).toList());
+        return LedgerReader.read(
+                cluster.hosts().stream().map(ClusterHost::ledgerFile).toList());
     }
 
     /** A new directory for logs and ledgers; it is kept after the run. */
@@ -148,9 +152,9 @@
     @Override
     public void close() {
         store.close();
-        probe.close();
-        site.close();
+        sampler.close();
+        cluster.close();
         backends.values().forEach(CrankBackend::close);
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
@@ -17,12 +17,12 @@
  * <p>Thread safe. Two tables that are written between two watches appear as one.
  */
 final class TableRecorder implements AutoCloseable {
-    private static final long WAIT_MS = 1_000;
-    private static final long RETRY_MS = 50;
+    private static final long WATCH_WAIT_MS = 1_000;
+    private static final long RETRY_DELAY_MS = 50;
 
     private final ObjectStore store;
     private final List<ObservedTable> tables = new ArrayList<>();
-    private final Thread thread = new Thread(this::watch, "table-recorder");
+    private final Thread thread = new Thread(this::recordTables, "table-recorder");
     private volatile boolean closed;
 
     TableRecorder(ObjectStore store) {
@@ -31,21 +31,21 @@
         thread.start();
     }
 
-    private void watch() {
+    private void recordTables() {
         Revision after = Revision.NONE;
         while (!closed) {
             try {
-                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, after, WAIT_MS)
+                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, after, WATCH_WAIT_MS)
                         .join();
-                batch.changes().forEach(this::add);
+                batch.changes().forEach(this::addTable);
                 after = batch.upTo();
             } catch (CompletionException e) {
-                Await.sleep(RETRY_MS);
+                Await.sleep(RETRY_DELAY_MS);
             }
         }
     }
 
-    private synchronized void add(StoredObject object) {
+    private synchronized void addTable(StoredObject object) {
         tables.add(new ObservedTable(System.nanoTime(), TableCodec.decode(object.value())));
     }
 
@@ -58,7 +58,7 @@
     public void close() {
         closed = true;
         try {
-            thread.join(2 * WAIT_MS);
+            thread.join(2 * WATCH_WAIT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/LoadReportTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/LoadReportTest.java
@@ -77,7 +77,9 @@
                         execution("s1", "e", 1, 1_000, 1_100),
                         execution("s1", "f", 1, 1_000, 1_200)));
 
-        assertThat(report.perSecond()).extracting(LoadReport.SecondStats::imbalance).containsExactly(1.5, 2.0);
+        assertThat(report.perSecond())
+                .extracting(LoadReport.SecondStats::imbalance)
+                .containsExactly(1.5, 2.0);
         assertThat(report.imbalance()).isCloseTo(1.75, within(1e-9));
     }
 
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
@@ -30,7 +30,7 @@
         KeyChooser chooser = new KeyChooser(plan);
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            keys.add(chooser.next(i * 30L));
+            keys.add(chooser.nextKey(i * 30L));
         }
         return keys;
     }
@@ -54,7 +54,7 @@
     private static String hottest(KeyChooser chooser, long elapsedMs) {
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < DRAWS; i++) {
-            keys.add(chooser.next(elapsedMs));
+            keys.add(chooser.nextKey(elapsedMs));
         }
         return keys.stream()
                 .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()))
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
@@ -31,17 +31,19 @@
 
     /** Runs the load and reports it; whether no violation was found. */
     private static boolean run(LoadSettings settings) throws IOException {
-        LoadDriver.RequestFactory form = settings.direct() ? LoadDriver::directRequest : LoadDriver::routedRequest;
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
+        LoadDriver.RequestFactory requestFactory =
+                settings.direct() ? LoadDriver::directRequest : LoadDriver::routedRequest;
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
         try {
-            List<LoadPlan> warmup = settings.warmupPlans();
-            if (!warmup.isEmpty()) {
-                PlanResult.runAll(group, settings.targets(), warmup, form);
+            List<LoadPlan> warmupPlans = settings.warmupPlans();
+            if (!warmupPlans.isEmpty()) {
+                PlanResult.runAll(eventLoopGroup, settings.targets(), warmupPlans, requestFactory);
             }
-            settings.heading().ifPresent(System.out::println);
-            return report(settings, PlanResult.runAll(group, settings.targets(), settings.plans(), form));
+            settings.scenarioHeading().ifPresent(System.out::println);
+            return reportResults(
+                    settings, PlanResult.runAll(eventLoopGroup, settings.targets(), settings.plans(), requestFactory));
         } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
@@ -49,23 +51,24 @@
      * One report for each service, if there are several, and one in total. The total covers all executions of the
      * ledgers, so that ownership is checked across all callers.
      */
-    private static boolean report(LoadSettings settings, List<PlanResult> runs) throws IOException {
-        Optional<List<Execution>> executions =
-                settings.ledgers().isEmpty() ? Optional.empty() : Optional.of(LedgerReader.read(settings.ledgers()));
-        if (runs.size() > 1) {
-            for (PlanResult run : runs) {
-                print(settings, run.service(), run.report(executions.map(run::executionsOfCalls)));
+    private static boolean reportResults(LoadSettings settings, List<PlanResult> results) throws IOException {
+        Optional<List<Execution>> executions = settings.ledgerFiles().isEmpty()
+                ? Optional.empty()
+                : Optional.of(LedgerReader.read(settings.ledgerFiles()));
+        if (results.size() > 1) {
+            for (PlanResult result : results) {
+                printReport(settings, result.service(), result.toReport(executions.map(result::executionsOfCalls)));
             }
         }
-        LoadReport total = PlanResult.merge(runs).report(executions);
-        print(settings, runs.size() > 1 ? "total" : "", total);
+        LoadReport total = PlanResult.merge(results).toReport(executions);
+        printReport(settings, results.size() > 1 ? "total" : "", total);
         return total.violations().isEmpty();
     }
 
-    private static void print(LoadSettings settings, String name, LoadReport report) throws IOException {
-        report.lines().forEach(line -> System.out.println(name.isEmpty() ? line : name + ": " + line));
-        if (!settings.report().isEmpty()) {
-            ReportWriter.write(settings.report() + (name.isEmpty() ? "" : "-" + name), report);
+    private static void printReport(LoadSettings settings, String name, LoadReport report) throws IOException {
+        report.toLines().forEach(line -> System.out.println(name.isEmpty() ? line : name + ": " + line));
+        if (!settings.reportPathPrefix().isEmpty()) {
+            ReportWriter.write(settings.reportPathPrefix() + (name.isEmpty() ? "" : "-" + name), report);
         }
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
@@ -21,13 +21,13 @@
 
     public static List<Violation> check(List<CallRecord> calls, List<Execution> executions) {
         List<Violation> violations = new ArrayList<>();
-        checkAnswers(calls, executions, violations);
-        checkRepetition(calls, executions, violations);
+        checkOutcomes(calls, executions, violations);
+        checkDuplicateExecutions(calls, executions, violations);
         executions.stream()
-                .filter(e -> !e.key().isEmpty())
+                .filter(execution -> !execution.key().isEmpty())
                 .collect(Collectors.groupingBy(Execution::key))
                 .values()
-                .forEach(ofKey -> checkOwnership(ofKey, violations));
+                .forEach(executionsOfKey -> checkOwnership(executionsOfKey, violations));
         return violations;
     }
 
@@ -44,17 +44,18 @@
         }
     }
 
-    private static void checkAnswers(List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
-        Set<String> executed =
+    private static void checkOutcomes(List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
+        Set<String> executedRequestIds =
                 executions.stream().map(Execution::callerRequestId).collect(Collectors.toSet());
         Map<Long, Boolean> operationExecuted = new HashMap<>();
         for (CallRecord call : calls) {
-            operationExecuted.merge(call.operation(), executed.contains(call.requestId()), Boolean::logicalOr);
+            operationExecuted.merge(
+                    call.operation(), executedRequestIds.contains(call.requestId()), Boolean::logicalOr);
         }
         for (CallRecord call : calls) {
             Outcome outcome = call.outcome().orElse(Outcome.UNKNOWN);
             checkForeignAnswer(call, violations);
-            if (outcome == Outcome.NOT_RUN && executed.contains(call.requestId())) {
+            if (outcome == Outcome.NOT_RUN && executedRequestIds.contains(call.requestId())) {
                 violations.add(new Violation(Kind.NOT_RUN_BUT_EXECUTED, call.toString()));
             }
             if (outcome == Outcome.RUN && !operationExecuted.get(call.operation())) {
@@ -63,25 +64,25 @@
         }
     }
 
-    private static void checkRepetition(
+    private static void checkDuplicateExecutions(
             List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
-        Map<String, Long> operations = new HashMap<>();
+        Map<String, Long> operationsByRequestId = new HashMap<>();
         for (CallRecord call : calls) {
             if (!call.repeatable()) {
-                operations.put(call.requestId(), call.operation());
+                operationsByRequestId.put(call.requestId(), call.operation());
             }
         }
-        Set<Long> seen = new HashSet<>();
+        Set<Long> executedOperations = new HashSet<>();
         for (Execution execution : executions) {
-            Long operation = operations.get(execution.callerRequestId());
-            if (operation != null && !seen.add(operation)) {
+            Long operation = operationsByRequestId.get(execution.callerRequestId());
+            if (operation != null && !executedOperations.add(operation)) {
                 violations.add(new Violation(Kind.EXECUTED_TWICE, execution.toString()));
             }
         }
     }
 
-    private static void checkOwnership(List<Execution> ofKey, List<Violation> violations) {
-        List<Execution> ordered = new ArrayList<>(ofKey);
+    private static void checkOwnership(List<Execution> executionsOfKey, List<Violation> violations) {
+        List<Execution> ordered = new ArrayList<>(executionsOfKey);
         ordered.sort(Comparator.comparingLong(Execution::endNanos));
         long highestFence = 0;
         Map<String, Long> latestEndNanos = new HashMap<>();
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -40,7 +40,7 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** The target for the unavailable time of a planned move; a key that is served later counts as not served. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -64,32 +64,32 @@
 
     private static LoadReport of(
             long startedNanos, List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
-        Histogram latencyUs = new Histogram(MAX_LATENCY_US, 3);
+        Histogram latencyHistogramUs = new Histogram(MAX_LATENCY_US, 3);
         Map<String, Long> outcomes = new TreeMap<>();
-        Map<String, Long> codes = new TreeMap<>();
+        Map<String, Long> resultCodes = new TreeMap<>();
         long succeeded = 0;
         long lastNanos = startedNanos + 1;
         for (CallRecord call : calls) {
-            long us = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
-            latencyUs.recordValue(Math.min(Math.max(us, 0), MAX_LATENCY_US));
-            outcomes.merge(call.outcome().map(o -> o.headerValue()).orElse("no-answer"), 1L, Long::sum);
-            codes.merge(codeName(call.resultCode()), 1L, Long::sum);
+            long callLatencyUs = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
+            latencyHistogramUs.recordValue(Math.min(Math.max(callLatencyUs, 0), MAX_LATENCY_US));
+            outcomes.merge(call.outcome().map(outcome -> outcome.headerValue()).orElse("no-answer"), 1L, Long::sum);
+            resultCodes.merge(codeName(call.resultCode()), 1L, Long::sum);
             succeeded += call.succeeded() ? 1 : 0;
             lastNanos = Math.max(lastNanos, call.endedNanos());
         }
-        List<Long> gapsNanos = gaps(calls);
-        List<SecondStats> seconds = seconds(startedNanos, calls, executions);
+        List<Long> unavailableNanos = unavailableNanos(calls);
+        List<SecondStats> seconds = perSecondStats(startedNanos, calls, executions);
         return new LoadReport(
                 calls.size(),
                 succeeded,
                 succeeded / ((lastNanos - startedNanos) / NANOS_PER_SECOND),
-                latencyUs.getValueAtPercentile(50) / 1e3,
-                latencyUs.getValueAtPercentile(99) / 1e3,
-                latencyUs.getMaxValue() / 1e3,
+                latencyHistogramUs.getValueAtPercentile(50) / 1e3,
+                latencyHistogramUs.getValueAtPercentile(99) / 1e3,
+                latencyHistogramUs.getMaxValue() / 1e3,
                 outcomes,
-                codes,
-                gapsNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
-                gapsNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
+                resultCodes,
+                unavailableNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
+                unavailableNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
                 seconds.stream()
                         .mapToDouble(SecondStats::imbalance)
                         .filter(v -> v > 0)
@@ -103,42 +103,43 @@
         return ResultCode.ofNumber(number).map(ResultCode::name).orElse("NO_ANSWER");
     }
 
-    private static List<Long> gaps(List<CallRecord> calls) {
-        List<Long> gaps = new ArrayList<>();
+    private static List<Long> unavailableNanos(List<CallRecord> calls) {
+        List<Long> unavailableNanos = new ArrayList<>();
         calls.stream()
                 .filter(call -> !call.key().isEmpty())
                 .collect(Collectors.groupingBy(CallRecord::key))
                 .values()
-                .forEach(ofKey -> addGaps(ofKey, gaps));
-        return gaps;
+                .forEach(callsOfKey -> addUnavailableNanos(callsOfKey, unavailableNanos));
+        return unavailableNanos;
     }
 
     /**
      * Adds the times in which a key was not served: from the instant at which a failed or late call was due to the first
      * success of the key after it. Overlapping times are merged.
      */
-    private static void addGaps(List<CallRecord> ofKey, List<Long> gaps) {
-        TreeSet<Long> served = ofKey.stream()
+    private static void addUnavailableNanos(List<CallRecord> callsOfKey, List<Long> unavailableNanos) {
+        TreeSet<Long> successEndNanos = callsOfKey.stream()
                 .filter(CallRecord::succeeded)
                 .map(CallRecord::endedNanos)
                 .collect(Collectors.toCollection(TreeSet::new));
         long lastEndNanos =
-                ofKey.stream().mapToLong(CallRecord::endedNanos).max().orElse(0);
-        List<CallRecord> ordered = new ArrayList<>(ofKey);
+                callsOfKey.stream().mapToLong(CallRecord::endedNanos).max().orElse(0);
+        List<CallRecord> ordered = new ArrayList<>(callsOfKey);
         ordered.sort(Comparator.comparingLong(CallRecord::intendedNanos));
         long coveredUntilNanos = Long.MIN_VALUE;
         for (CallRecord call : ordered) {
-            Long servedNanos = served.ceiling(call.intendedNanos());
-            long untilNanos = servedNanos == null ? lastEndNanos : servedNanos;
-            boolean notServed = !call.succeeded() || untilNanos - call.intendedNanos() > LATE_NANOS;
+            Long nextSuccessNanos = successEndNanos.ceiling(call.intendedNanos());
+            long untilNanos = nextSuccessNanos == null ? lastEndNanos : nextSuccessNanos;
+            boolean notServed = !call.succeeded() || untilNanos - call.intendedNanos() > LATE_THRESHOLD_NANOS;
             if (notServed && untilNanos > coveredUntilNanos) {
-                gaps.add(untilNanos - call.intendedNanos());
+                unavailableNanos.add(untilNanos - call.intendedNanos());
                 coveredUntilNanos = untilNanos;
             }
         }
     }
 
-    private static List<SecondStats> seconds(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
+    private static List<SecondStats> perSecondStats(
+            long startedNanos, List<CallRecord> calls, List<Execution> executions) {
         Map<Long, long[]> counts = new TreeMap<>();
         for (CallRecord call : calls) {
             long second = (call.intendedNanos() - startedNanos) / (long) NANOS_PER_SECOND;
@@ -156,17 +157,21 @@
         return seconds;
     }
 
-    private static double imbalance(Map<String, Long> executions, long servers) {
-        if (executions == null || executions.isEmpty()) {
+    private static double imbalance(Map<String, Long> executionsByServer, long servers) {
+        if (executionsByServer == null || executionsByServer.isEmpty()) {
             return 0;
         }
-        long sum = executions.values().stream().mapToLong(Long::longValue).sum();
-        long max = executions.values().stream().mapToLong(Long::longValue).max().orElse(0);
-        return max * servers / (double) sum;
+        long total =
+                executionsByServer.values().stream().mapToLong(Long::longValue).sum();
+        long busiest = executionsByServer.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
+        return busiest * servers / (double) total;
     }
 
     /** A short text for people. */
-    public List<String> lines() {
+    public List<String> toLines() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format("calls %d, succeeded %d, goodput %.1f/s", calls, succeeded, goodputPerSecond));
         lines.add(String.format(
@@ -177,7 +182,9 @@
                 "unavailable %.3f key-seconds, longest gap of a key %.0f ms, imbalance %.3f",
                 unavailableKeySeconds, longestGapMs, imbalance));
         lines.add("violations " + violations.size());
-        violations.stream().limit(5).forEach(v -> lines.add("  " + v.kind() + " " + v.detail()));
+        violations.stream()
+                .limit(5)
+                .forEach(violation -> lines.add("  " + violation.kind() + " " + violation.detail()));
         return lines;
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
@@ -9,12 +9,12 @@
  * <p>The distribution over ranks stays the same; which keys hold the ranks of the hot set depends on seed and period.
  */
 final class KeyChooser {
-    private final double[] cumulative;
+    private final double[] cumulativeWeights;
     private final int hotKeys;
     private final long hotChangeMs;
     private final long seed;
     private final RandomGenerator random;
-    private long period = -1;
+    private long hotSetPeriod = -1;
     private int[] hotSet = new int[0];
 
     KeyChooser(LoadPlan plan) {
@@ -22,38 +22,38 @@
         this.hotChangeMs = plan.hotChangeMs();
         this.seed = plan.seed();
         this.random = new Random(plan.seed());
-        this.cumulative = cumulative(plan.keys(), plan.zipfExponent());
+        this.cumulativeWeights = cumulativeWeights(plan.keys(), plan.zipfExponent());
     }
 
-    private static double[] cumulative(int keys, double exponent) {
-        double[] sums = new double[keys];
-        double sum = 0;
+    private static double[] cumulativeWeights(int keys, double exponent) {
+        double[] cumulativeWeights = new double[keys];
+        double total = 0;
         for (int rank = 0; rank < keys; rank++) {
-            sum += 1 / Math.pow(rank + 1, exponent);
-            sums[rank] = sum;
+            total += 1 / Math.pow(rank + 1, exponent);
+            cumulativeWeights[rank] = total;
         }
-        return sums;
+        return cumulativeWeights;
     }
 
-    String next(long elapsedMs) {
+    String nextKey(long elapsedMs) {
         long currentPeriod = elapsedMs / hotChangeMs;
-        if (currentPeriod != period) {
-            period = currentPeriod;
-            hotSet = new Random(seed * 31 + period)
-                    .ints(hotKeys, 0, cumulative.length)
+        if (currentPeriod != hotSetPeriod) {
+            hotSetPeriod = currentPeriod;
+            hotSet = new Random(seed * 31 + hotSetPeriod)
+                    .ints(hotKeys, 0, cumulativeWeights.length)
                     .toArray();
         }
-        int rank = rankOf(random.nextDouble() * cumulative[cumulative.length - 1]);
+        int rank = rankOf(random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1]);
         int key = rank < hotKeys ? hotSet[rank] : rank;
         return "key-" + key;
     }
 
-    private int rankOf(double point) {
+    private int rankOf(double cumulativeWeight) {
         int low = 0;
-        int high = cumulative.length - 1;
+        int high = cumulativeWeights.length - 1;
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (cumulative[middle] < point) {
+            if (cumulativeWeights[middle] < cumulativeWeight) {
                 low = middle + 1;
             } else {
                 high = middle;
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Phaser;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.Outcome;
 import org.coriandercrank.kernel.code.ResultCode;
@@ -28,13 +28,13 @@
 public final class LoadDriver implements AutoCloseable {
     private static final int MAX_CONNECTIONS_PER_TARGET = 512;
     private static final int CONNECT_TIMEOUT_MS = 500;
-    private static final long CLIENT_GRACE_MS = 1_000;
+    private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
     private static final long DEFAULT_RETRY_AFTER_MS = 100;
     private static final int STATUS_OK = 200;
     private static final int STATUS_SERVER_ERROR = 500;
-    private static final int FIRST_REQUEST_FAULT = 100;
-    private static final int LAST_REQUEST_FAULT = 199;
-    private static final long SPIN_BELOW_NANOS = 100_000;
+    private static final int FIRST_REQUEST_ERROR_CODE = 100;
+    private static final int LAST_REQUEST_ERROR_CODE = 199;
+    private static final long SPIN_THRESHOLD_NANOS = 100_000;
 
     /** Builds the call of an attempt. */
     @FunctionalInterface
@@ -51,69 +51,70 @@
             String method,
             String value,
             String idempotencyKey,
-            long ageMs) {}
+            long idempotencyKeyAgeMs) {}
 
     private final LoadPlan plan;
-    private final RequestFactory form;
-    private final EventLoopGroup group;
+    private final RequestFactory requestFactory;
+    private final EventLoopGroup eventLoopGroup;
     private final List<HttpClient> clients = new ArrayList<>();
-    private final ConcurrentLinkedQueue<CallRecord> records = new ConcurrentLinkedQueue<>();
-    private final Phaser outstanding = new Phaser(1);
+    private final ConcurrentLinkedQueue<CallRecord> callRecords = new ConcurrentLinkedQueue<>();
+    private final Phaser pendingOperations = new Phaser(1);
     private final String runId;
     private long startedNanos;
 
-    public LoadDriver(EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, RequestFactory form) {
+    public LoadDriver(
+            EventLoopGroup eventLoopGroup, List<HostAddress> targets, LoadPlan plan, RequestFactory requestFactory) {
         this.plan = plan;
-        this.form = form;
-        this.group = group;
+        this.requestFactory = requestFactory;
+        this.eventLoopGroup = eventLoopGroup;
         this.runId = "l" + Long.toString(System.nanoTime(), Character.MAX_RADIX) + "-" + plan.seed();
         HttpClientOptions options = new HttpClientOptions(
                 MAX_CONNECTIONS_PER_TARGET, MAX_CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS, 16_777_216, 60_000);
-        targets.forEach(target -> clients.add(new HttpClient(group, target, options)));
+        targets.forEach(target -> clients.add(new HttpClient(eventLoopGroup, target, options)));
     }
 
     /** Runs the workload, waits for its last answer and returns all calls. Blocks. */
     public List<CallRecord> run() {
-        KeyChooser keys = new KeyChooser(plan);
+        KeyChooser keyChooser = new KeyChooser(plan);
         Random random = new Random(plan.seed() + 1);
         startedNanos = System.nanoTime();
-        long dueNanos = startedNanos;
+        long intendedNanos = startedNanos;
         long endNanos = startedNanos + TimeUnit.MILLISECONDS.toNanos(plan.durationMs());
-        double meanGapNanos = 1e9 / plan.ratePerSecond();
-        for (long operation = 0; dueNanos < endNanos; operation++) {
-            waitUntil(dueNanos);
-            startOperation(operation, dueNanos, keys, random);
-            dueNanos += (long) (-Math.log(1 - random.nextDouble()) * meanGapNanos);
+        double meanIntervalNanos = 1e9 / plan.ratePerSecond();
+        for (long operation = 0; intendedNanos < endNanos; operation++) {
+            waitUntil(intendedNanos);
+            startOperation(operation, intendedNanos, keyChooser, random);
+            intendedNanos += (long) (-Math.log(1 - random.nextDouble()) * meanIntervalNanos);
         }
-        outstanding.arriveAndAwaitAdvance();
-        return List.copyOf(records);
+        pendingOperations.arriveAndAwaitAdvance();
+        return List.copyOf(callRecords);
     }
 
     public long startedNanos() {
         return startedNanos;
     }
 
-    private void startOperation(long operation, long dueNanos, KeyChooser keys, Random random) {
-        long elapsedMs = TimeUnit.NANOSECONDS.toMillis(dueNanos - startedNanos);
-        String key = keys.next(elapsedMs);
+    private void startOperation(long operation, long intendedNanos, KeyChooser keyChooser, Random random) {
+        long elapsedMs = TimeUnit.NANOSECONDS.toMillis(intendedNanos - startedNanos);
+        String key = keyChooser.nextKey(elapsedMs);
         boolean write = random.nextInt(100) < plan.writePercent();
         String requestId = runId + "-" + operation;
         String value = write ? key + "=" + requestId + "x".repeat(plan.bodyBytes()) : "";
-        Attempt first = new Attempt(operation, 1, requestId, key, write ? "PUT" : "GET", value, requestId, 0);
-        outstanding.register();
-        send(first, dueNanos, dueNanos, random.nextInt(clients.size()));
-    }
-
-    private void send(Attempt attempt, long operationDueNanos, long dueNanos, int target) {
-        clients.get(target)
-                .send(form.create(plan, attempt), plan.deadlineMs() + CLIENT_GRACE_MS)
-                .whenComplete((reply, failure) -> {
-                    CallRecord answered = record(attempt, dueNanos, Optional.ofNullable(reply));
-                    records.add(answered);
-                    if (isFinal(answered) || attempt.number() > plan.maxRetries()) {
-                        outstanding.arriveAndDeregister();
+        Attempt firstAttempt = new Attempt(operation, 1, requestId, key, write ? "PUT" : "GET", value, requestId, 0);
+        pendingOperations.register();
+        send(firstAttempt, intendedNanos, intendedNanos, random.nextInt(clients.size()));
+    }
+
+    private void send(Attempt attempt, long firstIntendedNanos, long intendedNanos, int targetIndex) {
+        clients.get(targetIndex)
+                .send(requestFactory.create(plan, attempt), plan.deadlineMs() + CLIENT_TIMEOUT_MARGIN_MS)
+                .whenComplete((response, failure) -> {
+                    CallRecord call = toCallRecord(attempt, intendedNanos, Optional.ofNullable(response));
+                    callRecords.add(call);
+                    if (isFinal(call) || attempt.number() > plan.maxRetries()) {
+                        pendingOperations.arriveAndDeregister();
                     } else {
-                        repeatLater(attempt, operationDueNanos, target, retryAfterMs(reply));
+                        scheduleRetry(attempt, firstIntendedNanos, targetIndex, retryAfterMs(response));
                     }
                 });
     }
@@ -122,20 +123,21 @@
      * Whether a repeat cannot change the answer: success, a fault of the request, or a lost record, since the age of an
      * idempotency key only grows.
      */
-    private static boolean isFinal(CallRecord answered) {
-        int code = answered.resultCode();
-        return answered.succeeded()
-                || (code >= FIRST_REQUEST_FAULT && code <= LAST_REQUEST_FAULT)
+    private static boolean isFinal(CallRecord call) {
+        int code = call.resultCode();
+        return call.succeeded()
+                || (code >= FIRST_REQUEST_ERROR_CODE && code <= LAST_REQUEST_ERROR_CODE)
                 || code == ResultCode.RECORD_LOST.number();
     }
 
-    private void repeatLater(Attempt attempt, long operationDueNanos, int target, long pauseMs) {
+    private void scheduleRetry(Attempt attempt, long firstIntendedNanos, int targetIndex, long delayMs) {
         int nextNumber = attempt.number() + 1;
-        group.next()
+        eventLoopGroup
+                .next()
                 .schedule(
                         () -> {
                             long nowNanos = System.nanoTime();
-                            Attempt next = new Attempt(
+                            Attempt retry = new Attempt(
                                     attempt.operation(),
                                     nextNumber,
                                     runId + "-" + attempt.operation() + "-r" + nextNumber,
@@ -143,28 +145,28 @@
                                     attempt.method(),
                                     attempt.value(),
                                     attempt.idempotencyKey(),
-                                    TimeUnit.NANOSECONDS.toMillis(nowNanos - operationDueNanos));
-                            send(next, operationDueNanos, nowNanos, (target + 1) % clients.size());
+                                    TimeUnit.NANOSECONDS.toMillis(nowNanos - firstIntendedNanos));
+                            send(retry, firstIntendedNanos, nowNanos, (targetIndex + 1) % clients.size());
                         },
-                        pauseMs,
+                        delayMs,
                         TimeUnit.MILLISECONDS);
     }
 
-    private static long retryAfterMs(HttpResponse reply) {
-        if (reply == null) {
+    private static long retryAfterMs(HttpResponse response) {
+        if (response == null) {
             return DEFAULT_RETRY_AFTER_MS;
         }
-        return number(reply, "crank-retry-after-ms").orElse(DEFAULT_RETRY_AFTER_MS);
+        return parseNumber(response, "crank-retry-after-ms").orElse(DEFAULT_RETRY_AFTER_MS);
     }
 
-    private CallRecord record(Attempt attempt, long dueNanos, Optional<HttpResponse> reply) {
-        int code = (int) reply.map(r ->
-                        number(r, "crank-result").orElse(r.status() < STATUS_SERVER_ERROR ? 0 : CallRecord.NO_ANSWER))
+    private CallRecord toCallRecord(Attempt attempt, long intendedNanos, Optional<HttpResponse> response) {
+        int code = (int) response.map(received -> parseNumber(received, "crank-result")
+                        .orElse(received.status() < STATUS_SERVER_ERROR ? 0 : CallRecord.NO_ANSWER))
                 .orElse((long) CallRecord.NO_ANSWER)
                 .longValue();
         Optional<Outcome> outcome =
-                reply.flatMap(r -> r.header("crank-outcome")).flatMap(LoadDriver::outcome);
-        boolean foreign = reply.isPresent() && isForeign(attempt, reply.get(), code);
+                response.flatMap(received -> received.header("crank-outcome")).flatMap(LoadDriver::parseOutcome);
+        boolean foreignResponse = response.isPresent() && isForeignResponse(attempt, response.get(), code);
         return new CallRecord(
                 attempt.operation(),
                 attempt.requestId(),
@@ -172,28 +174,29 @@
                 plan.keyed() ? attempt.key() : "",
                 attempt.method(),
                 "GET".equals(attempt.method()),
-                dueNanos,
+                intendedNanos,
                 System.nanoTime(),
                 code,
                 outcome,
-                foreign);
+                foreignResponse);
     }
 
     /** A value starts with its key, so the answer to a read tells whether it belongs to it. */
-    private boolean isForeign(Attempt attempt, HttpResponse reply, int code) {
-        boolean foreignId = reply.header("crank-request-id")
+    private boolean isForeignResponse(Attempt attempt, HttpResponse response, int code) {
+        boolean foreignRequestId = response.header("crank-request-id")
                 .map(id -> !id.equals(attempt.requestId()))
                 .orElse(false);
-        boolean hasValue = code == 0 && reply.status() == STATUS_OK && plan.keyed() && "GET".equals(attempt.method());
-        if (!hasValue || reply.body().length == 0) {
-            return foreignId;
+        boolean hasValue =
+                code == 0 && response.status() == STATUS_OK && plan.keyed() && "GET".equals(attempt.method());
+        if (!hasValue || response.body().length == 0) {
+            return foreignRequestId;
         }
-        String body = new String(reply.body(), StandardCharsets.UTF_8);
-        return foreignId || !body.startsWith(attempt.key() + "=");
+        String body = new String(response.body(), StandardCharsets.UTF_8);
+        return foreignRequestId || !body.startsWith(attempt.key() + "=");
     }
 
-    private static OptionalLong number(HttpResponse reply, String header) {
-        Optional<String> text = reply.header(header);
+    private static OptionalLong parseNumber(HttpResponse response, String header) {
+        Optional<String> text = response.header(header);
         try {
             return text.isPresent() ? OptionalLong.of(Long.parseLong(text.get())) : OptionalLong.empty();
         } catch (NumberFormatException e) {
@@ -201,7 +204,7 @@
         }
     }
 
-    private static Optional<Outcome> outcome(String headerValue) {
+    private static Optional<Outcome> parseOutcome(String headerValue) {
         for (Outcome outcome : Outcome.values()) {
             if (outcome.headerValue().equals(headerValue)) {
                 return Optional.of(outcome);
@@ -210,15 +213,15 @@
         return Optional.empty();
     }
 
-    private static void waitUntil(long dueNanos) {
-        long remainingNanos = dueNanos - System.nanoTime();
+    private static void waitUntil(long intendedNanos) {
+        long remainingNanos = intendedNanos - System.nanoTime();
         while (remainingNanos > 0) {
-            if (remainingNanos > SPIN_BELOW_NANOS) {
-                LockSupport.parkNanos(remainingNanos - SPIN_BELOW_NANOS);
+            if (remainingNanos > SPIN_THRESHOLD_NANOS) {
+                LockSupport.parkNanos(remainingNanos - SPIN_THRESHOLD_NANOS);
             } else {
                 Thread.onSpinWait();
             }
-            remainingNanos = dueNanos - System.nanoTime();
+            remainingNanos = intendedNanos - System.nanoTime();
         }
     }
 
@@ -234,7 +237,7 @@
         headers.add(new Header("crank-deadline-ms", Long.toString(plan.deadlineMs())));
         if (!"GET".equals(attempt.method())) {
             headers.add(new Header("idempotency-key", attempt.idempotencyKey()));
-            headers.add(new Header("crank-key-age-ms", Long.toString(attempt.ageMs())));
+            headers.add(new Header("crank-key-age-ms", Long.toString(attempt.idempotencyKeyAgeMs())));
         }
         String path = "/v1/" + plan.service() + (plan.keyed() ? "/" + attempt.key() : "");
         return new HttpRequest(attempt.method(), path, headers, attempt.value().getBytes(StandardCharsets.UTF_8));
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.load.internal.Scenario.ServiceShare;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.ExplicitBooleanOptionHandler;
@@ -75,38 +75,38 @@
     private long seed = 1;
 
     @Option(name = "--ledgers", metaVar = "PATH,...", usage = "ledger files of the backend servers")
-    private String ledgers = "";
+    private String ledgerFiles = "";
 
     @Option(name = "--report", metaVar = "PATH", usage = "start of the names of the report files; empty: none")
-    private String report = "";
+    private String reportPathPrefix = "";
 
     private final List<HostAddress> parsedTargets = new ArrayList<>();
     private Optional<Scenario> parsedScenario = Optional.empty();
 
     @Override
-    public void validate(ValidationErrors faults) {
+    public void validate(ValidationErrors errors) {
         if (targets == null || targets.isEmpty()) {
-            faults.add("--targets", "is required");
+            errors.add("--targets", "is required");
         } else {
             for (String target : targets.split(",")) {
-                parsedTargets.add(faults.parse("--targets", target, HostAddress::parse));
+                parsedTargets.add(errors.parse("--targets", target, HostAddress::parse));
             }
         }
         if (!scenario.isEmpty()) {
-            parsedScenario = Optional.ofNullable(faults.parse("--scenario", scenario, LoadSettings::parseScenario));
+            parsedScenario = Optional.ofNullable(errors.parse("--scenario", scenario, LoadSettings::parseScenario));
         }
-        faults.requireRange("--rate", ratePerSecond, 1, 1_000_000);
-        faults.requireRange("--duration-ms", durationMs, 1, MAX_DURATION_MS);
-        faults.requireRange("--warmup-ms", warmupMs, 0, MAX_DURATION_MS);
-        faults.requireRange("--keys", keys, 1, 10_000_000);
-        faults.requireRange("--hot-keys", hotKeys, 0, keys);
-        faults.requireRange("--hot-change-ms", hotChangeMs, 1, MAX_DURATION_MS);
-        faults.requireRange("--write-percent", writePercent, 0, 100);
-        faults.requireRange("--body-bytes", bodyBytes, 0, 1_048_576);
-        faults.requireRange("--deadline-ms", deadlineMs, 1, 600_000);
-        faults.requireRange("--max-repeats", maxRetries, 0, 100);
+        errors.requireRange("--rate", ratePerSecond, 1, 1_000_000);
+        errors.requireRange("--duration-ms", durationMs, 1, MAX_DURATION_MS);
+        errors.requireRange("--warmup-ms", warmupMs, 0, MAX_DURATION_MS);
+        errors.requireRange("--keys", keys, 1, 10_000_000);
+        errors.requireRange("--hot-keys", hotKeys, 0, keys);
+        errors.requireRange("--hot-change-ms", hotChangeMs, 1, MAX_DURATION_MS);
+        errors.requireRange("--write-percent", writePercent, 0, 100);
+        errors.requireRange("--body-bytes", bodyBytes, 0, 1_048_576);
+        errors.requireRange("--deadline-ms", deadlineMs, 1, 600_000);
+        errors.requireRange("--max-repeats", maxRetries, 0, 100);
         if (zipfExponent < 0 || zipfExponent > 3) {
-            faults.add("--zipf", "must be between 0 and 3");
+            errors.add("--zipf", "must be between 0 and 3");
         }
     }
 
@@ -119,9 +119,9 @@
     }
 
     /** A line above the reports of a scenario. */
-    public Optional<String> heading() {
-        return parsedScenario.map(
-                known -> "scenario " + scenario + ", for servers with " + known.slotsPerServer() + " slots");
+    public Optional<String> scenarioHeading() {
+        return parsedScenario.map(knownScenario ->
+                "scenario " + scenario + ", for servers with " + knownScenario.slotsPerServer() + " slots");
     }
 
     /** The plans of the run, which start together: one, or one for each service of the scenario. */
@@ -139,23 +139,23 @@
             return List.of(plan(new ServiceShare(service, keyed, 100, writePercent), planDurationMs, firstSeed));
         }
         List<LoadPlan> plans = new ArrayList<>();
-        for (ServiceShare part : parsedScenario.get().parts()) {
-            plans.add(plan(part, planDurationMs, firstSeed + plans.size()));
+        for (ServiceShare share : parsedScenario.get().serviceShares()) {
+            plans.add(plan(share, planDurationMs, firstSeed + plans.size()));
         }
         return plans;
     }
 
-    private LoadPlan plan(ServiceShare part, long planDurationMs, long planSeed) {
+    private LoadPlan plan(ServiceShare share, long planDurationMs, long planSeed) {
         return new LoadPlan(
-                part.service(),
-                part.keyed(),
-                Math.max(1, ratePerSecond * part.ratePercent() / 100),
+                share.service(),
+                share.keyed(),
+                Math.max(1, ratePerSecond * share.ratePercent() / 100),
                 planDurationMs,
                 keys,
                 zipfExponent,
                 hotKeys,
                 hotChangeMs,
-                part.writePercent(),
+                share.writePercent(),
                 bodyBytes,
                 deadlineMs,
                 maxRetries,
@@ -163,21 +163,21 @@
     }
 
     private static Scenario parseScenario(String name) {
-        for (Scenario known : Scenario.values()) {
-            if (known.name().toLowerCase(Locale.ROOT).equals(name)) {
-                return known;
+        for (Scenario candidate : Scenario.values()) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(name)) {
+                return candidate;
             }
         }
         throw new IllegalArgumentException("must be authority or tincturia, got " + name);
     }
 
-    public List<Path> ledgers() {
-        return ledgers.isEmpty()
+    public List<Path> ledgerFiles() {
+        return ledgerFiles.isEmpty()
                 ? List.of()
-                : List.of(ledgers.split(",")).stream().map(Path::of).toList();
+                : List.of(ledgerFiles.split(",")).stream().map(Path::of).toList();
     }
 
-    public String report() {
-        return report;
+    public String reportPathPrefix() {
+        return reportPathPrefix;
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanResult.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanResult.java
@@ -26,41 +26,49 @@
 
     /** Runs plans at the same time and waits for all. Blocks. */
     public static List<PlanResult> runAll(
-            EventLoopGroup group, List<HostAddress> targets, List<LoadPlan> plans, LoadDriver.RequestFactory form) {
+            EventLoopGroup eventLoopGroup,
+            List<HostAddress> targets,
+            List<LoadPlan> plans,
+            LoadDriver.RequestFactory requestFactory) {
         ExecutorService executor = Executors.newFixedThreadPool(plans.size());
         try {
-            List<CompletableFuture<PlanResult>> runs = plans.stream()
-                    .map(plan -> CompletableFuture.supplyAsync(() -> run(group, targets, plan, form), executor))
+            List<CompletableFuture<PlanResult>> pendingResults = plans.stream()
+                    .map(plan -> CompletableFuture.supplyAsync(
+                            () -> run(eventLoopGroup, targets, plan, requestFactory), executor))
                     .toList();
-            return runs.stream().map(CompletableFuture::join).toList();
+            return pendingResults.stream().map(CompletableFuture::join).toList();
         } finally {
             executor.shutdown();
         }
     }
 
     private static PlanResult run(
-            EventLoopGroup group, List<HostAddress> targets, LoadPlan plan, LoadDriver.RequestFactory form) {
-        try (LoadDriver driver = new LoadDriver(group, targets, plan, form)) {
+            EventLoopGroup eventLoopGroup,
+            List<HostAddress> targets,
+            LoadPlan plan,
+            LoadDriver.RequestFactory requestFactory) {
+        try (LoadDriver driver = new LoadDriver(eventLoopGroup, targets, plan, requestFactory)) {
             List<CallRecord> calls = driver.run();
             return new PlanResult(plan.service(), driver.startedNanos(), calls);
         }
     }
 
     /** All calls of several runs with operation numbers that are unique among them. */
-    public static PlanResult merge(List<PlanResult> runs) {
-        List<CallRecord> all = new ArrayList<>();
+    public static PlanResult merge(List<PlanResult> results) {
+        List<CallRecord> mergedCalls = new ArrayList<>();
         long firstOperation = 0;
-        for (PlanResult run : runs) {
-            long highest = firstOperation;
-            for (CallRecord call : run.calls) {
+        for (PlanResult result : results) {
+            long lastOperation = firstOperation;
+            for (CallRecord call : result.calls) {
                 CallRecord renumbered = call.withOperation(firstOperation + call.operation());
-                all.add(renumbered);
-                highest = Math.max(highest, renumbered.operation());
+                mergedCalls.add(renumbered);
+                lastOperation = Math.max(lastOperation, renumbered.operation());
             }
-            firstOperation = highest + 1;
+            firstOperation = lastOperation + 1;
         }
-        long startedNanos = runs.stream().mapToLong(PlanResult::startedNanos).min().orElseThrow();
-        return new PlanResult("total", startedNanos, all);
+        long startedNanos =
+                results.stream().mapToLong(PlanResult::startedNanos).min().orElseThrow();
+        return new PlanResult("total", startedNanos, mergedCalls);
     }
 
     /** The executions of these calls. */
@@ -73,9 +81,9 @@
     }
 
     /** Figures of these calls. Without ledgers only what answers show on their own is checked. */
-    public LoadReport report(Optional<List<Execution>> executions) {
+    public LoadReport toReport(Optional<List<Execution>> executions) {
         return executions
-                .map(known -> LoadReport.of(startedNanos, calls, known))
+                .map(availableExecutions -> LoadReport.of(startedNanos, calls, availableExecutions))
                 .orElseGet(() -> LoadReport.withoutLedgers(startedNanos, calls));
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportWriter.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportWriter.java
@@ -11,9 +11,9 @@
     private ReportWriter() {}
 
     /** Writes {@code <start>.txt}, {@code <start>.json} and {@code <start>.svg}. */
-    public static void write(String start, LoadReport report) throws IOException {
-        Files.write(Path.of(start + ".txt"), report.lines());
-        Files.write(Path.of(start + ".json"), JsonCodec.encode(report));
-        Files.writeString(Path.of(start + ".svg"), SvgPlot.svg(report.perSecond()));
+    public static void write(String pathPrefix, LoadReport report) throws IOException {
+        Files.write(Path.of(pathPrefix + ".txt"), report.toLines());
+        Files.write(Path.of(pathPrefix + ".json"), JsonCodec.encode(report));
+        Files.writeString(Path.of(pathPrefix + ".svg"), SvgPlot.render(report.perSecond()));
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
@@ -28,7 +28,7 @@
         return slotsPerServer;
     }
 
-    List<ServiceShare> parts() {
+    List<ServiceShare> serviceShares() {
         return switch (this) {
             case AUTHORITY ->
                 List.of(
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/SvgPlot.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/SvgPlot.java
@@ -13,47 +13,47 @@
 
     private SvgPlot() {}
 
-    static String svg(List<SecondStats> seconds) {
-        StringBuilder out = new StringBuilder(String.format(
+    static String render(List<SecondStats> seconds) {
+        StringBuilder svg = new StringBuilder(String.format(
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" font-family=\"sans-serif\""
                         + " font-size=\"12\">%n",
                 WIDTH,
                 3 * PANEL_HEIGHT));
-        panel(out, 0, "succeeded per second", "#2a7", seconds, SecondStats::succeeded);
-        panel(out, 1, "failed per second", "#c33", seconds, SecondStats::failed);
-        panel(out, 2, "imbalance (max/mean)", "#36c", seconds, SecondStats::imbalance);
-        return out.append("</svg>\n").toString();
+        appendPanel(svg, 0, "succeeded per second", "#2a7", seconds, SecondStats::succeeded);
+        appendPanel(svg, 1, "failed per second", "#c33", seconds, SecondStats::failed);
+        appendPanel(svg, 2, "imbalance (max/mean)", "#36c", seconds, SecondStats::imbalance);
+        return svg.append("</svg>\n").toString();
     }
 
-    private static void panel(
-            StringBuilder out,
+    private static void appendPanel(
+            StringBuilder svg,
             int index,
             String title,
             String colour,
             List<SecondStats> seconds,
             ToDoubleFunction<SecondStats> value) {
         double max = Math.max(1, seconds.stream().mapToDouble(value).max().orElse(1));
-        int bottom = (index + 1) * PANEL_HEIGHT - 15;
+        int bottomY = (index + 1) * PANEL_HEIGHT - 15;
         double height = PANEL_HEIGHT - MARGIN;
-        double step = (WIDTH - 2.0 * MARGIN) / Math.max(1, seconds.size() - 1);
+        double stepX = (WIDTH - 2.0 * MARGIN) / Math.max(1, seconds.size() - 1);
         StringBuilder points = new StringBuilder();
         for (int i = 0; i < seconds.size(); i++) {
-            double y = bottom - value.applyAsDouble(seconds.get(i)) / max * height;
-            points.append(String.format(Locale.ROOT, "%.1f,%.1f ", MARGIN + i * step, y));
+            double y = bottomY - value.applyAsDouble(seconds.get(i)) / max * height;
+            points.append(String.format(Locale.ROOT, "%.1f,%.1f ", MARGIN + i * stepX, y));
         }
-        out.append(String.format(
+        svg.append(String.format(
                 Locale.ROOT,
                 "<text x=\"%d\" y=\"%d\">%s, top %.2f</text>%n<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\""
                         + " stroke=\"#999\"/>%n<polyline fill=\"none\" stroke=\"%s\" points=\"%s\"/>%n",
                 MARGIN,
-                bottom - (int) height - 5,
+                bottomY - (int) height - 5,
                 title,
                 max,
                 MARGIN,
-                bottom,
+                bottomY,
                 WIDTH - MARGIN,
-                bottom,
+                bottomY,
                 colour,
                 points));
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.id.ServiceName;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 import org.coriandercrank.standin.internal.BackendOptions;
@@ -62,28 +62,28 @@
     long faultSeed = 1;
 
     @Override
-    public void validate(ValidationErrors faults) {
-        faults.parse("--service", service, ServiceName::new);
-        faults.parse("--listen", listen, HostAddress::parse);
+    public void validate(ValidationErrors errors) {
+        errors.parse("--service", service, ServiceName::new);
+        errors.parse("--listen", listen, HostAddress::parse);
         if (!daemon.isEmpty()) {
-            faults.parse("--daemon", daemon, HostAddress::parse);
+            errors.parse("--daemon", daemon, HostAddress::parse);
         }
         if (name.isEmpty()) {
-            faults.add("--name", "is required");
+            errors.add("--name", "is required");
         }
-        faults.attempt("--capabilities", this::capabilitySet);
-        faults.requireRange("--slots", slots, 1, MAX_COUNT);
-        faults.requireRange("--max-connections", maxConnections, 1, MAX_COUNT);
-        faults.requireRange("--queue-limit", queueLimit, 0, MAX_COUNT);
-        faults.requireRange("--service-ms", serviceMs, 0, MAX_DURATION_MS);
-        faults.requireRange("--cold-start-ms", coldStartMs, 0, MAX_DURATION_MS);
-        faults.requireRange("--health-lag-ms", healthLagMs, 0, MAX_DURATION_MS);
+        errors.attempt("--capabilities", this::parseCapabilities);
+        errors.requireRange("--slots", slots, 1, MAX_COUNT);
+        errors.requireRange("--max-connections", maxConnections, 1, MAX_COUNT);
+        errors.requireRange("--queue-limit", queueLimit, 0, MAX_COUNT);
+        errors.requireRange("--service-ms", serviceMs, 0, MAX_DURATION_MS);
+        errors.requireRange("--cold-start-ms", coldStartMs, 0, MAX_DURATION_MS);
+        errors.requireRange("--health-lag-ms", healthLagMs, 0, MAX_DURATION_MS);
         if (!(coldStartFactor >= 1 && coldStartFactor <= MAX_COLD_START_FACTOR)) {
-            faults.add("--cold-start-factor", "must be between 1 and " + MAX_COLD_START_FACTOR);
+            errors.add("--cold-start-factor", "must be between 1 and " + MAX_COLD_START_FACTOR);
         }
     }
 
-    private Set<Capability> capabilitySet() {
+    private Set<Capability> parseCapabilities() {
         if ("none".equals(capabilities)) {
             return Set.of();
         }
@@ -93,13 +93,13 @@
     }
 
     /** What the server announces when it is bound to an address. */
-    BackendInfo info(HostAddress bound) {
-        return new BackendInfo(name, new ServiceName(service), bound, slots, maxConnections, capabilitySet());
+    BackendInfo backendInfo(HostAddress bound) {
+        return new BackendInfo(name, new ServiceName(service), bound, slots, maxConnections, parseCapabilities());
     }
 
-    BackendOptions options() {
+    BackendOptions toOptions() {
         return new BackendOptions(
-                info(HostAddress.parse(listen)),
+                backendInfo(HostAddress.parse(listen)),
                 queueLimit,
                 serviceMs,
                 coldStartMs,
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
-import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
+import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.coriandercrank.kernel.time.TimerService;
@@ -26,7 +26,7 @@
     private static final int IO_THREADS = 2;
     private static final int TASK_QUEUE_CAPACITY = 65_536;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final SingleThreadExecutor executor = new SingleThreadExecutor("backend", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
@@ -37,18 +37,19 @@
     private final Optional<Announcer> announcer;
 
     private CrankBackend(BackendSettings settings) {
-        service = new BackendService(settings.options(), executor, timers);
+        service = new BackendService(settings.toOptions(), executor, timers);
         server = HttpServer.listen(
-                group,
+                eventLoopGroup,
                 HostAddress.parse(settings.listen),
                 HttpServerOptions.DEFAULTS,
                 settings.maxConnections,
                 service);
-        service.reportConnections(server::openConnections, server::peakConnections);
-        info = settings.info(server.address());
+        service.setConnectionCounters(server::openConnections, server::peakConnections);
+        info = settings.backendInfo(server.address());
         announcer = settings.daemon.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Announcer(group, executor, timers, HostAddress.parse(settings.daemon), info));
+                : Optional.of(
+                        new Announcer(eventLoopGroup, executor, timers, HostAddress.parse(settings.daemon), info));
     }
 
     /** Starts a server; returns when it listens. */
@@ -71,12 +72,12 @@
         timers.close();
         executor.close();
         service.close();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
     /** Runs until the process is stopped. */
     public static void main(String[] arguments) {
-        StandInMain.run("crank-backend", new BackendSettings(), arguments, settings -> {
+        StandInLauncher.run("crank-backend", new BackendSettings(), arguments, settings -> {
             CrankBackend backend = start(settings);
             logger.atInfo().log(
                     "event=backend-started name=%s listen=%s",
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
@@ -8,8 +8,8 @@
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
-import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
+import org.coriandercrank.kernel.id.HostAddress;
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.coriandercrank.kernel.time.TimerService;
 import org.coriandercrank.standin.internal.FaultInjector;
@@ -29,7 +29,7 @@
     private static final int IO_THREADS = 2;
     private static final int TASK_QUEUE_CAPACITY = 16_384;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final SingleThreadExecutor executor = new SingleThreadExecutor("store", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
@@ -44,7 +44,7 @@
                 new FaultInjector(timers.clock(), settings.faultSeed));
         HttpServerOptions options = new HttpServerOptions(
                 8_192, 16_384, MAX_VALUE_BYTES, status -> HttpResponse.text(status, "request rejected\n"));
-        server = HttpServer.listen(group, HostAddress.parse(settings.listen), options, service);
+        server = HttpServer.listen(eventLoopGroup, HostAddress.parse(settings.listen), options, service);
     }
 
     /** Starts a store; returns when it listens. */
@@ -64,12 +64,12 @@
         server.close();
         timers.close();
         executor.close();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
     /** Runs until the process is stopped. */
     public static void main(String[] arguments) {
-        StandInMain.run("crank-store", new StoreSettings(), arguments, settings -> {
+        StandInLauncher.run("crank-store", new StoreSettings(), arguments, settings -> {
             CrankStore store = start(settings);
             logger.atInfo().log("event=store-started listen=%s", store.address());
             return store;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StandInMain.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StandInLauncher.java
@@ -7,13 +7,14 @@
 import org.coriandercrank.kernel.settings.Settings;
 
 /** Common start of the stand-in programs. Stateless. */
-final class StandInMain {
-    private StandInMain() {}
+final class StandInLauncher {
+    private StandInLauncher() {}
 
     /** Loads settings, starts the program and closes it when the process is asked to end. */
-    static <T extends Settings> void run(String program, T bean, String[] arguments, Function<T, AutoCloseable> start) {
+    static <T extends Settings> void run(
+            String program, T defaults, String[] arguments, Function<T, AutoCloseable> start) {
         LogSetup.configure(Level.INFO);
-        T settings = CommandLine.loadOrExit(program, bean, arguments);
+        T settings = CommandLine.loadOrExit(program, defaults, arguments);
         AutoCloseable running = start.apply(settings);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> closeQuietly(running), "shutdown"));
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.standin;
 
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 
 /** Settings of {@code crank-store}. Not thread safe; not changed after loading. */
@@ -19,8 +19,8 @@
     long faultSeed = 1;
 
     @Override
-    public void validate(ValidationErrors faults) {
-        faults.parse("--listen", listen, HostAddress::parse);
-        faults.requireRange("--history-entries", historyEntries, 1, MAX_HISTORY_ENTRIES);
+    public void validate(ValidationErrors errors) {
+        errors.parse("--listen", listen, HostAddress::parse);
+        errors.requireRange("--history-entries", historyEntries, 1, MAX_HISTORY_ENTRIES);
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.Grant;
-import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
+import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 import org.coriandercrank.kernel.time.TimerService;
 
@@ -28,10 +28,10 @@
     private static final int STATUS_REJECTED = 409;
     private static final int STATUS_CANCELLED = 499;
     private static final int STATUS_UNAVAILABLE = 503;
-    private static final int STATUS_DEADLINE = 504;
+    private static final int STATUS_DEADLINE_EXPIRED = 504;
 
     /** Cancellations that overtook their request on another connection are remembered up to this number. */
-    private static final int MAX_EARLY_CANCELS = 1_024;
+    private static final int MAX_EARLY_CANCELLATIONS = 1_024;
 
     private final BackendOptions options;
     private final SingleThreadExecutor executor;
@@ -41,54 +41,59 @@
     private final GrantTable grants;
     private final ValueMap values = new ValueMap();
     private final Deque<BackendRequest> queue = new ArrayDeque<>();
-    private final Map<RequestId, BackendRequest> known = new HashMap<>();
-    private final Map<RequestId, Boolean> earlyCancels = new LinkedHashMap<>() {
+    private final Map<RequestId, BackendRequest> activeRequests = new HashMap<>();
+    private final Map<RequestId, Boolean> earlyCancellations = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RequestId, Boolean> eldest) {
-            return size() > MAX_EARLY_CANCELS;
+            return size() > MAX_EARLY_CANCELLATIONS;
         }
     };
-    private final long startedAtMs;
-    private int running;
-    private long started;
-    private long rejected;
+    private final long serverStartMs;
+    private int runningRequests;
+    private long startedRequests;
+    private long rejectedRequests;
     private boolean draining;
 
-    BackendEngine(BackendOptions options, SingleThreadExecutor executor, TimerService timers, FaultInjector faults, Ledger ledger) {
+    BackendEngine(
+            BackendOptions options,
+            SingleThreadExecutor executor,
+            TimerService timers,
+            FaultInjector faults,
+            Ledger ledger) {
         this.options = options;
         this.executor = executor;
         this.timers = timers;
         this.faults = faults;
         this.ledger = ledger;
         this.grants = new GrantTable(options.info().capabilities());
-        this.startedAtMs = timers.clock().nowMs();
+        this.serverStartMs = timers.clock().nowMs();
     }
 
     /** Queues a request or refuses it at once. */
-    void arrive(HttpRequest call, CompletableFuture<HttpResponse> result) {
-        BackendRequest execution = new BackendRequest(call, timers.clock().nowNanos(), result);
+    void submit(HttpRequest httpRequest, CompletableFuture<HttpResponse> response) {
+        BackendRequest request = new BackendRequest(httpRequest, timers.clock().nowNanos(), response);
         if (faults.isTriggered(FaultKind.CLOSED)) {
-            result.completeExceptionally(HttpAbortException.withoutResponse());
+            response.completeExceptionally(HttpAbortException.withoutResponse());
             return;
         }
-        Optional<HttpResponse> refusal = arrivalRefusal(execution);
-        if (refusal.isPresent()) {
-            rejected++;
-            result.complete(refusal.get());
+        Optional<HttpResponse> rejection = rejectionOnArrival(request);
+        if (rejection.isPresent()) {
+            rejectedRequests++;
+            response.complete(rejection.get());
             return;
         }
-        known.put(execution.id, execution);
-        queue.add(execution);
-        if (has(Capability.DEADLINE) && execution.deadlineMs.isPresent()) {
-            execution.deadlineTimer =
-                    timers.once(execution.deadlineMs.get(), executor, () -> stop(execution, STATUS_DEADLINE, "deadline"));
+        activeRequests.put(request.id, request);
+        queue.add(request);
+        if (hasCapability(Capability.DEADLINE) && request.deadlineMs.isPresent()) {
+            request.deadlineTimer = timers.once(
+                    request.deadlineMs.get(), executor, () -> abort(request, STATUS_DEADLINE_EXPIRED, "deadline"));
         }
         startQueued();
     }
 
-    private Optional<HttpResponse> arrivalRefusal(BackendRequest execution) {
+    private Optional<HttpResponse> rejectionOnArrival(BackendRequest request) {
         if (draining) {
             return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "draining"));
         }
@@ -98,125 +103,125 @@
         if (faults.isTriggered(FaultKind.SHED) || queue.size() >= options.queueLimit()) {
             return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "overload"));
         }
-        if (earlyCancels.remove(execution.id) != null) {
+        if (earlyCancellations.remove(request.id) != null) {
             return Optional.of(Responses.notRun(STATUS_CANCELLED, "cancelled"));
         }
-        return executionRefusal(execution);
+        return rejectionBeforeExecution(request);
     }
 
-    private Optional<HttpResponse> executionRefusal(BackendRequest execution) {
+    private Optional<HttpResponse> rejectionBeforeExecution(BackendRequest request) {
         long nowNanos = timers.clock().nowNanos();
-        if (has(Capability.DEADLINE) && execution.deadlinePassed(nowNanos)) {
-            return Optional.of(Responses.notRun(STATUS_DEADLINE, "deadline"));
+        if (hasCapability(Capability.DEADLINE) && request.isDeadlineExpired(nowNanos)) {
+            return Optional.of(Responses.notRun(STATUS_DEADLINE_EXPIRED, "deadline"));
         }
-        return grants.refusal(execution, nowNanos).map(reason -> Responses.notRun(STATUS_REJECTED, reason));
+        return grants.rejectionReason(request, nowNanos).map(reason -> Responses.notRun(STATUS_REJECTED, reason));
     }
 
     private void startQueued() {
-        while (running < options.info().slots() && !queue.isEmpty()) {
-            BackendRequest execution = queue.poll();
-            if (execution.done || refuse(execution)) {
+        while (runningRequests < options.info().slots() && !queue.isEmpty()) {
+            BackendRequest request = queue.poll();
+            if (request.done || rejectIfNotAllowed(request)) {
                 continue;
             }
-            execution.running = true;
-            execution.order = ++started;
-            execution.startNanos = timers.clock().nowNanos();
-            execution.startWallMs = System.currentTimeMillis();
-            running++;
-            long serviceMs = serviceMs();
+            request.running = true;
+            request.startOrder = ++startedRequests;
+            request.startNanos = timers.clock().nowNanos();
+            request.startWallMs = System.currentTimeMillis();
+            runningRequests++;
+            long serviceMs = currentServiceMs();
             if (serviceMs == 0) {
-                finish(execution);
+                finish(request);
             } else {
                 timers.once(serviceMs, executor, () -> {
-                    finish(execution);
+                    finish(request);
                     startQueued();
                 });
             }
         }
     }
 
-    private long serviceMs() {
-        long slowMs = faults.trigger(FaultKind.SLOW).map(Fault::delayMs).orElse(0L);
-        long ageMs = timers.clock().nowMs() - startedAtMs;
+    private long currentServiceMs() {
+        long addedDelayMs = faults.trigger(FaultKind.SLOW).map(Fault::delayMs).orElse(0L);
+        long uptimeMs = timers.clock().nowMs() - serverStartMs;
         double factor = 1;
-        if (ageMs < options.coldStartMs()) {
-            factor += (options.coldStartFactor() - 1) * (options.coldStartMs() - ageMs) / options.coldStartMs();
+        if (uptimeMs < options.coldStartMs()) {
+            factor += (options.coldStartFactor() - 1) * (options.coldStartMs() - uptimeMs) / options.coldStartMs();
         }
-        return Math.round(options.serviceMs() * factor) + slowMs;
+        return Math.round(options.serviceMs() * factor) + addedDelayMs;
     }
 
-    private boolean refuse(BackendRequest execution) {
-        Optional<HttpResponse> refusal = executionRefusal(execution);
-        refusal.ifPresent(reply -> end(execution, reply));
-        return refusal.isPresent();
+    private boolean rejectIfNotAllowed(BackendRequest request) {
+        Optional<HttpResponse> rejection = rejectionBeforeExecution(request);
+        rejection.ifPresent(rejectionResponse -> reject(request, rejectionResponse));
+        return rejection.isPresent();
     }
 
-    private void finish(BackendRequest execution) {
-        if (execution.done || refuse(execution)) {
+    private void finish(BackendRequest request) {
+        if (request.done || rejectIfNotAllowed(request)) {
             return;
         }
-        HttpResponse reply = values.apply(execution.valueName(), execution.call);
+        HttpResponse response = values.apply(request.valueName(), request.httpRequest);
         ledger.append(new LedgerEntry(
-                execution.order,
+                request.startOrder,
                 options.info().name(),
-                execution.id.value(),
-                execution.key.map(Object::toString).orElse(""),
-                execution.call.method(),
-                execution.fence.value(),
-                execution.startNanos,
+                request.id.value(),
+                request.key.map(Object::toString).orElse(""),
+                request.httpRequest.method(),
+                request.fence.value(),
+                request.startNanos,
                 timers.clock().nowNanos(),
-                execution.startWallMs,
+                request.startWallMs,
                 System.currentTimeMillis()));
-        release(execution);
+        removeRequest(request);
         if (faults.isTriggered(FaultKind.UNANSWERED)) {
-            execution.result.completeExceptionally(HttpAbortException.withoutResponse());
+            request.response.completeExceptionally(HttpAbortException.withoutResponse());
         } else if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
-            execution.result.completeExceptionally(HttpAbortException.midResponse(reply));
+            request.response.completeExceptionally(HttpAbortException.midResponse(response));
         } else {
-            execution.result.complete(reply);
+            request.response.complete(response);
         }
     }
 
-    private void end(BackendRequest execution, HttpResponse refusal) {
-        rejected++;
-        release(execution);
-        execution.result.complete(refusal);
+    private void reject(BackendRequest request, HttpResponse rejection) {
+        rejectedRequests++;
+        removeRequest(request);
+        request.response.complete(rejection);
     }
 
-    private void release(BackendRequest execution) {
-        execution.done = true;
-        execution.deadlineTimer.cancel();
-        known.remove(execution.id, execution);
-        if (execution.running) {
-            running--;
+    private void removeRequest(BackendRequest request) {
+        request.done = true;
+        request.deadlineTimer.cancel();
+        activeRequests.remove(request.id, request);
+        if (request.running) {
+            runningRequests--;
         }
     }
 
-    private boolean stop(BackendRequest execution, int status, String reason) {
-        if (execution.done) {
+    private boolean abort(BackendRequest request, int status, String reason) {
+        if (request.done) {
             return false;
         }
-        queue.remove(execution);
-        end(execution, Responses.notRun(status, reason));
+        queue.remove(request);
+        reject(request, Responses.notRun(status, reason));
         startQueued();
         return true;
     }
 
     /** Stops a request that has not taken effect; true if it was found. */
     boolean cancel(RequestId id) {
-        if (!has(Capability.CANCEL)) {
+        if (!hasCapability(Capability.CANCEL)) {
             return false;
         }
-        BackendRequest execution = known.get(id);
-        if (execution == null) {
-            earlyCancels.put(id, true);
+        BackendRequest request = activeRequests.get(id);
+        if (request == null) {
+            earlyCancellations.put(id, true);
             return false;
         }
-        return stop(execution, STATUS_CANCELLED, "cancelled");
+        return abort(request, STATUS_CANCELLED, "cancelled");
     }
 
     /** Takes a grant; false if it is older than the present one. */
-    boolean grant(Grant grant, long sentAtNanos) {
+    boolean replaceGrant(Grant grant, long sentAtNanos) {
         return grants.replace(grant, sentAtNanos);
     }
 
@@ -224,7 +229,7 @@
         return grants.sequence();
     }
 
-    void drain() {
+    void startDraining() {
         draining = true;
     }
 
@@ -234,15 +239,21 @@
 
     /** Requests that run or wait. */
     int load() {
-        return running + queue.size();
+        return runningRequests + queue.size();
     }
 
     BackendStats stats(int openConnections, int peakConnections) {
         return new BackendStats(
-                ledger.total(), rejected, running, queue.size(), values.size(), openConnections, peakConnections);
+                ledger.totalEntries(),
+                rejectedRequests,
+                runningRequests,
+                queue.size(),
+                values.size(),
+                openConnections,
+                peakConnections);
     }
 
-    private boolean has(Capability capability) {
+    private boolean hasCapability(Capability capability) {
         return options.info().capabilities().contains(capability);
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -19,8 +19,8 @@
     final RequestId id;
     final Optional<Key> key;
     final Generation fence;
-    final HttpRequest call;
-    final CompletableFuture<HttpResponse> result;
+    final HttpRequest httpRequest;
+    final CompletableFuture<HttpResponse> response;
     /** Empty if the request has no deadline. */
     final Optional<Long> deadlineMs;
 
@@ -28,32 +28,34 @@
 
     boolean done;
     boolean running;
-    long order;
+    long startOrder;
     long startNanos;
     long startWallMs;
     Subscription deadlineTimer = () -> {};
 
     /** Fails with {@link IllegalArgumentException} if a header of the protocol is malformed. */
-    BackendRequest(HttpRequest call, long nowNanos, CompletableFuture<HttpResponse> result) {
-        this.call = call;
-        this.result = result;
-        id = new RequestId(call.header("crank-request-id").orElseThrow(IllegalArgumentException::new));
-        key = call.header("crank-key").map(BackendRequest::decode).map(Key::new);
-        fence = new Generation(call.header("crank-fence").map(Long::parseLong).orElse(0L));
-        deadlineMs = call.header("crank-deadline-ms").map(Long::parseLong).map(ms -> Math.min(ms, MAX_DEADLINE_MS));
+    BackendRequest(HttpRequest httpRequest, long nowNanos, CompletableFuture<HttpResponse> response) {
+        this.httpRequest = httpRequest;
+        this.response = response;
+        id = new RequestId(httpRequest.header("crank-request-id").orElseThrow(IllegalArgumentException::new));
+        key = httpRequest.header("crank-key").map(BackendRequest::decodeKey).map(Key::new);
+        fence = new Generation(
+                httpRequest.header("crank-fence").map(Long::parseLong).orElse(0L));
+        deadlineMs =
+                httpRequest.header("crank-deadline-ms").map(Long::parseLong).map(ms -> Math.min(ms, MAX_DEADLINE_MS));
         deadlineNanos = deadlineMs.map(ms -> nowNanos + ms * NANOS_PER_MS).orElse(Long.MAX_VALUE);
     }
 
-    private static String decode(String text) {
+    private static String decodeKey(String text) {
         return URLDecoder.decode(text.replace("+", "%2B"), StandardCharsets.UTF_8);
     }
 
     /** Name under which the value is stored: the key, or the path without query for a request without key. */
     String valueName() {
-        return key.map(Key::value).orElseGet(call::path);
+        return key.map(Key::value).orElseGet(httpRequest::path);
     }
 
-    boolean deadlinePassed(long nowNanos) {
+    boolean isDeadlineExpired(long nowNanos) {
         return deadlineMs.isPresent() && nowNanos - deadlineNanos >= 0;
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -7,15 +7,15 @@
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.IntSupplier;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.backend.BackendHealth;
 import org.coriandercrank.kernel.backend.Grant;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.time.TimerService;
 
@@ -33,11 +33,11 @@
     private final FaultInjector faults;
     private final Ledger ledger;
     private final BackendEngine engine;
-    private final HealthReporter health;
+    private final HealthReporter healthReporter;
     private final int slots;
 
     /** Tells the clock of this process from that of one before it. */
-    private final String instance = UUID.randomUUID().toString();
+    private final String clockInstanceId = UUID.randomUUID().toString();
 
     private volatile IntSupplier openConnections = () -> 0;
     private volatile IntSupplier peakConnections = () -> 0;
@@ -49,54 +49,58 @@
         this.ledger = new Ledger(options.ledgerFile());
         this.engine = new BackendEngine(options, executor, timers, faults, ledger);
         this.slots = options.info().slots();
-        this.health = new HealthReporter(
-                () -> new BackendHealth(true, engine.isDraining(), engine.load()), options.healthLagMs(), executor, timers);
+        this.healthReporter = new HealthReporter(
+                () -> new BackendHealth(true, engine.isDraining(), engine.load()),
+                options.healthLagMs(),
+                executor,
+                timers);
     }
 
     /** Sets the source of the connection counts in the statistics. */
-    public void reportConnections(IntSupplier open, IntSupplier peak) {
+    public void setConnectionCounters(IntSupplier open, IntSupplier peak) {
         openConnections = open;
         peakConnections = peak;
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
-        CompletableFuture<HttpResponse> result = new CompletableFuture<>();
-        if (!executor.offer(() -> serve(call, result))) {
-            result.complete(Responses.notRun(503, "overload"));
+    public CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> closed) {
+        CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+        if (!executor.offer(() -> dispatch(request, response))) {
+            response.complete(Responses.notRun(503, "overload"));
         }
-        return result;
+        return response;
     }
 
-    private void serve(HttpRequest call, CompletableFuture<HttpResponse> result) {
+    private void dispatch(HttpRequest request, CompletableFuture<HttpResponse> response) {
         try {
-            if (call.header("crank-request-id").isPresent()) {
-                engine.arrive(call, result);
-            } else if (call.path().startsWith("/control/")) {
-                result.complete(withClock(control(call)));
+            if (request.header("crank-request-id").isPresent()) {
+                engine.submit(request, response);
+            } else if (request.path().startsWith("/control/")) {
+                response.complete(withClock(handleControl(request)));
             } else {
-                result.complete(withClock(report(call)));
+                response.complete(withClock(handleReport(request)));
             }
         } catch (IllegalArgumentException | CrankException e) {
-            result.complete(Responses.notRun(400, "malformed"));
+            response.complete(Responses.notRun(400, "malformed"));
         }
     }
 
-    private HttpResponse withClock(HttpResponse reply) {
-        List<Header> headers = new ArrayList<>(reply.headers());
-        headers.add(new Header("crank-clock", instance + ":" + timers.clock().nowNanos()));
-        return new HttpResponse(reply.status(), headers, reply.body());
+    private HttpResponse withClock(HttpResponse response) {
+        List<Header> headers = new ArrayList<>(response.headers());
+        headers.add(
+                new Header("crank-clock", clockInstanceId + ":" + timers.clock().nowNanos()));
+        return new HttpResponse(response.status(), headers, response.body());
     }
 
-    private HttpResponse control(HttpRequest call) {
-        if ("POST".equals(call.method()) && call.path().startsWith(CANCEL_PATH)) {
-            RequestId id = new RequestId(call.path().substring(CANCEL_PATH.length()));
+    private HttpResponse handleControl(HttpRequest request) {
+        if ("POST".equals(request.method()) && request.path().startsWith(CANCEL_PATH)) {
+            RequestId id = new RequestId(request.path().substring(CANCEL_PATH.length()));
             return Responses.json(200, Map.of("cancelled", engine.cancel(id)));
         }
-        return switch (call.method() + " " + call.path()) {
-            case "PUT /control/grant" -> grant(call);
+        return switch (request.method() + " " + request.path()) {
+            case "PUT /control/grant" -> handleGrant(request);
             case "POST /control/drain" -> {
-                engine.drain();
+                engine.startDraining();
                 yield Responses.json(200, Map.of("draining", true));
             }
             case "GET /control/clock" -> Responses.json(200, Map.of("sequence", engine.grantSequence()));
@@ -105,42 +109,43 @@
     }
 
     /** The validity counts from the sending of the grant if the sender states it, else from its arrival. */
-    private HttpResponse grant(HttpRequest call) {
+    private HttpResponse handleGrant(HttpRequest request) {
         long nowNanos = timers.clock().nowNanos();
         long sentAtNanos = nowNanos;
-        Optional<String> sentAt = call.header("crank-sent-at");
+        Optional<String> sentAt = request.header("crank-sent-at");
         if (sentAt.isPresent()) {
-            int colon = sentAt.get().indexOf(':');
-            if (colon < 0 || !sentAt.get().substring(0, colon).equals(instance)) {
+            int separator = sentAt.get().indexOf(':');
+            if (separator < 0 || !sentAt.get().substring(0, separator).equals(clockInstanceId)) {
                 return Responses.notRun(412, "clock");
             }
-            long stated = Long.parseLong(sentAt.get().substring(colon + 1));
-            sentAtNanos = stated - nowNanos < 0 ? stated : nowNanos;
+            long statedNanos = Long.parseLong(sentAt.get().substring(separator + 1));
+            sentAtNanos = statedNanos - nowNanos < 0 ? statedNanos : nowNanos;
         }
-        boolean accepted = engine.grant(JsonCodec.decode(call.body(), Grant.class), sentAtNanos);
+        boolean accepted = engine.replaceGrant(JsonCodec.decode(request.body(), Grant.class), sentAtNanos);
         return Responses.json(accepted ? 200 : 409, Map.of("sequence", engine.grantSequence()));
     }
 
-    private HttpResponse report(HttpRequest call) {
-        return switch (call.method() + " " + call.path()) {
-            case "GET /health" -> Responses.json(200, health.current());
+    private HttpResponse handleReport(HttpRequest request) {
+        return switch (request.method() + " " + request.path()) {
+            case "GET /health" -> Responses.json(200, healthReporter.reportedHealth());
             case "GET /load" ->
-                Responses.json(200, Map.of("load", health.current().load(), "slots", slots));
+                Responses.json(
+                        200, Map.of("load", healthReporter.reportedHealth().load(), "slots", slots));
             case "GET /ledger" -> HttpResponse.of(200, "application/x-ndjson", ledger.toJsonLines());
             case "GET /admin/stats" ->
                 Responses.json(200, engine.stats(openConnections.getAsInt(), peakConnections.getAsInt()));
-            case "GET /admin/faults" -> Responses.json(200, faults.list());
+            case "GET /admin/faults" -> Responses.json(200, faults.activeFaults());
             case "POST /admin/faults" -> {
-                faults.add(JsonCodec.decode(call.body(), Fault.class));
-                yield Responses.json(200, faults.list());
+                faults.add(JsonCodec.decode(request.body(), Fault.class));
+                yield Responses.json(200, faults.activeFaults());
             }
             case "POST /admin/health" -> {
-                health.override(Optional.of(JsonCodec.decode(call.body(), BackendHealth.class)));
-                yield Responses.json(200, health.current());
+                healthReporter.override(Optional.of(JsonCodec.decode(request.body(), BackendHealth.class)));
+                yield Responses.json(200, healthReporter.reportedHealth());
             }
             case "DELETE /admin/health" -> {
-                health.override(Optional.empty());
-                yield Responses.json(200, health.current());
+                healthReporter.override(Optional.empty());
+                yield Responses.json(200, healthReporter.reportedHealth());
             }
             default -> HttpResponse.text(404, "not found\n");
         };
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
@@ -9,9 +9,9 @@
 
 /** The faults in force, at most one of each kind. Not thread safe; confined to the duty of its stand-in. */
 public final class FaultInjector {
-    private record Active(Fault fault, long endsAtMs, int hitsLeft) {}
+    private record ActiveFault(Fault fault, long endsAtMs, int remainingCount) {}
 
-    private final Map<FaultKind, Active> active = new EnumMap<>(FaultKind.class);
+    private final Map<FaultKind, ActiveFault> activeFaults = new EnumMap<>(FaultKind.class);
     private final MonotonicClock clock;
     private final SplittableRandom random;
 
@@ -23,33 +23,34 @@
     /** Adds a fault in place of one of the same kind; {@link FaultKind#UP} removes all. */
     public void add(Fault fault) {
         if (fault.kind() == FaultKind.UP) {
-            active.clear();
+            activeFaults.clear();
             return;
         }
         long endsAtMs = fault.durationMs() == 0 ? Long.MAX_VALUE : clock.nowMs() + fault.durationMs();
-        active.put(fault.kind(), new Active(fault, endsAtMs, fault.count()));
+        activeFaults.put(fault.kind(), new ActiveFault(fault, endsAtMs, fault.count()));
     }
 
     /** The fault of a kind if it hits the present call; uses up one hit of a counted fault. */
     public Optional<Fault> trigger(FaultKind kind) {
-        Active entry = active.get(kind);
-        if (entry == null) {
+        ActiveFault activeFault = activeFaults.get(kind);
+        if (activeFault == null) {
             return Optional.empty();
         }
-        if (clock.nowMs() >= entry.endsAtMs) {
-            active.remove(kind);
+        if (clock.nowMs() >= activeFault.endsAtMs) {
+            activeFaults.remove(kind);
             return Optional.empty();
         }
-        double probability = entry.fault.probability();
+        double probability = activeFault.fault.probability();
         if (probability > 0 && random.nextDouble() >= probability) {
             return Optional.empty();
         }
-        if (entry.hitsLeft == 1) {
-            active.remove(kind);
-        } else if (entry.hitsLeft > 1) {
-            active.put(kind, new Active(entry.fault, entry.endsAtMs, entry.hitsLeft - 1));
+        if (activeFault.remainingCount == 1) {
+            activeFaults.remove(kind);
+        } else if (activeFault.remainingCount > 1) {
+            activeFaults.put(
+                    kind, new ActiveFault(activeFault.fault, activeFault.endsAtMs, activeFault.remainingCount - 1));
         }
-        return Optional.of(entry.fault);
+        return Optional.of(activeFault.fault);
     }
 
     /** Whether the present call is hit by a fault of a kind; uses up one hit. */
@@ -57,8 +58,8 @@
         return trigger(kind).isPresent();
     }
 
-    public List<Fault> list() {
-        active.values().removeIf(entry -> clock.nowMs() >= entry.endsAtMs);
-        return active.values().stream().map(Active::fault).toList();
+    public List<Fault> activeFaults() {
+        activeFaults.values().removeIf(activeFault -> clock.nowMs() >= activeFault.endsAtMs);
+        return activeFaults.values().stream().map(ActiveFault::fault).toList();
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
@@ -22,7 +22,7 @@
     private List<GrantedRange> ranges = List.of();
     private long sequence;
     private long validUntilNanos;
-    private boolean granted;
+    private boolean hasGrant;
 
     GrantTable(Set<Capability> capabilities) {
         this.capabilities = capabilities.isEmpty() ? EnumSet.noneOf(Capability.class) : EnumSet.copyOf(capabilities);
@@ -44,25 +44,25 @@
         sequence = grant.sequence();
         ranges = grant.ranges();
         validUntilNanos = sentAtNanos + grant.validityMs() * NANOS_PER_MS;
-        granted = true;
+        hasGrant = true;
         return true;
     }
 
     /** Why a request must not be executed at an instant: {@code validity}, {@code range} or {@code fence}. */
-    Optional<String> refusal(BackendRequest execution, long nowNanos) {
-        if (execution.key.isEmpty()) {
+    Optional<String> rejectionReason(BackendRequest request, long nowNanos) {
+        if (request.key.isEmpty()) {
             return Optional.empty();
         }
-        if (capabilities.contains(Capability.VALIDITY) && (!granted || nowNanos - validUntilNanos >= 0)) {
+        if (capabilities.contains(Capability.VALIDITY) && (!hasGrant || nowNanos - validUntilNanos >= 0)) {
             return Optional.of("validity");
         }
         if (!capabilities.contains(Capability.FENCE)) {
             return Optional.empty();
         }
-        KeyHash hash = execution.key.get().hash();
+        KeyHash hash = request.key.get().hash();
         for (GrantedRange range : ranges) {
             if (range.range().contains(hash)) {
-                return range.fence().isNewerThan(execution.fence) ? Optional.of("fence") : Optional.empty();
+                return range.fence().isNewerThan(request.fence) ? Optional.of("fence") : Optional.empty();
             }
         }
         return Optional.of("range");
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
@@ -11,31 +11,32 @@
  * confined to the duty of the server.
  */
 final class HealthReporter {
-    private static final long SAMPLE_PERIOD_MS = 25;
+    private static final long SAMPLE_INTERVAL_MS = 25;
 
-    private final Supplier<BackendHealth> present;
-    private final boolean lagging;
+    private final Supplier<BackendHealth> currentHealth;
+    private final boolean hasLag;
     private Optional<BackendHealth> override = Optional.empty();
-    private BackendHealth past;
+    private BackendHealth delayedHealth;
 
-    HealthReporter(Supplier<BackendHealth> present, long lagMs, SingleThreadExecutor executor, TimerService timers) {
-        this.present = present;
-        this.lagging = lagMs > 0;
-        this.past = present.get();
-        if (lagging) {
-            timers.every(SAMPLE_PERIOD_MS, executor, () -> {
-                BackendHealth sample = present.get();
-                timers.once(lagMs, executor, () -> past = sample);
+    HealthReporter(
+            Supplier<BackendHealth> currentHealth, long lagMs, SingleThreadExecutor executor, TimerService timers) {
+        this.currentHealth = currentHealth;
+        this.hasLag = lagMs > 0;
+        this.delayedHealth = currentHealth.get();
+        if (hasLag) {
+            timers.every(SAMPLE_INTERVAL_MS, executor, () -> {
+                BackendHealth sample = currentHealth.get();
+                timers.once(lagMs, executor, () -> delayedHealth = sample);
             });
         }
     }
 
     /** Reports a fixed state, or the true one again if empty. */
-    void override(Optional<BackendHealth> state) {
-        override = state;
+    void override(Optional<BackendHealth> health) {
+        override = health;
     }
 
-    BackendHealth current() {
-        return override.orElseGet(() -> lagging ? past : present.get());
+    BackendHealth reportedHealth() {
+        return override.orElseGet(() -> hasLag ? delayedHealth : currentHealth.get());
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
@@ -16,14 +16,14 @@
 public final class Ledger implements AutoCloseable {
     private static final int MAX_ENTRIES_IN_MEMORY = 100_000;
 
-    private final Deque<byte[]> lines = new ArrayDeque<>();
-    private final OutputStream file;
-    private long total;
+    private final Deque<byte[]> recentLines = new ArrayDeque<>();
+    private final OutputStream fileOutput;
+    private long totalEntries;
 
     /** Appends to a file; an empty name means no file. */
     public Ledger(String fileName) {
         try {
-            file = fileName.isEmpty() ? OutputStream.nullOutputStream() : new FileOutputStream(fileName, true);
+            fileOutput = fileName.isEmpty() ? OutputStream.nullOutputStream() : new FileOutputStream(fileName, true);
         } catch (IOException e) {
             throw new UncheckedIOException("cannot open ledger file " + fileName, e);
         }
@@ -35,33 +35,33 @@
         line.write('\n');
         byte[] bytes = line.toByteArray();
         try {
-            file.write(bytes);
-            file.flush();
+            fileOutput.write(bytes);
+            fileOutput.flush();
         } catch (IOException e) {
             throw new UncheckedIOException("cannot write the ledger file", e);
         }
-        lines.addLast(bytes);
-        if (lines.size() > MAX_ENTRIES_IN_MEMORY) {
-            lines.removeFirst();
+        recentLines.addLast(bytes);
+        if (recentLines.size() > MAX_ENTRIES_IN_MEMORY) {
+            recentLines.removeFirst();
         }
-        total++;
+        totalEntries++;
     }
 
-    public long total() {
-        return total;
+    public long totalEntries() {
+        return totalEntries;
     }
 
     /** JSON lines of the latest 100,000 entries, in the order of their effect. */
     public byte[] toJsonLines() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        lines.forEach(out::writeBytes);
+        recentLines.forEach(out::writeBytes);
         return out.toByteArray();
     }
 
     @Override
     public void close() {
         try {
-            file.close();
+            fileOutput.close();
         } catch (IOException e) {
             throw new UncheckedIOException("cannot close the ledger file", e);
         }
