--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import org.coriandercrank.http.HttpAbortException;
-import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpHandler;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.request.Header;
-import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.WatchBatch;
 import org.coriandercrank.kernel.time.TimerService;
@@ -31,19 +31,19 @@
     private static final String OBJECTS_PATH = "/v1/objects/";
     private static final String REVISION_HEADER = "crank-revision";
     private static final String EXPECTED_HEADER = "crank-expected-revision";
-    private static final long MAX_WAIT_MS = 600_000;
+    private static final long MAX_WATCH_WAIT_MS = 600_000;
 
     /** A watch that waits for a change. Confined to the duty. */
-    private record PendingWatch(String prefix, long after, CompletableFuture<HttpResponse> result) {}
+    private record PendingWatch(String prefix, long afterRevision, CompletableFuture<HttpResponse> response) {}
 
     private final SingleThreadExecutor executor;
     private final TimerService timers;
     private final StoreState state;
     private final FaultInjector faults;
-    private final Set<PendingWatch> waiters = new LinkedHashSet<>();
-    private final Map<String, Long> calls = new TreeMap<>();
-    private long conflicts;
-    private long refused;
+    private final Set<PendingWatch> pendingWatches = new LinkedHashSet<>();
+    private final Map<String, Long> requestCounts = new TreeMap<>();
+    private long conflictingWrites;
+    private long refusedRequests;
 
     public StoreService(SingleThreadExecutor executor, TimerService timers, StoreState state, FaultInjector faults) {
         this.executor = executor;
@@ -53,40 +53,48 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call, CompletableFuture<Void> closed) {
-        CompletableFuture<HttpResponse> result = new CompletableFuture<>();
-        if (!executor.offer(() -> serve(call, closed, result))) {
-            result.complete(Responses.notRun(503, "overload"));
+    public CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> closed) {
+        CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+        if (!executor.offer(() -> dispatch(request, closed, response))) {
+            response.complete(Responses.notRun(503, "overload"));
         }
-        return result;
+        return response;
     }
 
-    private void serve(HttpRequest call, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> result) {
+    private void dispatch(
+            HttpRequest request, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> response) {
         try {
-            QueryStringDecoder target = new QueryStringDecoder(call.target());
+            QueryStringDecoder target = new QueryStringDecoder(request.target());
             if (target.path().startsWith("/admin/")) {
-                result.complete(admin(call));
+                response.complete(handleAdmin(request));
             } else {
-                data(call, target, closed, result);
+                handleData(request, target, closed, response);
             }
         } catch (IllegalArgumentException | CrankException e) {
-            result.complete(Responses.notRun(400, "malformed"));
+            response.complete(Responses.notRun(400, "malformed"));
         }
     }
 
-    private HttpResponse admin(HttpRequest call) {
-        switch (call.method() + " " + call.path()) {
+    private HttpResponse handleAdmin(HttpRequest request) {
+        switch (request.method() + " " + request.path()) {
             case "POST /admin/faults" -> {
-                faults.add(JsonCodec.decode(call.body(), Fault.class));
-                abortWaitersIfDown();
-                return Responses.json(200, faults.list());
+                faults.add(JsonCodec.decode(request.body(), Fault.class));
+                abortPendingWatchesIfDown();
+                return Responses.json(200, faults.activeFaults());
             }
             case "GET /admin/faults" -> {
-                return Responses.json(200, faults.list());
+                return Responses.json(200, faults.activeFaults());
             }
             case "GET /admin/stats" -> {
                 return Responses.json(
-                        200, new StoreStats(state.revision(), state.size(), calls, conflicts, refused, waiters.size()));
+                        200,
+                        new StoreStats(
+                                state.revision(),
+                                state.size(),
+                                requestCounts,
+                                conflictingWrites,
+                                refusedRequests,
+                                pendingWatches.size()));
             }
             default -> {
                 return HttpResponse.text(404, "not found\n");
@@ -94,51 +102,52 @@
         }
     }
 
-    private void abortWaitersIfDown() {
-        boolean down = faults.list().stream()
+    private void abortPendingWatchesIfDown() {
+        boolean down = faults.activeFaults().stream()
                 .anyMatch(fault -> fault.kind() == FaultKind.DOWN || fault.kind() == FaultKind.CLOSED);
         if (down) {
-            waiters.forEach(waiter -> waiter.result.completeExceptionally(HttpAbortException.withoutResponse()));
-            waiters.clear();
+            pendingWatches.forEach(
+                    pendingWatch -> pendingWatch.response.completeExceptionally(HttpAbortException.withoutResponse()));
+            pendingWatches.clear();
         }
     }
 
-    private void data(
-            HttpRequest call,
+    private void handleData(
+            HttpRequest request,
             QueryStringDecoder target,
             CompletableFuture<Void> closed,
-            CompletableFuture<HttpResponse> result) {
-        String operation = operation(call, target);
-        Runnable work = switch (operation) {
-            case "get" -> () -> answer(result, get(name(target)));
+            CompletableFuture<HttpResponse> response) {
+        String operation = operation(request, target);
+        Runnable operationTask = switch (operation) {
+            case "get" -> () -> respond(response, get(objectName(target)));
             case "list" -> {
-                String prefix = parameter(target, "prefix");
-                yield () -> answer(result, Responses.json(200, state.list(prefix)));
+                String prefix = requiredParameter(target, "prefix");
+                yield () -> respond(response, Responses.json(200, state.list(prefix)));
             }
-            case "watch" -> watch(target, closed, result);
-            default -> write(operation, call, name(target), result);
+            case "watch" -> watch(target, closed, response);
+            default -> write(operation, request, objectName(target), response);
         };
-        calls.merge(operation, 1L, Long::sum);
+        requestCounts.merge(operation, 1L, Long::sum);
         if (faults.isTriggered(FaultKind.DOWN) || faults.isTriggered(FaultKind.SHED)) {
-            refused++;
-            result.complete(Responses.notRun(503, "down"));
+            refusedRequests++;
+            response.complete(Responses.notRun(503, "down"));
         } else if (faults.isTriggered(FaultKind.CLOSED)) {
-            refused++;
-            result.completeExceptionally(HttpAbortException.withoutResponse());
+            refusedRequests++;
+            response.completeExceptionally(HttpAbortException.withoutResponse());
         } else {
             Optional<Fault> slow = faults.trigger(FaultKind.SLOW);
             if (slow.isPresent()) {
-                timers.once(slow.get().delayMs(), executor, work);
+                timers.once(slow.get().delayMs(), executor, operationTask);
             } else {
-                work.run();
+                operationTask.run();
             }
         }
     }
 
-    private static String operation(HttpRequest call, QueryStringDecoder target) {
-        boolean object = target.path().startsWith(OBJECTS_PATH);
-        String method = call.method();
-        if (object && Set.of("GET", "PUT", "DELETE").contains(method)) {
+    private static String operation(HttpRequest request, QueryStringDecoder target) {
+        boolean isObjectPath = target.path().startsWith(OBJECTS_PATH);
+        String method = request.method();
+        if (isObjectPath && Set.of("GET", "PUT", "DELETE").contains(method)) {
             return method.toLowerCase(Locale.ROOT);
         }
         return switch (method + " " + target.path()) {
@@ -148,7 +157,7 @@
         };
     }
 
-    private static String name(QueryStringDecoder target) {
+    private static String objectName(QueryStringDecoder target) {
         String name = target.path().substring(OBJECTS_PATH.length());
         if (name.isEmpty()) {
             throw new IllegalArgumentException("object name is empty");
@@ -156,7 +165,7 @@
         return name;
     }
 
-    private static String parameter(QueryStringDecoder target, String name) {
+    private static String requiredParameter(QueryStringDecoder target, String name) {
         List<String> values = target.parameters().get(name);
         if (values == null) {
             throw new IllegalArgumentException("parameter " + name + " is missing");
@@ -175,77 +184,80 @@
     }
 
     /** The check and the effect of a write happen in one step of the duty, at the end of a delay. */
-    private Runnable write(String operation, HttpRequest call, String name, CompletableFuture<HttpResponse> result) {
-        Revision expected = new Revision(Long.parseLong(call.header(EXPECTED_HEADER)
+    private Runnable write(
+            String operation, HttpRequest request, String name, CompletableFuture<HttpResponse> response) {
+        Revision expected = new Revision(Long.parseLong(request.header(EXPECTED_HEADER)
                 .orElseThrow(() -> new IllegalArgumentException("expected revision is missing"))));
-        Supplier<Optional<Revision>> effect = "put".equals(operation)
-                ? () -> state.put(name, call.body(), expected)
+        Supplier<Optional<Revision>> write = "put".equals(operation)
+                ? () -> state.put(name, request.body(), expected)
                 : () -> state.delete(name, expected);
         return () -> {
             Optional<Fault> delayed = faults.trigger(FaultKind.DELAYED_WRITE);
             if (delayed.isPresent()) {
-                timers.once(delayed.get().delayMs(), executor, () -> apply(name, effect));
+                timers.once(delayed.get().delayMs(), executor, () -> apply(name, write));
                 return;
             }
-            HttpResponse reply = apply(name, effect);
+            HttpResponse writeResponse = apply(name, write);
             if (faults.isTriggered(FaultKind.UNANSWERED)) {
-                result.completeExceptionally(HttpAbortException.withoutResponse());
+                response.completeExceptionally(HttpAbortException.withoutResponse());
             } else {
-                answer(result, reply);
+                respond(response, writeResponse);
             }
         };
     }
 
-    private void answer(CompletableFuture<HttpResponse> result, HttpResponse reply) {
+    private void respond(CompletableFuture<HttpResponse> response, HttpResponse content) {
         if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
-            result.completeExceptionally(HttpAbortException.midResponse(reply));
+            response.completeExceptionally(HttpAbortException.midResponse(content));
         } else {
-            result.complete(reply);
+            response.complete(content);
         }
     }
 
-    private HttpResponse apply(String name, Supplier<Optional<Revision>> effect) {
-        Optional<Revision> written = effect.get();
+    private HttpResponse apply(String name, Supplier<Optional<Revision>> write) {
+        Optional<Revision> written = write.get();
         if (written.isEmpty()) {
-            conflicts++;
+            conflictingWrites++;
             return new HttpResponse(409, List.of(revisionHeader(state.revisionOf(name))), new byte[0]);
         }
-        notifyWatches(name);
+        notifyPendingWatches(name);
         return new HttpResponse(200, List.of(revisionHeader(written.get())), new byte[0]);
     }
 
-    private void notifyWatches(String name) {
+    private void notifyPendingWatches(String name) {
         List<PendingWatch> matching = new ArrayList<>();
-        for (PendingWatch waiter : waiters) {
-            if (name.startsWith(waiter.prefix)) {
-                matching.add(waiter);
+        for (PendingWatch pendingWatch : pendingWatches) {
+            if (name.startsWith(pendingWatch.prefix)) {
+                matching.add(pendingWatch);
             }
         }
-        matching.forEach(this::answerWatch);
+        matching.forEach(this::completeWatch);
     }
 
-    private void answerWatch(PendingWatch waiter) {
-        if (waiters.remove(waiter)) {
-            answer(waiter.result, Responses.json(200, state.changes(waiter.prefix, waiter.after)));
+    private void completeWatch(PendingWatch pendingWatch) {
+        if (pendingWatches.remove(pendingWatch)) {
+            respond(
+                    pendingWatch.response,
+                    Responses.json(200, state.changes(pendingWatch.prefix, pendingWatch.afterRevision)));
         }
     }
 
     private Runnable watch(
-            QueryStringDecoder target, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> result) {
-        String prefix = parameter(target, "prefix");
-        long after = Long.parseLong(parameter(target, "after"));
-        long waitMs = Math.min(MAX_WAIT_MS, Long.parseLong(parameter(target, "wait-ms")));
+            QueryStringDecoder target, CompletableFuture<Void> closed, CompletableFuture<HttpResponse> response) {
+        String prefix = requiredParameter(target, "prefix");
+        long afterRevision = Long.parseLong(requiredParameter(target, "after"));
+        long waitMs = Math.min(MAX_WATCH_WAIT_MS, Long.parseLong(requiredParameter(target, "wait-ms")));
         return () -> {
-            WatchBatch batch = state.changes(prefix, after);
+            WatchBatch batch = state.changes(prefix, afterRevision);
             if (batch.reset() || !batch.changes().isEmpty() || waitMs <= 0) {
-                answer(result, Responses.json(200, batch));
+                respond(response, Responses.json(200, batch));
                 return;
             }
-            PendingWatch waiter = new PendingWatch(prefix, after, result);
-            waiters.add(waiter);
-            TimerService.Subscription timeout = timers.once(waitMs, executor, () -> answerWatch(waiter));
-            result.whenComplete((reply, failure) -> timeout.cancel());
-            closed.thenRun(() -> executor.offer(() -> waiters.remove(waiter)));
+            PendingWatch pendingWatch = new PendingWatch(prefix, afterRevision, response);
+            pendingWatches.add(pendingWatch);
+            TimerService.Subscription timeout = timers.once(waitMs, executor, () -> completeWatch(pendingWatch));
+            response.whenComplete((completed, failure) -> timeout.cancel());
+            closed.thenRun(() -> executor.offer(() -> pendingWatches.remove(pendingWatch)));
         };
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
@@ -30,7 +30,7 @@
     private final Deque<Change> history = new ArrayDeque<>();
     private final int historyEntries;
     private long revision;
-    private long historyStart;
+    private long historyStartRevision;
 
     public StoreState(int historyEntries) {
         this.historyEntries = historyEntries;
@@ -58,7 +58,7 @@
         if (!revisionOf(name).equals(expected)) {
             return Optional.empty();
         }
-        Revision written = record(name);
+        Revision written = recordChange(name);
         objects.put(name, StoredObject.of(name, written, value));
         return Optional.of(written);
     }
@@ -69,56 +69,56 @@
             return Optional.empty();
         }
         objects.remove(name);
-        return Optional.of(record(name));
+        return Optional.of(recordChange(name));
     }
 
-    private Revision record(String name) {
+    private Revision recordChange(String name) {
         revision++;
         history.addLast(new Change(name, revision));
         if (history.size() > historyEntries) {
-            historyStart = history.removeFirst().revision;
+            historyStartRevision = history.removeFirst().revision;
         }
         return new Revision(revision);
     }
 
     /** All objects under a prefix, by ascending revision; {@code reset} is true. */
     public WatchBatch list(String prefix) {
-        List<StoredObject> found = new ArrayList<>();
+        List<StoredObject> objectsFound = new ArrayList<>();
         for (StoredObject object : objects.tailMap(prefix, true).values()) {
             if (!object.name().startsWith(prefix)) {
                 break;
             }
-            found.add(object);
+            objectsFound.add(object);
         }
-        found.sort(Comparator.comparing(StoredObject::revision));
-        return new WatchBatch(new Revision(revision), found, true);
+        objectsFound.sort(Comparator.comparing(StoredObject::revision));
+        return new WatchBatch(new Revision(revision), objectsFound, true);
     }
 
     /**
      * Changes under a prefix after a revision; the whole listing if the history does not reach back that far or the
      * revision is from before a restart of the store.
      */
-    public WatchBatch changes(String prefix, long after) {
-        if (after < historyStart || after > revision) {
+    public WatchBatch changes(String prefix, long afterRevision) {
+        if (afterRevision < historyStartRevision || afterRevision > revision) {
             return list(prefix);
         }
-        List<StoredObject> found = new ArrayList<>();
-        Set<String> seen = new HashSet<>();
+        List<StoredObject> objectsFound = new ArrayList<>();
+        Set<String> namesSeen = new HashSet<>();
         Iterator<Change> newestFirst = history.descendingIterator();
         while (newestFirst.hasNext()) {
             Change change = newestFirst.next();
-            if (change.revision <= after) {
+            if (change.revision <= afterRevision) {
                 break;
             }
-            if (change.name.startsWith(prefix) && seen.add(change.name)) {
-                found.add(latest(change));
+            if (change.name.startsWith(prefix) && namesSeen.add(change.name)) {
+                objectsFound.add(currentObject(change));
             }
         }
-        Collections.reverse(found);
-        return new WatchBatch(new Revision(revision), found, false);
+        Collections.reverse(objectsFound);
+        return new WatchBatch(new Revision(revision), objectsFound, false);
     }
 
-    private StoredObject latest(Change change) {
+    private StoredObject currentObject(Change change) {
         StoredObject object = objects.get(change.name);
         return object != null
                 ? object
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
@@ -15,17 +15,17 @@
     private final Map<String, byte[]> values = new HashMap<>();
 
     /** Applies a request: GET and HEAD read, PUT stores, POST appends, DELETE removes. */
-    HttpResponse apply(String name, HttpRequest call) {
-        return switch (call.method()) {
-            case "GET", "HEAD" -> read(name);
+    HttpResponse apply(String name, HttpRequest request) {
+        return switch (request.method()) {
+            case "GET", "HEAD" -> readValue(name);
             case "PUT" -> {
-                values.put(name, call.body());
-                yield stored(call.body().length);
+                values.put(name, request.body());
+                yield lengthResponse(request.body().length);
             }
-            case "POST" -> stored(values.merge(name, call.body(), ValueMap::append).length);
+            case "POST" -> lengthResponse(values.merge(name, request.body(), ValueMap::append).length);
             case "DELETE" -> {
                 values.remove(name);
-                yield stored(0);
+                yield lengthResponse(0);
             }
             default -> HttpResponse.text(405, "method not allowed\n");
         };
@@ -35,19 +35,21 @@
         return values.size();
     }
 
-    private HttpResponse read(String name) {
+    private HttpResponse readValue(String name) {
         byte[] value = values.get(name);
-        return value == null ? HttpResponse.text(404, "no value\n") : HttpResponse.of(200, "application/octet-stream", value);
+        return value == null
+                ? HttpResponse.text(404, "no value\n")
+                : HttpResponse.of(200, "application/octet-stream", value);
     }
 
-    private static HttpResponse stored(int length) {
+    private static HttpResponse lengthResponse(int length) {
         return HttpResponse.of(200, "text/plain", (length + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static byte[] append(byte[] old, byte[] added) {
-        byte[] joined = Arrays.copyOf(old, old.length + added.length);
-        System.arraycopy(added, 0, joined, old.length, added.length);
-        int surplus = joined.length - MAX_APPENDED_BYTES;
-        return surplus <= 0 ? joined : Arrays.copyOfRange(joined, surplus, joined.length);
+    private static byte[] append(byte[] existing, byte[] added) {
+        byte[] combined = Arrays.copyOf(existing, existing.length + added.length);
+        System.arraycopy(added, 0, combined, existing.length, added.length);
+        int surplus = combined.length - MAX_APPENDED_BYTES;
+        return surplus <= 0 ? combined : Arrays.copyOfRange(combined, surplus, combined.length);
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
@@ -124,7 +124,7 @@
         long recoveredMs = msUntilServed(keysOfFaulty);
         LoadReport report = traffic.finish();
 
-        report.lines().forEach(line -> System.out.println(fault + ": " + line));
+        report.toLines().forEach(line -> System.out.println(fault + ": " + line));
         System.out.println(fault + ": all keys served " + recoveredMs + " ms after the end of the fault");
         List<CallRecord> otherKeys = traffic.calls().stream()
                 .filter(call -> !keysOfFaulty.contains(call.key()))
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
@@ -56,7 +56,7 @@
             loss.strike(struck);
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println(loss + ": " + line));
+            report.toLines().forEach(line -> System.out.println(loss + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
             if (loss != Loss.KILLED_AND_RESTARTED_AT_ONCE) {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
@@ -154,7 +154,7 @@
             pair.strike(site);
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println(pair + ": " + line));
+            report.toLines().forEach(line -> System.out.println(pair + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo((double) (pair.outageMs + SERVED_AGAIN_LIMIT_MS));
             if (planned) {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -98,7 +98,7 @@
             TestCluster.sleep(CUT_MS);
             site.site().clearFaults();
             LoadReport report = traffic.finish();
-            report.lines().forEach(line -> System.out.println(cut + ": " + line));
+            report.toLines().forEach(line -> System.out.println(cut + ": " + line));
             return report;
         }
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
@@ -87,7 +87,7 @@
             RepeatingCaller.Result repeated = caller.finish();
             List<Execution> executions = LedgerReader.read(site.ledgers());
             List<Double> unavailableMs = unavailableMsOfMoves(traffic.calls(), executions);
-            report.lines().forEach(line -> System.out.println("moves: " + line));
+            report.toLines().forEach(line -> System.out.println("moves: " + line));
             System.out.printf(
                     "moves: %d moves of keys, unavailable p50 %.1f ms, p99 %.1f ms; %d calls of the repeating caller%n",
                     unavailableMs.size(),
@@ -113,7 +113,7 @@
             guest.daemon().stop();
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("join and leave: " + line));
+            report.toLines().forEach(line -> System.out.println("join and leave: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
             assertThat(LedgerReader.read(List.of(guest.ledgerFile()))).isNotEmpty();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
@@ -67,7 +67,7 @@
             loss.strike(site);
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println(loss + ": " + line));
+            report.toLines().forEach(line -> System.out.println(loss + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
@@ -36,7 +36,7 @@
             }
             site.site().clearFaults();
             LoadReport report = traffic.finish();
-            report.lines().forEach(line -> System.out.println("region cut: " + line));
+            report.toLines().forEach(line -> System.out.println("region cut: " + line));
             assertThat(report.violations()).isEmpty();
         }
     }
@@ -53,7 +53,7 @@
             site.site().clearFaults();
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("isolated owner: " + line));
+            report.toLines().forEach(line -> System.out.println("isolated owner: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
         }
@@ -71,7 +71,7 @@
             }
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("silent connections: " + line));
+            report.toLines().forEach(line -> System.out.println("silent connections: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PlannedStopTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PlannedStopTest.java
@@ -28,7 +28,7 @@
             site.host(0).daemon().stop();
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("planned stop: " + line));
+            report.toLines().forEach(line -> System.out.println("planned stop: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
@@ -60,7 +60,7 @@
                     + "\",\"drain\":true}]}}");
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("drain: " + line));
+            report.toLines().forEach(line -> System.out.println("drain: " + line));
             List<Execution> late = LedgerReader.read(List.of(leaving.ledgerFile())).stream()
                     .filter(e -> e.startNanos() - noteNanos > TimeUnit.MILLISECONDS.toNanos(NO_NEW_WORK_LIMIT_MS))
                     .toList();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
@@ -25,7 +25,7 @@
             site.storeFault(fault);
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println(fault + ": " + line));
+            report.toLines().forEach(line -> System.out.println(fault + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -121,7 +121,7 @@
             fault.strike(site, struck);
             LoadReport report = traffic.finish();
 
-            Stream.concat(report.lines().stream(), report.violations().stream().map(Violation::toString))
+            Stream.concat(report.toLines().stream(), report.violations().stream().map(Violation::toString))
                     .forEach(line -> System.out.println(fault + ": " + line));
             assertThat(report.violations().stream().map(Violation::kind).collect(Collectors.toSet()))
                     .isSubsetOf(fault.weaker());
