--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownTest.java
@@ -29,7 +29,7 @@
             cluster.host(0).daemon().stop();
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("planned stop: " + line));
+            report.toLines().forEach(line -> System.out.println("planned stop: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
@@ -61,7 +61,7 @@
                     + "\",\"drain\":true}]}}");
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("drain: " + line));
+            report.toLines().forEach(line -> System.out.println("drain: " + line));
             List<Execution> late = LedgerReader.read(List.of(leaving.ledgerFile())).stream()
                     .filter(e -> e.startNanos() - noteNanos > TimeUnit.MILLISECONDS.toNanos(DRAIN_EFFECT_LIMIT_MS))
                     .toList();
