--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ChildProcess.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A Java program of this project as a child process, with its output in a file. Not thread safe. Signals go to the id
- * of exactly this process.
+ * Runs a Java program of this project as a child process and writes its output to a file. Signals are sent to the
+ * process id of this process only. Not thread safe.
  */
 public final class ChildProcess implements AutoCloseable {
     private static final long EXIT_TIMEOUT_SECONDS = 15;
@@ -25,7 +25,10 @@
         this.process = process;
     }
 
-    /** Starts a main class with the class path of this process. */
+    /**
+     * Starts a main class with the class path of this process. Standard output and standard error are appended to the
+     * file {@code <name>.log} in the directory.
+     */
     public static ChildProcess start(String name, Path directory, String mainClass, List<String> arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -60,6 +63,7 @@
         return process.isAlive();
     }
 
+    /** Returns all output written so far, including that of earlier processes of the same name and directory. */
     public String output() {
         try {
             return Files.readString(outputFile);
@@ -68,24 +72,24 @@
         }
     }
 
-    /** Ends the process at once, without its cooperation. */
+    /** Kills the process with SIGKILL and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
         waitForExit();
     }
 
-    /** Asks the process to end and waits for it; returns its exit code. */
+    /** Terminates the process with SIGTERM, waits for its exit and returns its exit code. */
     public int stop() {
         process.destroy();
         return waitForExit();
     }
 
-    /** Asks the process to end without waiting. */
+    /** Sends SIGTERM to the process without waiting for its exit. */
     public void requestStop() {
         process.destroy();
     }
 
-    /** Waits for the end of the process and returns its exit code. */
+    /** Waits for the exit of the process and returns its exit code; kills the process after 15 s. */
     public int waitForExit() {
         try {
             if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
@@ -99,10 +103,12 @@
         }
     }
 
+    /** Suspends the process with SIGSTOP until {@link #resume} is called. */
     public void freeze() {
         signal("STOP");
     }
 
+    /** Lets a suspended process continue, with SIGCONT. */
     public void resume() {
         signal("CONT");
     }
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ClusterHost.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ClusterHost.java
@@ -7,9 +7,10 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * A host of a {@link LocalCluster} with the processes that run on it now. Not thread safe.
+ * A host of a {@link LocalCluster} with the daemon and the backend server that run on it. Not thread safe.
  *
- * <p>Other daemons reach it through {@link #peerProxy()}; its daemon reaches the store through {@link #storeProxy()}.
+ * <p>Other daemons connect to the daemon of this host through {@link #peerProxy()}. The daemon of this host connects
+ * to the store through {@link #storeProxy()}.
  */
 public final class ClusterHost implements AutoCloseable {
     private static final String DAEMON_CLASS = "org.coriandercrank.daemon.Crankd";
@@ -43,11 +44,12 @@
         return ip;
     }
 
-    /** Where the daemon listens for other daemons, past the proxy. */
+    /** Address on which the daemon accepts other daemons; connections to it bypass the proxy. */
     public HostAddress peerAddress() {
         return new HostAddress(ip, PEER_PORT);
     }
 
+    /** Address on which the daemon accepts requests of callers. */
     public HostAddress callerAddress() {
         return new HostAddress(ip, CALLER_PORT);
     }
@@ -68,19 +70,23 @@
         return storeProxy;
     }
 
-    /** File with one JSON line per execution of the backend server, over all its starts. */
+    /** File to which the backend server appends a JSON line for each execution; it is kept across restarts. */
     public Path ledgerFile() {
         return directory.resolve(spec.name() + ".ledger");
     }
 
+    /** Returns the daemon started last; fails if none was started. */
     public ChildProcess daemon() {
-        return daemon.orElseThrow(() -> new IllegalStateException("no daemon on " + spec.name()));
+        return daemon.orElseThrow(() -> new IllegalStateException("no daemon was started on host " + spec.name()));
     }
 
+    /** Returns the backend server started last; fails if none was started. */
     public ChildProcess backend() {
-        return backend.orElseThrow(() -> new IllegalStateException("no backend server on " + spec.name()));
+        return backend.orElseThrow(
+                () -> new IllegalStateException("no backend server was started on host " + spec.name()));
     }
 
+    /** Starts the daemon with the flags for this host, followed by {@code extraFlags}. */
     public void startDaemon(List<String> extraFlags) {
         List<String> flags = new ArrayList<>(List.of(
                 "--host-name", spec.name(),
@@ -95,6 +101,7 @@
         daemon = Optional.of(ChildProcess.start(spec.name() + "-daemon", directory, DAEMON_CLASS, flags));
     }
 
+    /** Starts the backend server with the flags for this host, followed by {@code extraFlags}. */
     public void startBackend(List<String> extraFlags) {
         List<String> flags = new ArrayList<>(List.of(
                 "--name", spec.name(),
@@ -106,18 +113,19 @@
         backend = Optional.of(ChildProcess.start(spec.name() + "-backend", directory, BACKEND_CLASS, flags));
     }
 
-    /** Ends daemon and backend server at once, as a loss of the host does. */
+    /** Kills the daemon and the backend server, as a crash of the host does. */
     public void kill() {
         daemon.ifPresent(ChildProcess::kill);
         backend.ifPresent(ChildProcess::kill);
     }
 
-    /** Stops daemon and backend server as a pause of the host does. */
+    /** Suspends the daemon and the backend server, as a pause of the host does. */
     public void freeze() {
         backend().freeze();
         daemon().freeze();
     }
 
+    /** Lets the suspended daemon and backend server continue. */
     public void resume() {
         daemon().resume();
         backend().resume();
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/FaultProxy.java
@@ -20,18 +20,19 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * A TCP proxy that injects faults between two processes.
+ * A TCP proxy that injects network faults between its clients and a target process.
  *
- * <p>Thread safe. Blocked bytes are held back and delivered after the fault ends, as TCP does after a partition.
+ * <p>Bytes of a blocked direction are buffered and forwarded when the block ends, as TCP delivers them after a
+ * partition. Thread safe.
  */
 public final class FaultProxy implements AutoCloseable {
-    /** Direction of bytes through the proxy. */
+    /** Direction in which bytes pass the proxy. */
     public enum Direction {
         TO_TARGET,
         FROM_TARGET
     }
 
-    /** A direction of the connections from an IP that is held back. Immutable. */
+    /** Blocks one direction of all connections from a source IP address. Immutable. */
     private record BlockedSource(String ip, Direction direction) {}
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -62,56 +63,58 @@
                 .channel();
     }
 
+    /** Address on which the proxy accepts connections. */
     public HostAddress address() {
         InetSocketAddress bound = (InetSocketAddress) serverChannel.localAddress();
         return new HostAddress(bound.getAddress().getHostAddress(), bound.getPort());
     }
 
-    /** Sends new connections to another target. */
+    /** Forwards new connections to another target; open connections keep theirs. */
     public void setTarget(HostAddress newTarget) {
         target = newTarget;
     }
 
-    /** Closes all connections and closes each new one at once. */
+    /** Closes all open connections, and each new connection as soon as it is accepted. */
     public void rejectConnections() {
         rejecting = true;
         connections.forEach(ProxyConnection::close);
     }
 
-    /** Holds back all bytes of a direction, also of new connections. */
+    /** Blocks one direction of all open and new connections. */
     public void block(Direction direction) {
         blockedForAll.add(direction);
         updateConnections();
     }
 
-    /** Holds back all bytes of connections that come from an IP. */
+    /** Blocks both directions of all connections from a source IP address. */
     public void blockSource(String ip) {
         blockSource(ip, Direction.TO_TARGET);
         blockSource(ip, Direction.FROM_TARGET);
     }
 
-    /** Holds back the bytes of one direction of connections that come from an IP. */
+    /** Blocks one direction of all connections from a source IP address. */
     public void blockSource(String ip, Direction direction) {
         blockedSources.add(new BlockedSource(ip, direction));
         updateConnections();
     }
 
+    /** Blocks both directions of all open and new connections. */
     public void blockBothDirections() {
         block(Direction.TO_TARGET);
         block(Direction.FROM_TARGET);
     }
 
-    /** Makes the connections that are open now silent for good; new ones work. */
+    /** Blocks both directions of the open connections permanently; {@link #clearFaults} does not end it. */
     public void silenceOpenConnections() {
         connections.forEach(ProxyConnection::silence);
     }
 
-    /** Adds a delay to all bytes from now on. */
+    /** Delays all bytes forwarded from now on. */
     public void setDelayMs(long newDelayMs) {
         delayMs = newDelayMs;
     }
 
-    /** Ends all faults except silenced connections. */
+    /** Ends all faults, including the delay, except silenced connections. */
     public void clearFaults() {
         rejecting = false;
         delayMs = 0;
@@ -120,7 +123,7 @@
         updateConnections();
     }
 
-    /** Bytes passed on in both directions. */
+    /** Number of bytes forwarded in both directions, over all connections. */
     public long forwardedBytes() {
         return forwardedBytes.get();
     }
@@ -151,7 +154,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        // Handlers are added when both sides are connected.
+                        // ProxyConnection adds the handlers once both channels are connected.
                     }
                 })
                 .connect(target.ip(), target.port())
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/HostSpec.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/HostSpec.java
@@ -1,8 +1,11 @@
 package org.coriandercrank.testkit;
 
 /**
- * One host of a test site: a daemon and the backend server beside it. Immutable.
+ * Describes a host of a test cluster, on which a daemon and its backend server run. Immutable.
  *
- * @param name also the name of the backend server
+ * @param name name of the host and of its backend server
+ * @param region region of the host
+ * @param failureDomain failure domain of the host
+ * @param service service of the backend server
  */
 public record HostSpec(String name, String region, String failureDomain, String service) {}
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/LocalCluster.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/LocalCluster.java
@@ -7,8 +7,8 @@
 import org.coriandercrank.kernel.id.HostAddress;
 
 /**
- * A store and several hosts as real processes on loopback addresses of their own, so that sites of tests that run at
- * the same time do not collide. Not thread safe.
+ * Runs a store and several hosts as real processes on loopback addresses. Each cluster chooses a random block
+ * {@code 127.x.y} of addresses, so that tests that run at the same time are unlikely to collide. Not thread safe.
  */
 public final class LocalCluster implements AutoCloseable {
     private static final String STORE_CLASS = "org.coriandercrank.standin.CrankStore";
@@ -20,7 +20,7 @@
     private final List<ClusterHost> hosts = new ArrayList<>();
     private ChildProcess store;
 
-    /** Starts the store; daemons and backend servers are started by the caller. */
+    /** Starts the store only; {@link #startAll} or the hosts start daemons and backend servers. */
     public LocalCluster(Path directory, List<HostSpec> specs) {
         ThreadLocalRandom random = ThreadLocalRandom.current();
         String block = "127." + (1 + random.nextInt(MAX_IP_OCTET)) + "." + (1 + random.nextInt(MAX_IP_OCTET)) + ".";
@@ -55,19 +55,19 @@
         return hosts.get(index);
     }
 
-    /** Cuts two hosts off from each other in both directions. */
+    /** Blocks all bytes between two hosts in both directions. */
     public void partition(ClusterHost one, ClusterHost other) {
         one.peerProxy().blockSource(other.ip());
         other.peerProxy().blockSource(one.ip());
     }
 
-    /** Holds back all bytes from one host to another, on the connections of both. */
+    /** Blocks all bytes from one host to another, on connections that either of them opened. */
     public void blockOneWay(ClusterHost from, ClusterHost to) {
         to.peerProxy().blockSource(from.ip(), FaultProxy.Direction.TO_TARGET);
         from.peerProxy().blockSource(to.ip(), FaultProxy.Direction.FROM_TARGET);
     }
 
-    /** Ends all faults of proxies. */
+    /** Ends all faults of the proxies except silenced connections. */
     public void clearFaults() {
         for (ClusterHost host : hosts) {
             host.peerProxy().clearFaults();
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 import org.coriandercrank.testkit.FaultProxy.Direction;
 
-/** One proxied connection; both channels share one event loop, to which all state is confined. */
+/** A connection through a {@link FaultProxy}. Both channels share one event loop, to which all state is confined. */
 final class ProxyConnection {
     private final Channel clientChannel;
     private final Channel targetChannel;
@@ -33,6 +33,7 @@
         this.fromTarget = new Forwarder(targetChannel, clientChannel);
     }
 
+    /** IP address of the client, or an empty string if its channel is not connected. */
     String sourceIp() {
         InetSocketAddress source = (InetSocketAddress) clientChannel.remoteAddress();
         return source == null ? "" : source.getAddress().getHostAddress();
@@ -46,10 +47,12 @@
         targetChannel.config().setAutoRead(true);
     }
 
+    /** Blocks exactly the given directions; a silenced connection keeps both blocked. */
     void setBlocked(Set<Direction> blocked) {
         clientChannel.eventLoop().execute(() -> applyBlocked(blocked));
     }
 
+    /** Blocks both directions permanently. */
     void silence() {
         clientChannel.eventLoop().execute(() -> {
             silenced = true;
@@ -67,7 +70,10 @@
         fromTarget.setBlocked(silenced || blocked.contains(Direction.FROM_TARGET));
     }
 
-    /** Bytes from one channel to the other. */
+    /**
+     * Forwards the bytes of one channel to the other and buffers them while the direction is blocked. A close that
+     * arrives while the direction is blocked is not forwarded.
+     */
     private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel source;
         private final Channel sink;
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/package-info.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/package-info.java
@@ -1,2 +1,2 @@
-/** Sites of real processes with a fault-injecting TCP proxy, for experiments and tests. */
+/** Local clusters of real processes with a fault-injecting TCP proxy, for experiments and tests. */
 package org.coriandercrank.testkit;
