--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against a faulty backend server beside a live daemon that makes outcomes untrue, disturbs the keys of other
- * servers, or stays unused after its recovery. The faults strike one cluster in turn.
+ * Guards against a faulty backend server, beside a daemon that works, that leads to wrong outcomes, affects the keys of
+ * other servers, or serves no keys after its recovery. The faults are injected one after the other into one cluster.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BackendFaultTest {
@@ -31,7 +31,7 @@
     private static final long AFTER_FAULT_MS = 2_500;
     private static final long SERVED_AGAIN_LIMIT_MS = 5_000;
 
-    /** A fault of the backend server of a host; it ends with {@link #end}. */
+    /** A fault of the backend server of a host, from {@link #begin} to {@link #end}. */
     enum Fault {
         FROZEN {
             @Override
@@ -80,8 +80,8 @@
             this("{\"kind\":\"up\"}");
         }
 
-        Fault(String fault) {
-            this.faultJson = fault;
+        Fault(String faultJson) {
+            this.faultJson = faultJson;
         }
 
         void begin(TestCluster cluster, ClusterHost host) {
@@ -114,7 +114,7 @@
     @EnumSource
     void faultKeepsOutcomesCorrectAndOtherKeysServed(Fault fault) {
         ClusterHost faulty = cluster.host(0);
-        cluster.waitUntil("the server has ranges", () -> !ownedKeys(faulty).isEmpty());
+        cluster.waitUntil("the server owns keys", () -> !ownedKeys(faulty).isEmpty());
         Set<String> keysOfFaulty = ownedKeys(faulty);
         BackgroundTraffic traffic = BackgroundTraffic.start(
                 cluster, cluster.callerAddresses(), BEFORE_FAULT_MS + FAULT_MS + AFTER_FAULT_MS, 0);
@@ -126,7 +126,7 @@
         LoadReport report = traffic.finish();
 
         report.lines().forEach(line -> System.out.println(fault + ": " + line));
-        System.out.println(fault + ": all keys served " + recoveredMs + " ms after the end of the fault");
+        System.out.println(fault + ": all keys served " + recoveredMs + " ms after the fault ended");
         List<CallRecord> otherKeys = traffic.calls().stream()
                 .filter(call -> !keysOfFaulty.contains(call.key()))
                 .toList();
@@ -149,7 +149,9 @@
 
     private long msUntilServed(Set<String> keys) {
         long startedNanos = System.nanoTime();
-        cluster.waitUntil("keys are served after the fault", () -> keys.stream().allMatch(this::isServed));
+        cluster.waitUntil(
+                "all keys of the server are served after the fault",
+                () -> keys.stream().allMatch(this::isServed));
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
     }
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against keys that stay with a backend server that is gone, and against a planner that gives it further keys,
- * while the daemon beside it and the store live.
+ * Guards against keys that stay assigned to a failed backend server, and against a planner that assigns it further keys,
+ * while its daemon and the store work.
  */
 class BackendLossTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long BEFORE_LOSS_MS = 1_500;
     private static final long DURATION_MS = 10_000;
 
-    /** What happens to the backend server of the first host. */
+    /** A failure of the backend server of the first host. */
     enum Loss {
         KILLED {
             @Override
@@ -50,41 +50,41 @@
     @EnumSource
     void keysOfALostServerAreServedByOthers(Loss loss) {
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            ClusterHost struck = cluster.host(0);
+            ClusterHost affected = cluster.host(0);
             BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), DURATION_MS, 40);
             TestCluster.sleep(BEFORE_LOSS_MS);
-            loss.inject(struck);
+            loss.inject(affected);
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println(loss + ": " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.longestGapMs()).isLessThanOrEqualTo(SERVED_AGAIN_LIMIT_MS);
             if (loss != Loss.KILLED_AND_RESTARTED_IMMEDIATELY) {
-                assertThat(cluster.status(struck).serving()).isEmpty();
-                assertThat(cluster.status(struck).backendName()).isEmpty();
+                assertThat(cluster.status(affected).serving()).isEmpty();
+                assertThat(cluster.status(affected).backendName()).isEmpty();
             }
         }
     }
 
-    /** A server that comes back after its ranges went elsewhere must get ranges again. */
+    /** A server that recovers after its ranges were reassigned must be assigned ranges again. */
     @ParameterizedTest
     @EnumSource(names = {"KILLED", "FROZEN"})
     void recoveredServerServesRangesAgain(Loss loss) {
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/b", "r1/b")) {
-            ClusterHost struck = cluster.host(0);
-            loss.inject(struck);
+            ClusterHost affected = cluster.host(0);
+            loss.inject(affected);
             cluster.waitUntil(
-                    "the lost server has no ranges",
-                    () -> cluster.status(struck).serving().isEmpty()
-                            && cluster.status(struck).backendName().isEmpty());
+                    "the lost server serves no ranges and is not attached",
+                    () -> cluster.status(affected).serving().isEmpty()
+                            && cluster.status(affected).backendName().isEmpty());
             if (loss == Loss.FROZEN) {
-                struck.backend().resume();
+                affected.backend().resume();
             } else {
-                struck.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
+                affected.startBackend(TestCluster.DEFAULT_BACKEND_FLAGS);
             }
             cluster.waitUntil(
-                    "the returned server serves ranges",
-                    () -> !cluster.status(struck).serving().isEmpty());
+                    "the recovered server serves ranges",
+                    () -> !cluster.status(affected).serving().isEmpty());
         }
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackgroundTraffic.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackgroundTraffic.java
@@ -15,13 +15,15 @@
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
 
-/** Callers' traffic in the background of a fault. Not thread safe. */
+/** Sends requests of callers in the background while a test injects faults. Not thread safe. */
 final class BackgroundTraffic {
     static final int KEY_COUNT = 60;
 
     private static final int RATE_PER_SECOND = 300;
+    private static final int WRITE_PERCENT = 50;
+    private static final long SEED = 7;
 
-    /** Longer than pauses of a busy machine, which are no failures of the system. */
+    /** Exceeds the pauses of a busy machine, so that they do not count as failures of the system. */
     private static final long DEADLINE_MS = 3_000;
 
     private static final long FINISH_TIMEOUT_SECONDS = 180;
@@ -37,21 +39,24 @@
         this.calls = CompletableFuture.supplyAsync(driver::run);
     }
 
-    /** Starts traffic on evenly used keys, half of it writes; failed operations are repeated. */
-    static BackgroundTraffic start(TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRepeats) {
-        return start(cluster, targets, durationMs, maxRepeats, DEADLINE_MS);
+    /**
+     * Starts requests to uniformly distributed keys, half of them writes. An operation that failed is retried at most
+     * {@code maxRetries} times.
+     */
+    static BackgroundTraffic start(TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRetries) {
+        return start(cluster, targets, durationMs, maxRetries, DEADLINE_MS);
     }
 
     static BackgroundTraffic start(
-            TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRepeats, long deadlineMs) {
-        return start(cluster, targets, durationMs, maxRepeats, deadlineMs, RATE_PER_SECOND, KEY_COUNT);
+            TestCluster cluster, List<HostAddress> targets, long durationMs, int maxRetries, long deadlineMs) {
+        return start(cluster, targets, durationMs, maxRetries, deadlineMs, RATE_PER_SECOND, KEY_COUNT);
     }
 
     static BackgroundTraffic start(
             TestCluster cluster,
             List<HostAddress> targets,
             long durationMs,
-            int maxRepeats,
+            int maxRetries,
             long deadlineMs,
             int ratePerSecond,
             int keys) {
@@ -64,20 +69,20 @@
                 0,
                 0,
                 durationMs,
-                50,
+                WRITE_PERCENT,
                 0,
                 DEADLINE_MS,
-                maxRepeats,
-                7);
+                maxRetries,
+                SEED);
         return new BackgroundTraffic(cluster, targets, plan);
     }
 
-    /** All calls; empty before {@link #finish}. */
+    /** Returns all calls, or an empty list while calls are still running. */
     List<CallRecord> calls() {
         return calls.getNow(List.of());
     }
 
-    /** Waits for the end of the schedule and of all repeats. */
+    /** Waits for all scheduled calls and their retries, and checks them against the executions of the servers. */
     LoadReport finish() {
         try {
             List<CallRecord> records = calls.get(FINISH_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -86,7 +91,7 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new AssertionError("traffic did not finish", e);
+            throw new AssertionError("background traffic did not finish", e);
         } finally {
             driver.close();
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedEventsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedEventsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against log events and metrics that the page for operators lacks, or has although they are gone. */
+/** Guards against an operators' page that lacks log events or metrics of the code, or lists some that do not exist. */
 class DocumentedEventsTest {
     private static final Path ROOT = Path.of("..");
     private static final Path PAGE = ROOT.resolve("docs/OPERATIONS.md");
@@ -37,9 +37,9 @@
             if (line.startsWith("## ")) {
                 inSection = line.equals(heading);
             }
-            Matcher first = Pattern.compile("\\| `([a-z.-]+)`.*").matcher(line);
-            if (inSection && first.matches()) {
-                names.add(first.group(1));
+            Matcher row = Pattern.compile("\\| `([a-z.-]+)`.*").matcher(line);
+            if (inSection && row.matches()) {
+                names.add(row.group(1));
             }
         }
         return names;
@@ -61,8 +61,8 @@
         try {
             Matcher matcher = pattern.matcher(Files.readString(file));
             while (matcher.find()) {
-                String last = matcher.group(matcher.groupCount());
-                names.add(last == null ? matcher.group(1) : last);
+                String lastGroup = matcher.group(matcher.groupCount());
+                names.add(lastGroup == null ? matcher.group(1) : lastGroup);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedSettingsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DocumentedSettingsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.kohsuke.args4j.Option;
 
-/** Guards against a page of settings that differs from what the programs take. */
+/** Guards against a settings page that differs from the settings of the programs. */
 class DocumentedSettingsTest {
     private static final Path PAGE = Path.of("../docs/SETTINGS.md");
     private static final Pattern RANGE = Pattern.compile("(\\d+) to (\\d+).*");
@@ -37,7 +37,7 @@
             "crank-store", StoreSettings::new,
             "crank-backend", BackendSettings::new);
 
-    /** A row of a table. Immutable. */
+    /** A row of a table on the settings page. Immutable. */
     private record Row(String flag, String variable, String unit, String defaultText, String range, String meaning) {
         static Row parse(String line) {
             List<String> cells = Arrays.stream(line.split("\\|"))
@@ -112,7 +112,7 @@
                 }));
     }
 
-    /** Faults of a flag when it has a value, or none if the value is null. */
+    /** Validation errors of a flag that has the given value, or that is absent if the value is null. */
     private static List<String> validationErrors(String program, Row row, Long value) {
         try {
             SettingsLoader.load(
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Options of a bean in the order of its fields, with their default values; empty for null. */
+    /** Options of a settings bean in the order of its fields, with their defaults; an empty string stands for null. */
     private static Map<Option, Object> options(Settings bean) {
         Map<Option, Object> options = new LinkedHashMap<>();
         for (Field field : bean.getClass().getDeclaredFields()) {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
@@ -10,19 +10,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against two faults at once that break a promise although each alone does not. */
+/** Guards against two simultaneous faults that violate a guarantee although each of them alone does not. */
 class DoubleFaultTest {
     private static final long SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long OUTAGE_MS = 3_000;
     private static final long FREEZE_MS = 5_000;
     private static final long DURATION_MS = 8_000;
 
-    /** Detection of a silent connection takes at most 1 s; the rest is for the outcome query and a second attempt. */
+    /** Detecting a silent connection takes at most 1 s; the rest allows for the outcome query and a second attempt. */
     private static final long SHUTDOWN_DEADLINE_MS = 3_000;
 
-    private static final int MAX_REPEATS = 60;
+    private static final int MAX_RETRIES = 60;
 
-    /** Faults that strike the first hosts; the last two hosts take the callers' requests, all but the first at a planned stop. */
+    /**
+     * Two faults that affect the first hosts. Callers send their requests to the last two hosts, or to all but the first
+     * host in the case of a graceful shutdown.
+     */
     enum FaultPair {
         STORE_DOWN_AND_DAEMON_KILLED(OUTAGE_MS) {
             @Override
@@ -104,7 +107,7 @@
 
         private final long outageMs;
 
-        /** @param outageMs time in which a fault that stops takeovers lasts */
+        /** @param outageMs duration of a fault during which no takeover is possible */
         FaultPair(long outageMs) {
             this.outageMs = outageMs;
         }
@@ -127,7 +130,7 @@
         verify(pair);
     }
 
-    /** See KNOWN-RED.txt: two calls of a planned stop had an unknown outcome once. */
+    /** See KNOWN-RED.txt: two calls had an unknown outcome in one run with a graceful shutdown. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(names = "SILENT_CONNECTIONS_AND_PLANNED_STOP")
@@ -135,7 +138,7 @@
         verify(pair);
     }
 
-    /** See KNOWN-RED.txt: slow or unanswered calls of the store use up the time for a takeover. */
+    /** See KNOWN-RED.txt: slow or unanswered store requests use up the time for a takeover. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(names = {"WRITES_DELAYED_AND_OWNER_PARTITIONED", "STORE_SLOW_AND_HOST_KILLED"})
@@ -150,7 +153,7 @@
                     cluster,
                     cluster.callerAddresses().subList(planned ? 1 : 3, 5),
                     DURATION_MS + pair.outageMs,
-                    planned ? 0 : MAX_REPEATS,
+                    planned ? 0 : MAX_RETRIES,
                     planned ? SHUTDOWN_DEADLINE_MS : 1_000);
             TestCluster.sleep(1_000);
             pair.inject(cluster);
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownLogTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownLogTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against a planned stop whose log lines are lost, so that an operator cannot see that it is complete. */
+/** Guards against a graceful shutdown whose last log lines are lost, so that operators cannot see its completion. */
 class GracefulShutdownLogTest {
     @TempDir
     Path directory;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/GracefulShutdownTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against planned stops that cut off requests, and leaving servers that still get new work. */
+/** Guards against graceful shutdowns that abort requests, and against drained servers that still get new requests. */
 class GracefulShutdownTest {
     private static final long DRAIN_EFFECT_LIMIT_MS = 3_000;
     private static final long ALL_STOPPED_LIMIT_MS = 10_000;
@@ -29,7 +29,7 @@
             cluster.host(0).daemon().stop();
             LoadReport report = traffic.finish();
 
-            report.lines().forEach(line -> System.out.println("planned stop: " + line));
+            report.lines().forEach(line -> System.out.println("graceful shutdown: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
@@ -51,21 +51,21 @@
     @Test
     void drainedServerGetsNoNewRequestsAndNoRequestFails() {
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
-            ClusterHost leaving = cluster.host(1);
+            ClusterHost drained = cluster.host(1);
             BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 12_000, 0);
             TestCluster.sleep(2_000);
-            long noteNanos = System.nanoTime();
+            long submittedNanos = System.nanoTime();
             cluster.submitNote("{\"id\":\"drain\",\"basedOn\":" + currentRevision(cluster)
                     + ",\"add\":{\"backends\":[{\"backendName\":\""
-                    + leaving.spec().name()
+                    + drained.spec().name()
                     + "\",\"drain\":true}]}}");
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println("drain: " + line));
-            List<Execution> late = LedgerReader.read(List.of(leaving.ledgerFile())).stream()
-                    .filter(e -> e.startNanos() - noteNanos > TimeUnit.MILLISECONDS.toNanos(DRAIN_EFFECT_LIMIT_MS))
+            List<Execution> lateExecutions = LedgerReader.read(List.of(drained.ledgerFile())).stream()
+                    .filter(e -> e.startNanos() - submittedNanos > TimeUnit.MILLISECONDS.toNanos(DRAIN_EFFECT_LIMIT_MS))
                     .toList();
-            assertThat(late).isEmpty();
+            assertThat(lateExecutions).isEmpty();
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/InvalidSettingsTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/InvalidSettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Guards against programs that start with faulty settings or report only the first fault. */
+/** Guards against programs that start with invalid settings or report only the first error. */
 class InvalidSettingsTest {
     private static final int EXIT_INVALID_SETTINGS = 2;
 
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -13,15 +13,18 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against links that pass bytes in one direction only: an owner that still hears or still reaches others must
- * neither execute beside its successor nor keep its keys from being served.
+ * Guards against network faults that block one direction only. An owner that still receives from others, or still
+ * reaches them, must neither execute requests beside its successor nor keep its keys from being served.
  */
 class LinkCutTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long CUT_MS = 7_000;
     private static final long DURATION_MS = CUT_MS + 2_000;
 
-    /** A cut around the first host; the last two hosts take the callers' requests. */
+    /**
+     * A direction that is blocked, for the first host as an owner of keys or for all hosts. Callers send their requests to
+     * the last two hosts.
+     */
     enum Cut {
         ALL_BYTES_TO_THE_OWNER {
             @Override
@@ -81,7 +84,7 @@
         }
     }
 
-    /** See KNOWN-RED.txt: an owner that still reaches the store or its witnesses is not replaced during the cut. */
+    /** See KNOWN-RED.txt: an owner that still reaches the store or its witnesses is not replaced while the cut lasts. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.MATCH_NONE, names = ".*STORE.*")
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
@@ -18,25 +18,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against planned moves that run an operation twice, lose kept answers, fail calls or hold keys for long. */
+/**
+ * Guards against planned moves of ranges that execute an operation twice, lose retained answers, fail calls or delay
+ * calls for too long.
+ */
 class MoveTest {
     private static final double UNAVAILABLE_P99_LIMIT_MS = 100;
     private static final long DEADLINE_MS = 2_000;
 
-    /** A key is called about 30 times a second, so that a hold of 100 ms is met by three calls on average. */
+    /** Each key gets about 30 calls/s, so that three calls on average fall into a delay of 100 ms. */
     private static final int RATE_PER_SECOND = 300;
 
-    private static final int KEYS = 10;
+    private static final int KEY_COUNT = 10;
     private static final int ROUNDS = 3;
     private static final long MOVE_INTERVAL_MS = 1_500;
 
-    /** Traffic before the first move, because the time of a move is not that of a JVM that has just started. */
+    /** Time for the JVMs to warm up, so that the moves are not measured in a JVM that has just started. */
     private static final long WARM_UP_MS = 4_000;
 
     @TempDir
     Path directory;
 
-    /** What a run with moves gave. Immutable. */
+    /** Results of a run with moves. Immutable. */
     private record Moves(
             LoadReport load,
             RepeatingClient.Result repeatedCalls,
@@ -50,13 +53,13 @@
         assertThat(moves.load().violations()).isEmpty();
         assertThat(HistoryChecker.check(moves.repeatedCalls().calls(), moves.executions()))
                 .isEmpty();
-        assertThat(moves.repeatedCalls().differingAnswers()).isEmpty();
+        assertThat(moves.repeatedCalls().differingResponses()).isEmpty();
         assertThat(moves.repeatedCalls().calls()).isNotEmpty().allMatch(CallRecord::succeeded);
         assertThat(moves.load().succeeded()).isEqualTo(moves.load().calls());
         assertThat(moves.unavailableMs()).hasSizeGreaterThan(ROUNDS);
     }
 
-    /** See KNOWN-RED.txt: calls are held for longer than the limit while a range moves. */
+    /** See KNOWN-RED.txt: calls are delayed for longer than the limit while a range moves. */
     @Tag("known-red")
     @Test
     void keysAreHeldShortlyAcrossMoves() {
@@ -70,31 +73,31 @@
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r1/b")) {
             long durationMs = WARM_UP_MS + (2 * ROUNDS + 1) * MOVE_INTERVAL_MS;
             BackgroundTraffic traffic = BackgroundTraffic.start(
-                    cluster, cluster.callerAddresses(), durationMs, 0, DEADLINE_MS, RATE_PER_SECOND, KEYS);
-            RepeatingClient caller = new RepeatingClient(cluster, cluster.callerAddresses());
-            ClusterHost moved = cluster.host(1);
+                    cluster, cluster.callerAddresses(), durationMs, 0, DEADLINE_MS, RATE_PER_SECOND, KEY_COUNT);
+            RepeatingClient client = new RepeatingClient(cluster, cluster.callerAddresses());
+            ClusterHost drained = cluster.host(1);
             TestCluster.sleep(WARM_UP_MS);
             for (int i = 0; i < ROUNDS; i++) {
                 TestCluster.sleep(MOVE_INTERVAL_MS);
-                cluster.setDrained(moved, true);
+                cluster.setDrained(drained, true);
                 TestCluster.sleep(MOVE_INTERVAL_MS);
-                cluster.setDrained(moved, false);
+                cluster.setDrained(drained, false);
             }
             cluster.waitUntil(
-                    "the server gets its ranges back",
-                    () -> !cluster.status(moved).serving().isEmpty());
+                    "the server serves ranges after its last drain",
+                    () -> !cluster.status(drained).serving().isEmpty());
             LoadReport report = traffic.finish();
-            RepeatingClient.Result repeated = caller.finish();
+            RepeatingClient.Result repeatedCalls = client.finish();
             List<Execution> executions = LedgerReader.read(cluster.ledgerFiles());
             List<Double> unavailableMs = unavailableMsOfMoves(traffic.calls(), executions);
             report.lines().forEach(line -> System.out.println("moves: " + line));
             System.out.printf(
-                    "moves: %d moves of keys, unavailable p50 %.1f ms, p99 %.1f ms; %d calls of the repeating caller%n",
+                    "moves: %d moves of keys, unavailable p50 %.1f ms, p99 %.1f ms; %d calls of the repeating client%n",
                     unavailableMs.size(),
                     percentile(unavailableMs, 0.5),
                     percentile(unavailableMs, 0.99),
-                    repeated.calls().size());
-            return new Moves(report, repeated, executions, unavailableMs);
+                    repeatedCalls.calls().size());
+            return new Moves(report, repeatedCalls, executions, unavailableMs);
         }
     }
 
@@ -105,26 +108,27 @@
             BackgroundTraffic traffic =
                     BackgroundTraffic.start(cluster, cluster.callerAddresses().subList(0, 3), 10_000, 0);
             TestCluster.sleep(1_000);
-            ClusterHost guest = cluster.host(3);
+            ClusterHost joining = cluster.host(3);
             cluster.startHost(3);
             cluster.waitUntil(
                     "the new server serves ranges",
-                    () -> cluster.hasBackend(guest)
-                            && !cluster.status(guest).serving().isEmpty());
+                    () -> cluster.hasBackend(joining)
+                            && !cluster.status(joining).serving().isEmpty());
             TestCluster.sleep(1_500);
-            guest.daemon().stop();
+            joining.daemon().stop();
             LoadReport report = traffic.finish();
 
             report.lines().forEach(line -> System.out.println("join and leave: " + line));
             assertThat(report.violations()).isEmpty();
             assertThat(report.succeeded()).isEqualTo(report.calls());
-            assertThat(LedgerReader.read(List.of(guest.ledgerFile()))).isNotEmpty();
+            assertThat(LedgerReader.read(List.of(joining.ledgerFile()))).isNotEmpty();
         }
     }
 
     /**
-     * For each change of a key's server, the longest time of a call that was due before the new server's first
-     * execution and ended after the old server's last one. Holds of calls count, which are no failures.
+     * Returns, for each change of a key's server, the longest duration of a call that was due before the first execution
+     * on the new server and ended after the last execution on the old one. Calls that were delayed and then succeeded
+     * count as well.
      */
     private static List<Double> unavailableMsOfMoves(List<CallRecord> calls, List<Execution> executions) {
         Map<String, List<CallRecord>> callsOfKey = calls.stream().collect(Collectors.groupingBy(CallRecord::key));
@@ -153,8 +157,8 @@
                 .orElse(0);
     }
 
-    private static double percentile(List<Double> values, double share) {
+    private static double percentile(List<Double> values, double fraction) {
         List<Double> sorted = values.stream().sorted().toList();
-        return sorted.isEmpty() ? 0 : sorted.get((int) Math.ceil(share * sorted.size()) - 1);
+        return sorted.isEmpty() ? 0 : sorted.get((int) Math.ceil(fraction * sorted.size()) - 1);
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
@@ -31,21 +31,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against notes of which one is applied twice, in part, without being reported, or after it was refused, and
- * against daemons that fall back to an older configuration, while submitters race and the store fails.
+ * Guards against release notes that are applied twice, in part, after they were rejected, or although no submitter got
+ * an acceptance, and against daemons that return to an older configuration. Several submitters race while the store has
+ * faults.
  */
 class NoteRaceTest {
     private static final int NOTE_COUNT = 50;
     private static final int SUBMITTER_COUNT = 8;
     private static final int RESTART_AT_NOTE = 20;
     private static final long RESUBMIT_TIMEOUT_MS = 20_000;
+    private static final long STORE_FAULT_INTERVAL_MS = 1_600;
     private static final long MAX_SUBMIT_PAUSE_MS = 1_200;
     private static final long IN_FORCE_LIMIT_MS = 4_000;
     private static final Set<ResultCode> INDEFINITE_RESULTS =
             Set.of(ResultCode.WRITE_UNANSWERED, ResultCode.STORE_UNAVAILABLE);
     private static final String NO_FAULT = "{\"kind\":\"up\"}";
 
-    /** Faults of the store in turn, each with a pause in which the store is up. */
+    /** Faults that are injected into the store one after the other; each ends by itself after its duration. */
     private static final List<String> STORE_FAULTS = List.of(
             "{\"kind\":\"unanswered\",\"durationMs\":1200,\"probability\":0.5}",
             "{\"kind\":\"down\",\"durationMs\":1300}",
@@ -54,7 +56,7 @@
             "{\"kind\":\"closed\",\"durationMs\":600}",
             "{\"kind\":\"cut-answer\",\"durationMs\":1000,\"probability\":0.4}");
 
-    /** A note and the results of all its submissions. Immutable. */
+    /** A release note and the results of all attempts to submit it. Immutable. */
     private record Submission(String id, String text, List<ResultCode> results, long revision) {
         ResultCode finalResult() {
             return results.get(results.size() - 1);
@@ -75,51 +77,51 @@
     @Test
     void configurationIsTheSequenceOfAcceptedNotes() throws Exception {
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
-                RevisionMonitor watch = new RevisionMonitor(cluster)) {
+                RevisionMonitor monitor = new RevisionMonitor(cluster)) {
             Configuration start = configuration(cluster);
             CompletableFuture<Void> faults = CompletableFuture.runAsync(() -> injectStoreFaults(cluster));
             ExecutorService pool = Executors.newFixedThreadPool(SUBMITTER_COUNT);
-            List<CompletableFuture<Void>> race = IntStream.range(0, SUBMITTER_COUNT)
+            List<CompletableFuture<Void>> submitterTasks = IntStream.range(0, SUBMITTER_COUNT)
                     .mapToObj(i -> CompletableFuture.runAsync(() -> runSubmitter(cluster, new Random(i)), pool))
                     .toList();
-            race.forEach(CompletableFuture::join);
+            submitterTasks.forEach(CompletableFuture::join);
             pool.shutdown();
             submittersFinished = true;
             faults.join();
 
             assertThat(submissions).hasSize(NOTE_COUNT);
             submitLastNote(cluster);
-            printSummary(watch);
+            printSummary(monitor);
             assertConfigurationFollowsAcceptedNotes(start, configuration(cluster));
-            assertThat(watch.violations()).isEmpty();
-            assertThat(watch.incarnations()).isEqualTo(cluster.hosts().size() + 1);
+            assertThat(monitor.violations()).isEmpty();
+            assertThat(monitor.incarnations()).isEqualTo(cluster.hosts().size() + 1);
         }
     }
 
-    /** Guards against a restarted daemon that takes an older configuration from a peer or from the store. */
+    /** Guards against a restarted daemon that loads an older configuration from a peer or from the store. */
     @Test
     void daemonRestartedInAnOutageShowsNoOlderRevision() {
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b");
-                RevisionMonitor watch = new RevisionMonitor(cluster)) {
+                RevisionMonitor monitor = new RevisionMonitor(cluster)) {
             submitLastNote(cluster);
-            long shown = submissions.get("last").revision();
+            long revisionBefore = submissions.get("last").revision();
             ClusterHost host = cluster.host(2);
             cluster.injectStoreFault("{\"kind\":\"down\"}");
             host.daemon().kill();
             host.startDaemon(List.of());
-            cluster.waitUntil("restarted daemon answers", () -> shownRevision(cluster, host) >= 0);
+            cluster.waitUntil("the restarted daemon answers", () -> shownRevision(cluster, host) >= 0);
             long revisionInOutage = shownRevision(cluster, host);
             cluster.injectStoreFault(NO_FAULT);
-            cluster.waitUntil("restarted daemon has a configuration", () -> shownRevision(cluster, host) > 0);
+            cluster.waitUntil("the restarted daemon has a configuration", () -> shownRevision(cluster, host) > 0);
 
-            assertThat(revisionInOutage).isIn(0L, shown);
-            assertThat(shownRevision(cluster, host)).isEqualTo(shown);
-            assertThat(watch.violations()).isEmpty();
-            assertThat(watch.incarnations()).isEqualTo(cluster.hosts().size() + 1);
+            assertThat(revisionInOutage).isIn(0L, revisionBefore);
+            assertThat(shownRevision(cluster, host)).isEqualTo(revisionBefore);
+            assertThat(monitor.violations()).isEmpty();
+            assertThat(monitor.incarnations()).isEqualTo(cluster.hosts().size() + 1);
         }
     }
 
-    /** Revision that a daemon shows, or -1 if it does not answer. */
+    /** Configuration revision in the status of a daemon, or -1 if the daemon does not answer. */
     private static long shownRevision(TestCluster cluster, ClusterHost host) {
         try {
             return cluster.status(host).configurationRevision().value();
@@ -131,7 +133,7 @@
     private void injectStoreFaults(TestCluster cluster) {
         for (int i = 0; !submittersFinished; i++) {
             cluster.injectStoreFault(STORE_FAULTS.get(i % STORE_FAULTS.size()));
-            TestCluster.sleep(1_600);
+            TestCluster.sleep(STORE_FAULT_INTERVAL_MS);
         }
         cluster.injectStoreFault(NO_FAULT);
     }
@@ -154,29 +156,29 @@
                 + "\",\"maxQueueLength\":" + (100 + number) + "}]}}";
     }
 
-    /** Submits a text until it has a definite answer. */
+    /** Submits a release note again and again until its result is definite or 20 s have passed. */
     private void submit(TestCluster cluster, String id, String text) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESUBMIT_TIMEOUT_MS);
         List<ResultCode> results = new ArrayList<>();
-        JsonNode answer;
+        JsonNode result;
         do {
             TestCluster.CtlResult run = cluster.runCtlWithFile(
                     text, "note", "submit", "--json=true", "--wait-ms=0", "--timeout-ms=600", "--store-timeout-ms=300");
-            answer = lastLineAsJson(run.output());
-            results.add(ResultCode.valueOf(answer.path("name").asText()));
+            result = lastLineAsJson(run.output());
+            results.add(ResultCode.valueOf(result.path("name").asText()));
         } while (INDEFINITE_RESULTS.contains(results.get(results.size() - 1)) && System.nanoTime() - deadlineNanos < 0);
-        long revision = answer.path("result").path("revision").asLong();
+        long revision = result.path("result").path("revision").asLong();
         submissions.put(id, new Submission(id, text, List.copyOf(results), revision));
     }
 
-    /** The last acceptance, with the store up, must reach every daemon in time. */
+    /** Submits a last note while the store has no fault; it must be in force on every daemon within the limit. */
     private void submitLastNote(TestCluster cluster) {
         submit(cluster, "last", noteText("last", NOTE_COUNT, currentRevision(cluster)));
         long acceptedNanos = System.nanoTime();
         long revision = submissions.get("last").revision();
         assertThat(submissions.get("last").accepted()).isTrue();
         cluster.waitUntil(
-                "last revision in force",
+                "the last revision is in force on all daemons",
                 () -> cluster.hosts().stream()
                         .allMatch(host ->
                                 cluster.status(host).configurationRevision().value() == revision));
@@ -212,14 +214,14 @@
                 start.services().stream().map(s -> s.balancingPolicy()).collect(Collectors.toSet()));
     }
 
-    private void printSummary(RevisionMonitor watch) {
+    private void printSummary(RevisionMonitor monitor) {
         long accepted =
                 submissions.values().stream().filter(Submission::accepted).count();
         System.out.println("note race: accepted=" + accepted + " refused=" + (submissions.size() - accepted)
                 + " unansweredAtFirst=" + countResubmitted(ResultCode.WRITE_UNANSWERED) + " unavailableAtFirst="
-                + countResubmitted(ResultCode.STORE_UNAVAILABLE) + " polls=" + watch.polls() + " failedPolls="
-                + watch.failedPolls()
-                + " members=" + watch.incarnations());
+                + countResubmitted(ResultCode.STORE_UNAVAILABLE) + " polls=" + monitor.polls() + " failedPolls="
+                + monitor.failedPolls()
+                + " members=" + monitor.incarnations());
     }
 
     private long countResubmitted(ResultCode code) {
@@ -242,13 +244,13 @@
     private static HttpResponse<byte[]> readConfiguration(TestCluster cluster) {
         while (true) {
             try {
-                HttpResponse<byte[]> answer =
+                HttpResponse<byte[]> response =
                         cluster.send("GET", cluster.localCluster().storeAddress(), "/v1/objects/config/current", "");
-                if (answer.statusCode() == 200) {
-                    return answer;
+                if (response.statusCode() == 200) {
+                    return response;
                 }
             } catch (UncheckedIOException e) {
-                // The store is in one of the faults above.
+                // One of STORE_FAULTS is active; try again.
                 TestCluster.sleep(20);
             }
         }
@@ -259,7 +261,7 @@
         try {
             return JsonCodec.mapper().readTree(lines.get(lines.size() - 1));
         } catch (JsonProcessingException e) {
-            throw new AssertionError("no JSON: " + output, e);
+            throw new AssertionError("last line of the output is not JSON: " + output, e);
         }
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/OwnerLossTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against keys that stay unserved, or are executed by two servers, after the loss of their owner. */
+/** Guards against keys that nobody serves, or that two servers serve, after the loss of their owner. */
 class OwnerLossTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long FREEZE_MS = 30_000;
     private static final long RECOVERY_MS = 3_000;
 
-    /** What happens to the first hosts; the last two hosts take the callers' requests. */
+    /** A failure of the first hosts. Callers send their requests to the last two hosts. */
     enum Loss {
         DAEMON_KILLED {
             @Override
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/PartitionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against partitions that stop owners of a whole region or make two servers execute a key. */
+/** Guards against network partitions that stop all owners of a region or let two servers execute the same key. */
 class PartitionTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
 
@@ -23,10 +23,11 @@
         try (TestCluster cluster = TestCluster.start(directory, "r1/a", "r1/a", "r1/b", "r2/c", "r2/c", "r2/d")) {
             BackgroundTraffic traffic = BackgroundTraffic.start(cluster, cluster.callerAddresses(), 12_000, 0);
             TestCluster.sleep(1_000);
-            List<ClusterHost> near = cluster.hosts().subList(0, 3);
-            List<ClusterHost> far = cluster.hosts().subList(3, 6);
-            near.forEach(one -> far.forEach(other -> cluster.localCluster().partition(one, other)));
-            far.forEach(host -> host.storeProxy().blockBothDirections());
+            List<ClusterHost> firstRegion = cluster.hosts().subList(0, 3);
+            List<ClusterHost> secondRegion = cluster.hosts().subList(3, 6);
+            firstRegion.forEach(
+                    one -> secondRegion.forEach(other -> cluster.localCluster().partition(one, other)));
+            secondRegion.forEach(host -> host.storeProxy().blockBothDirections());
             TestCluster.sleep(6_000);
 
             for (ClusterHost host : cluster.hosts()) {
@@ -36,7 +37,7 @@
             }
             cluster.localCluster().clearFaults();
             LoadReport report = traffic.finish();
-            report.lines().forEach(line -> System.out.println("region cut: " + line));
+            report.lines().forEach(line -> System.out.println("region partition: " + line));
             assertThat(report.violations()).isEmpty();
         }
     }
@@ -62,7 +63,7 @@
         }
     }
 
-    /** See KNOWN-RED.txt: some calls ended with an exhausted retry budget once. */
+    /** See KNOWN-RED.txt: in one run, some calls failed because their retry budget was exhausted. */
     @Tag("known-red")
     @Test
     void silentConnectionsDelayCallsByAtMostTheDetectionTime() {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawHttpClient.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RawHttpClient.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 import org.coriandercrank.kernel.id.HostAddress;
 
-/** Sends bytes that a correct HTTP client does not send. Stateless. */
+/** Sends arbitrary bytes over TCP, including those that a correct HTTP client does not send. Stateless. */
 final class RawHttpClient {
     private static final int READ_TIMEOUT_MS = 5_000;
 
     private RawHttpClient() {}
 
-    /** An answer as text. Immutable. */
+    /** An HTTP response as text. Immutable. */
     record Response(String text) {
         int status() {
             return Integer.parseInt(text.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length()));
@@ -34,31 +34,31 @@
         }
     }
 
-    /** Sends a request that ends the connection and returns its answer. */
+    /** Sends a request with {@code Connection: close} and returns the response. */
     static Response send(HostAddress address, String requestLine, List<String> headers, String body) {
         String head = requestLine + "\r\nHost: x\r\nConnection: close\r\n"
                 + headers.stream().map(h -> h + "\r\n").reduce("", String::concat);
         return new Response(sendText(address, head + "Content-Length: " + body.length() + "\r\n\r\n" + body));
     }
 
-    /** Sends text and returns all that comes back until the other side closes. */
+    /** Sends text and returns everything received until the other side closes the connection. */
     static String sendText(HostAddress address, String sent) {
         return new String(sendBytes(address, sent.getBytes(StandardCharsets.ISO_8859_1)), StandardCharsets.UTF_8);
     }
 
-    /** Sends bytes and returns all that comes back; fails if the other side does not close within 5 s. */
+    /** Sends bytes and returns everything received until the other side closes; fails if nothing arrives for 5 s. */
     static byte[] sendBytes(HostAddress address, byte[] sent) {
         try (Socket socket = open(address)) {
             socket.getOutputStream().write(sent);
             return socket.getInputStream().readAllBytes();
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("connection stayed open", e);
+            throw new AssertionError("the other side did not close the connection", e);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Sends a request and leaves without waiting for its answer. */
+    /** Sends a request and closes the connection after a time, without reading the response. */
     static void disconnectAfter(HostAddress address, String request, long waitMs) {
         try (Socket socket = open(address)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingClient.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingClient.java
@@ -15,8 +15,8 @@
 import org.coriandercrank.load.CallRecord;
 
 /**
- * A caller that repeats non-repeatable operations with their idempotency keys although they succeeded, at any daemon.
- * Not thread safe; {@link #finish} ends its thread.
+ * Sends operations with idempotency keys to random daemons and repeats them although they succeeded. Every repeat must
+ * get the first response. Not thread safe; {@link #finish} ends its thread.
  */
 final class RepeatingClient {
     private static final long SEED = 11;
@@ -24,14 +24,14 @@
     private static final int REPEATS_PER_OPERATION = 4;
     private static final int NO_RESULT_CODE = -1;
 
-    /** An operation that succeeded and its first answer. Immutable. */
-    private record Operation(long number, String key, String idempotencyKey, long firstNanos, String answer) {}
+    /** An operation and its first response, as status code and body. Immutable. */
+    private record Operation(long number, String key, String idempotencyKey, long firstSentNanos, String response) {}
 
-    /** What the caller saw. Immutable. */
-    record Result(List<CallRecord> calls, List<String> differingAnswers) {
+    /** All calls, and descriptions of the repeats whose response differed from the first one. Immutable. */
+    record Result(List<CallRecord> calls, List<String> differingResponses) {
         Result {
             calls = List.copyOf(calls);
-            differingAnswers = List.copyOf(differingAnswers);
+            differingResponses = List.copyOf(differingResponses);
         }
     }
 
@@ -41,7 +41,7 @@
     private final String runId = "repeat" + Long.toString(System.nanoTime(), Character.MAX_RADIX);
     private final List<Operation> operations = new ArrayList<>();
     private final List<CallRecord> calls = new ArrayList<>();
-    private final List<String> differingAnswers = new ArrayList<>();
+    private final List<String> differingResponses = new ArrayList<>();
     private final CompletableFuture<Result> result;
     private volatile boolean stopped;
 
@@ -51,7 +51,7 @@
         this.result = CompletableFuture.supplyAsync(this::run);
     }
 
-    /** Ends the calls, after a last repeat of every operation. */
+    /** Repeats every operation a last time, then ends the calls and returns their results. */
     Result finish() {
         stopped = true;
         try {
@@ -60,7 +60,7 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new AssertionError("repeating caller did not finish", e);
+            throw new AssertionError("repeating client did not finish", e);
         }
     }
 
@@ -72,30 +72,30 @@
             }
         }
         operations.forEach(this::repeat);
-        return new Result(calls, differingAnswers);
+        return new Result(calls, differingResponses);
     }
 
     private void sendNewOperation() {
         long number = calls.size();
         String key = "key-" + random.nextInt(BackgroundTraffic.KEY_COUNT);
         long nowNanos = System.nanoTime();
-        Operation asked = new Operation(number, key, runId + "-k" + number, nowNanos, "");
-        String answer = send(asked, nowNanos);
+        Operation operation = new Operation(number, key, runId + "-k" + number, nowNanos, "");
+        String response = send(operation, nowNanos);
         if (calls.get(calls.size() - 1).succeeded()) {
-            operations.add(new Operation(number, key, asked.idempotencyKey(), nowNanos, answer));
+            operations.add(new Operation(number, key, operation.idempotencyKey(), nowNanos, response));
         }
     }
 
     private void repeat(Operation operation) {
-        String answer = send(operation, System.nanoTime());
-        if (!answer.equals(operation.answer())) {
-            differingAnswers.add(operation + " was repeated with answer " + answer);
+        String response = send(operation, System.nanoTime());
+        if (!response.equals(operation.response())) {
+            differingResponses.add("the repeat of " + operation + " got response " + response);
         }
     }
 
     private String send(Operation operation, long nowNanos) {
         String requestId = runId + "-" + calls.size();
-        HttpResponse<byte[]> reply = cluster.send(
+        HttpResponse<byte[]> response = cluster.send(
                 "POST",
                 targets.get(random.nextInt(targets.size())),
                 "/v1/" + TestCluster.SERVICE + "/" + operation.key(),
@@ -103,12 +103,12 @@
                 "Crank-Request-Id: " + requestId,
                 "Crank-Deadline-Ms: 3000",
                 "Idempotency-Key: " + operation.idempotencyKey(),
-                "Crank-Key-Age-Ms: " + TimeUnit.NANOSECONDS.toMillis(nowNanos - operation.firstNanos()));
-        int code = reply.headers()
+                "Crank-Key-Age-Ms: " + TimeUnit.NANOSECONDS.toMillis(nowNanos - operation.firstSentNanos()));
+        int code = response.headers()
                 .firstValue("crank-result")
                 .map(Integer::parseInt)
                 .orElse(NO_RESULT_CODE);
-        Optional<Outcome> outcome = reply.headers()
+        Optional<Outcome> outcome = response.headers()
                 .firstValue("crank-outcome")
                 .flatMap(text -> List.of(Outcome.values()).stream()
                         .filter(o -> o.headerValue().equals(text))
@@ -125,6 +125,6 @@
                 code,
                 outcome,
                 false));
-        return reply.statusCode() + " " + new String(reply.body(), StandardCharsets.UTF_8);
+        return response.statusCode() + " " + new String(response.body(), StandardCharsets.UTF_8);
     }
 }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RequestPathTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RequestPathTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against faults between the parts of the path from caller to backend server, with real processes. */
+/** Guards against errors in the interplay of callers, daemons and backend servers, with real processes. */
 class RequestPathTest {
     private static final String KEYED_PATH = "/v1/" + TestCluster.SERVICE + "/";
     private static final String UNKEYED_SERVICE = "shadebook";
@@ -57,7 +57,7 @@
                         + "\",\"keyed\":true,\"maxBodyBytes\":" + BODY_LIMIT_BYTES + "},{\"name\":\"" + UNKEYED_SERVICE
                         + "\",\"keyed\":false}]}}");
         cluster.waitUntil(
-                "the unkeyed service answers",
+                "every daemon gets responses of the unkeyed service",
                 () -> cluster.hosts().stream()
                         .allMatch(h ->
                                 call(h, "GET", "/v1/" + UNKEYED_SERVICE, "").statusCode() < 500));
@@ -73,17 +73,17 @@
         return cluster.send(method, host.callerAddress(), path, body, headers);
     }
 
-    private static String text(HttpResponse<byte[]> answer) {
-        return new String(answer.body(), StandardCharsets.UTF_8);
+    private static String text(HttpResponse<byte[]> response) {
+        return new String(response.body(), StandardCharsets.UTF_8);
     }
 
-    private static String header(HttpResponse<byte[]> answer, String name) {
-        return answer.headers().firstValue(name).orElse("");
+    private static String header(HttpResponse<byte[]> response, String name) {
+        return response.headers().firstValue(name).orElse("");
     }
 
-    private static void assertExecuted(HttpResponse<byte[]> answer) {
-        assertThat(header(answer, "Crank-Result")).as(text(answer)).isEqualTo("0");
-        assertThat(header(answer, "Crank-Outcome")).isEqualTo("run");
+    private static void assertExecuted(HttpResponse<byte[]> response) {
+        assertThat(header(response, "Crank-Result")).as(text(response)).isEqualTo("0");
+        assertThat(header(response, "Crank-Outcome")).isEqualTo("run");
     }
 
     private static List<Execution> executions(String requestId) {
@@ -117,12 +117,12 @@
         for (int i = 0; i < 100; i++) {
             assertExecuted(call(cluster.host(i % 3), "PUT", "/v1/" + UNKEYED_SERVICE + "/spread", "x"));
         }
-        List<Execution> spread = LedgerReader.read(cluster.ledgerFiles()).stream()
+        List<Execution> writes = LedgerReader.read(cluster.ledgerFiles()).stream()
                 .filter(e -> e.method().equals("PUT") && e.server().startsWith("book-"))
                 .toList();
-        assertThat(spread).hasSizeGreaterThanOrEqualTo(100);
-        assertThat(spread.stream().filter(e -> e.server().equals("book-1")).count())
-                .isBetween(spread.size() / 4L, spread.size() * 3L / 4);
+        assertThat(writes).hasSizeGreaterThanOrEqualTo(100);
+        assertThat(writes.stream().filter(e -> e.server().equals("book-1")).count())
+                .isBetween(writes.size() / 4L, writes.size() * 3L / 4);
     }
 
     @Test
@@ -165,8 +165,9 @@
                     .append("\r\n")
                     .append(i == 5 ? "Connection: close\r\n\r\n" : "\r\n");
         }
-        String answers = RawHttpClient.sendText(cluster.host(1).callerAddress(), requests.toString());
-        assertThat(answers.lines()
+        String responses = RawHttpClient.sendText(cluster.host(1).callerAddress(), requests.toString());
+        assertThat(responses
+                        .lines()
                         .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("crank-request-id"))
                         .map(line -> line.substring(line.indexOf(' ') + 1)))
                 .containsExactly("alive-1", "alive-2", "alive-3", "alive-4", "alive-5");
@@ -184,12 +185,12 @@
 
     private record InvalidRequest(int code, String field, String requestLine, List<String> headers) {}
 
-    private static InvalidRequest invalidPath(int number, String field, String target) {
-        return new InvalidRequest(number, field, "GET " + target + " HTTP/1.1", List.of());
+    private static InvalidRequest invalidPath(int code, String field, String target) {
+        return new InvalidRequest(code, field, "GET " + target + " HTTP/1.1", List.of());
     }
 
-    private static InvalidRequest invalidHeader(int number, String field, String... headers) {
-        return new InvalidRequest(number, field, "GET " + KEYED_PATH + "k HTTP/1.1", List.of(headers));
+    private static InvalidRequest invalidHeader(int code, String field, String... headers) {
+        return new InvalidRequest(code, field, "GET " + KEYED_PATH + "k HTTP/1.1", List.of(headers));
     }
 
     static Stream<InvalidRequest> invalidRequests() {
@@ -231,16 +232,16 @@
     @ParameterizedTest
     @MethodSource("invalidRequests")
     void invalidRequestIsRejectedWithCodeAndField(InvalidRequest input) throws IOException {
-        RawHttpClient.Response answer =
+        RawHttpClient.Response response =
                 RawHttpClient.send(cluster.host(0).callerAddress(), input.requestLine(), input.headers(), "");
 
-        assertThat(answer.header("Crank-Result")).as(answer.text()).contains(Integer.toString(input.code()));
-        assertThat(answer.header("Crank-Outcome")).contains("not-run");
-        assertThat(answer.status()).isBetween(400, 499);
-        JsonNode body = new ObjectMapper().readTree(answer.body());
+        assertThat(response.header("Crank-Result")).as(response.text()).contains(Integer.toString(input.code()));
+        assertThat(response.header("Crank-Outcome")).contains("not-run");
+        assertThat(response.status()).isBetween(400, 499);
+        JsonNode body = new ObjectMapper().readTree(response.body());
         assertThat(body.get("code").asInt()).isEqualTo(input.code());
         assertThat(body.get("detail").asText()).startsWithIgnoringCase(input.field() + ":");
-        assertThat(answer.header("Crank-Request-Id"))
+        assertThat(response.header("Crank-Request-Id"))
                 .contains(body.get("requestId").asText());
     }
 
@@ -281,31 +282,31 @@
             for (ClusterHost host : cluster.hosts()) {
                 String id = "late-" + host.spec().name();
                 long startNanos = System.nanoTime();
-                HttpResponse<byte[]> answer = callWithShortDeadline(host, id);
+                HttpResponse<byte[]> response = callWithShortDeadline(host, id);
                 long tookMs = (System.nanoTime() - startNanos) / 1_000_000;
 
-                assertThat(answer.statusCode()).isGreaterThanOrEqualTo(500);
+                assertThat(response.statusCode()).isGreaterThanOrEqualTo(500);
                 assertThat(tookMs).isBetween(200L, SLOW_SERVER_DELAY_MS);
-                assertThat(header(answer, "Crank-Outcome")).isIn("not-run", "unknown");
+                assertThat(header(response, "Crank-Outcome")).isIn("not-run", "unknown");
                 TestCluster.sleep(SLOW_SERVER_DELAY_MS + 200);
-                if (header(answer, "Crank-Outcome").equals("not-run")) {
+                if (header(response, "Crank-Outcome").equals("not-run")) {
                     assertThat(executions(id)).isEmpty();
                 }
             }
         });
     }
 
-    /** Asks often, because the deadline of the daemon and the refusal of the server race. */
+    /** Sends a request to every daemon, because the deadline in the daemon races with the rejection by the backend server. */
     @Test
     void expiredDeadlineIsAnsweredWith504() {
-        List<String> answers = new ArrayList<>();
+        List<String> responses = new ArrayList<>();
         withSlowServers(() -> cluster.hosts().forEach(host -> {
-            HttpResponse<byte[]> answer =
+            HttpResponse<byte[]> response =
                     callWithShortDeadline(host, "late-504-" + host.spec().name());
-            answers.add(answer.statusCode() + " " + header(answer, "Crank-Result") + " at "
-                    + host.spec().name() + " from " + header(answer, "Crank-Owner"));
+            responses.add(response.statusCode() + " " + header(response, "Crank-Result") + " at "
+                    + host.spec().name() + " from " + header(response, "Crank-Owner"));
         }));
-        assertThat(answers).allMatch(answer -> answer.startsWith("504 "));
+        assertThat(responses).allMatch(response -> response.startsWith("504 "));
     }
 
     private static HttpResponse<byte[]> callWithShortDeadline(ClusterHost host, String id) {
@@ -392,9 +393,9 @@
             })
     void invalidAnnouncementIsRejectedAndChangesNothing(String body) {
         ClusterHost host = cluster.host(0);
-        HttpResponse<byte[]> answer = cluster.send("POST", host.adminAddress(), "/v1/backend", body);
+        HttpResponse<byte[]> response = cluster.send("POST", host.adminAddress(), "/v1/backend", body);
 
-        assertThat(answer.statusCode()).as(text(answer)).isEqualTo(400);
+        assertThat(response.statusCode()).as(text(response)).isEqualTo(400);
         assertThat(cluster.status(host).backendName()).contains("desk-1");
         assertExecuted(call(host, "GET", KEYED_PATH + "announced", ""));
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionMonitor.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RevisionMonitor.java
@@ -14,23 +14,24 @@
 import org.coriandercrank.testkit.ClusterHost;
 
 /**
- * Polls the status endpoints of all daemons and notes each revision of the configuration that goes back. Thread safe.
+ * Polls the status endpoints of all daemons and records a violation whenever the configuration revision of a host
+ * decreases. Thread safe.
  *
- * <p>A new incarnation shows revision 0 until it has read the configuration; that is no step back, because its
- * readiness is {@code STARTING}. Any other revision is compared with all that the host has shown before.
+ * <p>A new incarnation reports revision 0 until it has read the configuration. That is no violation, because its
+ * readiness is {@code STARTING}. Any other revision is compared with the highest one that the host has reported.
  */
 final class RevisionMonitor implements AutoCloseable {
     private static final long POLL_INTERVAL_MS = 25;
     private static final ObservedRevision NONE_OBSERVED = new ObservedRevision(null, 0);
 
-    /** The highest revision that a host has shown, and the member that showed a revision last. Immutable. */
+    /** The highest revision that a host has reported, and the member that reported a revision last. Immutable. */
     private record ObservedRevision(MemberId member, long revision) {}
 
     private final TestCluster cluster;
     private final Map<String, ObservedRevision> observedByHost = new HashMap<>();
     private final Set<MemberId> members = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
-    private final Thread thread = new Thread(this::run, "revision-watch");
+    private final Thread thread = new Thread(this::run, "revision-monitor");
     private final AtomicInteger failedPolls = new AtomicInteger();
     private int polls;
     private volatile boolean stopped;
@@ -44,7 +45,7 @@
         while (!stopped) {
             for (ClusterHost host : cluster.hosts()) {
                 try {
-                    record(host.spec().name(), cluster.status(host));
+                    addObservation(host.spec().name(), cluster.status(host));
                 } catch (UncheckedIOException | CrankException e) {
                     failedPolls.incrementAndGet();
                 }
@@ -53,16 +54,16 @@
         }
     }
 
-    private synchronized void record(String host, DaemonStatus status) {
+    private synchronized void addObservation(String host, DaemonStatus status) {
         polls++;
         long revision = status.configurationRevision().value();
-        ObservedRevision before = observedByHost.getOrDefault(host, NONE_OBSERVED);
+        ObservedRevision previous = observedByHost.getOrDefault(host, NONE_OBSERVED);
         members.add(status.member());
-        if (revision < before.revision && (revision > 0 || status.member().equals(before.member))) {
-            violations.add(status.member() + " shows " + revision + " after " + before);
+        if (revision < previous.revision && (revision > 0 || status.member().equals(previous.member))) {
+            violations.add(status.member() + " reports revision " + revision + " after " + previous);
         }
         if (revision > 0) {
-            observedByHost.put(host, new ObservedRevision(status.member(), Math.max(revision, before.revision)));
+            observedByHost.put(host, new ObservedRevision(status.member(), Math.max(revision, previous.revision)));
         }
     }
 
@@ -70,16 +71,17 @@
         return List.copyOf(violations);
     }
 
+    /** Number of polls that were answered. */
     synchronized int polls() {
         return polls;
     }
 
-    /** Polls without an answer, such as those of a daemon that is starting. */
+    /** Number of polls without an answer, for example while a daemon starts. */
     int failedPolls() {
         return failedPolls.get();
     }
 
-    /** Members that answered, over all hosts. */
+    /** Number of distinct members that answered, over all hosts. */
     synchronized int incarnations() {
         return members.size();
     }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/StoreFaultTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against owners that stop serving because the store is down, slow or cut off. */
+/** Guards against owners that stop serving because the store is down, slow or unreachable. */
 class StoreFaultTest {
     @TempDir
     Path directory;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestCluster.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/TestCluster.java
@@ -24,7 +24,10 @@
 import org.coriandercrank.testkit.HostSpec;
 import org.coriandercrank.testkit.LocalCluster;
 
-/** A cluster of real processes with the calls that tests make. Only the calls may be made by several threads. */
+/**
+ * A {@link LocalCluster} with operations that tests need: requests, faults, release notes and waiting. Only the methods
+ * that send requests are thread safe.
+ */
 final class TestCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
 
@@ -49,17 +52,17 @@
     /**
      * Starts hosts of one keyed service and waits until every host serves ranges.
      *
-     * @param places region and failure domain of each host, as {@code region/domain}
+     * @param places region and failure domain of each host, as {@code region/failureDomain}
      */
     static TestCluster start(Path directory, String... places) {
         return start(directory, places.length, List.of(DEFAULT_BACKEND_FLAGS), places);
     }
 
     /**
-     * Starts the first hosts of a cluster.
+     * Starts the first hosts of a cluster and waits until they serve ranges.
      *
      * @param startedHosts number of hosts that start now; {@link #startHost} starts the others
-     * @param backendFlags flags of the backend servers, repeated in turn over the hosts
+     * @param backendFlags flag lists of the backend servers; the hosts use them in turn
      */
     static TestCluster start(Path directory, int startedHosts, List<List<String>> backendFlags, String... places) {
         List<HostSpec> specs = new ArrayList<>();
@@ -72,7 +75,7 @@
         return cluster;
     }
 
-    /** Starts all hosts, submits a note and waits until every host of the keyed service serves ranges. */
+    /** Starts all hosts, submits a release note and waits until every host of the keyed service serves ranges. */
     static TestCluster start(Path directory, List<HostSpec> specs, String note) {
         TestCluster cluster = new TestCluster(directory, specs);
         cluster.startHosts(specs.size(), List.of(DEFAULT_BACKEND_FLAGS), note);
@@ -80,21 +83,21 @@
     }
 
     private void startHosts(int startedHosts, List<List<String>> backendFlags, String note) {
-        List<ClusterHost> first = hosts().subList(0, startedHosts);
+        List<ClusterHost> started = hosts().subList(0, startedHosts);
         for (int i = 0; i < startedHosts; i++) {
             host(i).startDaemon(List.of());
             host(i).startBackend(backendFlags.get(i % backendFlags.size()));
         }
-        waitUntil("all daemons answer", () -> first.stream().allMatch(this::hasBackend));
+        waitUntil("all daemons have a backend server", () -> started.stream().allMatch(this::hasBackend));
         submitNote(note);
         waitUntil(
                 "all hosts of the keyed service serve ranges",
-                () -> first.stream()
+                () -> started.stream()
                         .filter(h -> h.spec().service().equals(SERVICE))
                         .noneMatch(h -> status(h).serving().isEmpty()));
     }
 
-    /** Starts a host that is not running, with the default flags. */
+    /** Starts the daemon and the backend server of a host that is not running, with the default flags. */
     void startHost(int index) {
         host(index).startDaemon(List.of());
         host(index).startBackend(DEFAULT_BACKEND_FLAGS);
@@ -125,6 +128,7 @@
                 send("GET", host.adminAddress(), "/v1/status", "").body(), DaemonStatus.class);
     }
 
+    /** Whether the daemon of a host answers and has a backend server attached. */
     boolean hasBackend(ClusterHost host) {
         try {
             return status(host).backendName().isPresent();
@@ -133,7 +137,7 @@
         }
     }
 
-    /** Calls an address; header values may be given as {@code name: value}. */
+    /** Sends an HTTP request to an address and waits for the response; headers have the form {@code name: value}. */
     HttpResponse<byte[]> send(String method, HostAddress address, String path, String body, String... headers) {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(Duration.ofSeconds(20))
@@ -152,17 +156,17 @@
         }
     }
 
-    /** Adds a fault to the store, as its protocol page describes. */
+    /** Injects a fault into the store; docs/PROTOCOL_STORE.md describes the JSON format. */
     void injectStoreFault(String json) {
         send("POST", localCluster.storeAddress(), "/admin/faults", json);
     }
 
-    /** Adds a fault to the backend server of a host, as its protocol page describes. */
+    /** Injects a fault into the backend server of a host; docs/PROTOCOL_BACKEND.md describes the JSON format. */
     void injectBackendFault(ClusterHost host, String json) {
         send("POST", host.backendAddress(), "/admin/faults", json);
     }
 
-    /** Adds or withdraws the rule that drains the backend server of a host. */
+    /** Adds or withdraws the configuration entry that drains the backend server of a host. */
     void setDrained(ClusterHost host, boolean drained) {
         String name = host.spec().name();
         String change = drained
@@ -174,15 +178,15 @@
                         .value() + "," + change + "}");
     }
 
-    /** Submits a release note and requires that it is accepted and in force. */
+    /** Submits a release note and fails unless it is accepted and in force. */
     void submitNote(String note) {
         CtlResult run = runCtlWithFile(note, "note", "submit");
         if (run.exitCode() != 0) {
-            throw new AssertionError("note refused: " + run.output());
+            throw new AssertionError("release note was not accepted: " + run.output());
         }
     }
 
-    /** Runs {@code crankctl} in this process. */
+    /** Runs a command of {@code crankctl} in this process. */
     CtlResult runCtl(String... words) {
         List<String> arguments = new ArrayList<>(List.of(words));
         arguments.add("--store=" + localCluster.storeAddress());
@@ -204,14 +208,16 @@
         }
     }
 
-    /** What {@code crankctl} printed and returned. Immutable. */
+    /** Exit code and output of a run of {@code crankctl}. Immutable. */
     record CtlResult(int exitCode, String output) {}
 
+    /** Polls a condition until it holds; fails after 30 s. */
     void waitUntil(String what, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new AssertionError("not in " + WAIT_TIMEOUT_MS + " ms: " + what + "; see " + directory);
+                throw new AssertionError(
+                        "timed out after " + WAIT_TIMEOUT_MS + " ms: " + what + "; logs in " + directory);
             }
             sleep(POLL_INTERVAL_MS);
         }
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against servers with missing capabilities that weaken more than the backend server protocol states: outcomes
- * stay true and nothing runs twice for every server; only a freeze of a whole host without validity may break the order
- * of owners.
+ * Guards against backend servers without some capability that weaken more guarantees than the backend server protocol
+ * states. With every server, outcomes are correct and nothing is executed twice. Only if a whole host freezes and its
+ * server lacks {@code validity} may an old owner execute requests beside or after its successor.
  */
 class WeakServerTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
     private static final long FREEZE_MS = 6_000;
     private static final long DURATION_MS = 8_500;
 
-    /** Capabilities of the server on each host; every host but the first lacks exactly one. */
+    /** Capabilities of the backend server on each host; the first server has none, every other one lacks one. */
     private static final List<String> CAPABILITIES = List.of(
             "none",
             "fence,cancel,deadline",
@@ -34,16 +34,16 @@
             "fence,validity,deadline",
             "fence,validity,cancel");
 
-    /** Ownership checks that need a server with validity when its whole host freezes. */
+    /** Violations that may occur if a whole host freezes and its server lacks {@code validity}. */
     private static final Set<Kind> OWNERSHIP_VIOLATIONS = Set.of(Kind.TWO_OWNERS, Kind.FENCE_WENT_BACK);
 
-    /** What happens to a host. */
+    /** What happens to the affected hosts. */
     enum FaultKind {
         DAEMON_KILLED("15"),
         HOST_FROZEN_AND_RESUMED("15"),
         PLANNED_MOVE("2");
 
-        /** Long enough before a loss that requests are in execution when it strikes. */
+        /** Service time of a request; it is longer for losses, so that requests are in execution when the loss occurs. */
         private final String serviceMs;
 
         FaultKind(String serviceMs) {
@@ -52,20 +52,20 @@
     }
 
     /**
-     * A row of the table. Immutable.
+     * A fault of some hosts and the violations that it may cause. Immutable.
      *
-     * @param hosts numbers of the struck hosts, see {@link #CAPABILITIES}; the others take the callers' requests
-     * @param allowedViolations the checks that may fail
+     * @param hosts indices of the affected hosts in {@link #CAPABILITIES}; callers send their requests to the others
+     * @param allowedViolations the kinds of violations that may occur
      */
     record FaultCase(FaultKind kind, List<Integer> hosts, Set<Kind> allowedViolations) {
-        void inject(TestCluster cluster, List<ClusterHost> struck) {
+        void inject(TestCluster cluster, List<ClusterHost> affected) {
             switch (kind) {
-                case DAEMON_KILLED -> struck.forEach(host -> host.daemon().kill());
-                case PLANNED_MOVE -> struck.forEach(host -> cluster.setDrained(host, true));
+                case DAEMON_KILLED -> affected.forEach(host -> host.daemon().kill());
+                case PLANNED_MOVE -> affected.forEach(host -> cluster.setDrained(host, true));
                 case HOST_FROZEN_AND_RESUMED -> {
-                    struck.forEach(ClusterHost::freeze);
+                    affected.forEach(ClusterHost::freeze);
                     TestCluster.sleep(FREEZE_MS);
-                    struck.forEach(ClusterHost::resume);
+                    affected.forEach(ClusterHost::resume);
                 }
             }
         }
@@ -81,7 +81,7 @@
                 new FaultCase(FaultKind.PLANNED_MOVE, List.of(0, 1), Set.of()));
     }
 
-    /** See KNOWN-RED.txt: calls fail in a planned move of two servers at once. */
+    /** See KNOWN-RED.txt: calls fail while two backend servers are drained. */
     static Stream<FaultCase> knownRedFaults() {
         return Stream.of(new FaultCase(FaultKind.PLANNED_MOVE, List.of(2, 4), Set.of()));
     }
@@ -107,18 +107,19 @@
                 .map(capabilities -> List.of("--service-ms", fault.kind().serviceMs, "--capabilities", capabilities))
                 .toList();
         try (TestCluster cluster = TestCluster.start(directory, 5, flags, "r1/a", "r1/a", "r1/b", "r1/b", "r1/b")) {
-            List<ClusterHost> struck = fault.hosts().stream().map(cluster::host).toList();
+            List<ClusterHost> affected =
+                    fault.hosts().stream().map(cluster::host).toList();
             boolean planned = fault.kind() == FaultKind.PLANNED_MOVE;
             BackgroundTraffic traffic = BackgroundTraffic.start(
                     cluster,
                     cluster.hosts().stream()
-                            .filter(host -> !struck.contains(host))
+                            .filter(host -> !affected.contains(host))
                             .map(ClusterHost::callerAddress)
                             .toList(),
                     planned ? 4_000 : DURATION_MS,
                     planned ? 0 : 40);
             TestCluster.sleep(1_000);
-            fault.inject(cluster, struck);
+            fault.inject(cluster, affected);
             LoadReport report = traffic.finish();
 
             Stream.concat(report.lines().stream(), report.violations().stream().map(Violation::toString))
