--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
@@ -3,11 +3,12 @@
 import java.util.function.Consumer;
 
 /**
- * Settings of a gate. Immutable; the constructor checks that each value is in its valid range.
+ * Options of a gate. Immutable; the constructor checks that each value is in its valid range.
  *
  * @param taskQueueCapacity number of tasks that can wait for the thread of the gate
- * @param busyTickMs interval between checks of deadlines, grants and releases while any of them is pending
- * @param idleTickMs interval between these checks while none is pending
+ * @param busyTickMs interval between checks of deadlines, grants and releases while requests, acquires or releases are
+ *     pending
+ * @param idleTickMs interval between these checks while nothing is pending
  * @param grantValidityMs maximum validity of a grant; a grant is also never valid for longer than the rest of the lease
  * @param grantTimeoutMs time after which a grant without an answer counts as failed
  * @param grantRetryMs time between a failed grant and the next attempt
@@ -58,29 +59,51 @@
         int maxParkedRequests,
         int parkTimeoutMs,
         boolean allowUnconfirmedRelease) {
+    private static final int DEFAULT_TASK_QUEUE_CAPACITY = 8_192;
+    private static final int DEFAULT_BUSY_TICK_MS = 5;
+    private static final int DEFAULT_IDLE_TICK_MS = 25;
+    private static final int DEFAULT_GRANT_VALIDITY_MS = 1_000;
+    private static final int DEFAULT_GRANT_TIMEOUT_MS = 300;
+    private static final int DEFAULT_GRANT_RETRY_MS = 50;
+    private static final int DEFAULT_GRANT_DELAY_MS = 0;
+    private static final int DEFAULT_SLOW_START_MS = 5_000;
+    private static final int DEFAULT_OVERLOAD_RECOVERY_MS = 1_000;
+    private static final int DEFAULT_RECORD_RETENTION_MS = 600_000;
+    private static final int DEFAULT_MAX_RECORDS = 50_000;
+    private static final long DEFAULT_MAX_RECORD_BYTES = 16_777_216;
+    private static final long DEFAULT_MAX_TRANSFER_BYTES = 4_194_304;
+    private static final int DEFAULT_BARRED_ID_RETENTION_MS = 60_000;
+    private static final int DEFAULT_MAX_BARRED_IDS = 50_000;
+    private static final int DEFAULT_KEY_AGE_MARGIN_MS = 250;
+    private static final int DEFAULT_DEADLINE_GRACE_MS = 250;
+    private static final int DEFAULT_LOST_CALL_LIFETIME_MS = 60_000;
+    private static final int DEFAULT_MAX_PARKED_REQUESTS = 0;
+    private static final int DEFAULT_PARK_TIMEOUT_MS = 0;
+    private static final boolean DEFAULT_ALLOW_UNCONFIRMED_RELEASE = false;
+
     /** Default options, with parking of requests disabled. */
     public static final GateOptions DEFAULTS = new GateOptions(
-            /* taskQueueCapacity */ 8_192,
-            /* busyTickMs */ 5,
-            /* idleTickMs */ 25,
-            /* grantValidityMs */ 1_000,
-            /* grantTimeoutMs */ 300,
-            /* grantRetryMs */ 50,
-            /* grantDelayMs */ 0,
-            /* slowStartMs */ 5_000,
-            /* overloadRecoveryMs */ 1_000,
-            /* recordRetentionMs */ 600_000,
-            /* maxRecords */ 50_000,
-            /* maxRecordBytes */ 16_777_216,
-            /* maxTransferBytes */ 4_194_304,
-            /* barredIdRetentionMs */ 60_000,
-            /* maxBarredIds */ 50_000,
-            /* keyAgeMarginMs */ 250,
-            /* deadlineGraceMs */ 250,
-            /* lostCallLifetimeMs */ 60_000,
-            /* maxParkedRequests */ 0,
-            /* parkTimeoutMs */ 0,
-            /* allowUnconfirmedRelease */ false);
+            DEFAULT_TASK_QUEUE_CAPACITY,
+            DEFAULT_BUSY_TICK_MS,
+            DEFAULT_IDLE_TICK_MS,
+            DEFAULT_GRANT_VALIDITY_MS,
+            DEFAULT_GRANT_TIMEOUT_MS,
+            DEFAULT_GRANT_RETRY_MS,
+            DEFAULT_GRANT_DELAY_MS,
+            DEFAULT_SLOW_START_MS,
+            DEFAULT_OVERLOAD_RECOVERY_MS,
+            DEFAULT_RECORD_RETENTION_MS,
+            DEFAULT_MAX_RECORDS,
+            DEFAULT_MAX_RECORD_BYTES,
+            DEFAULT_MAX_TRANSFER_BYTES,
+            DEFAULT_BARRED_ID_RETENTION_MS,
+            DEFAULT_MAX_BARRED_IDS,
+            DEFAULT_KEY_AGE_MARGIN_MS,
+            DEFAULT_DEADLINE_GRACE_MS,
+            DEFAULT_LOST_CALL_LIFETIME_MS,
+            DEFAULT_MAX_PARKED_REQUESTS,
+            DEFAULT_PARK_TIMEOUT_MS,
+            DEFAULT_ALLOW_UNCONFIRMED_RELEASE);
 
     public GateOptions {
         checkPositive("taskQueueCapacity", taskQueueCapacity);
@@ -145,7 +168,7 @@
         });
     }
 
-    /** Returns these options with releases without confirmation by the backend server allowed or not. */
+    /** Returns these options with another value of {@code allowUnconfirmedRelease}. */
     public GateOptions withUnconfirmedRelease(boolean newAllowUnconfirmedRelease) {
         return with(builder -> builder.allowUnconfirmedRelease = newAllowUnconfirmedRelease);
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
@@ -26,17 +26,28 @@
         long loadQueryIntervalMs,
         long loadQueryTimeoutMs,
         long sealedRetentionMs) {
+    private static final long DEFAULT_RENEW_INTERVAL_MS = 500;
+    private static final long DEFAULT_ROLE_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_RANK_DELAY_MS = 200;
+    private static final long DEFAULT_SLOW_READ_INTERVAL_MS = 10_000;
+    private static final int DEFAULT_FAST_READERS = 3;
+    private static final long DEFAULT_TICK_INTERVAL_MS = 100;
+    private static final long DEFAULT_FIRST_TABLE_DELAY_MS = 1_000;
+    private static final long DEFAULT_LOAD_QUERY_INTERVAL_MS = 2_000;
+    private static final long DEFAULT_LOAD_QUERY_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_SEALED_RETENTION_MS = 60_000;
+
     public static final PlannerOptions DEFAULTS = new PlannerOptions(
-            /* renewIntervalMs= */ 500,
-            /* roleTimeoutMs= */ 1_500,
-            /* rankDelayMs= */ 200,
-            /* slowReadIntervalMs= */ 10_000,
-            /* fastReaders= */ 3,
-            /* tickIntervalMs= */ 100,
-            /* firstTableDelayMs= */ 1_000,
-            /* loadQueryIntervalMs= */ 2_000,
-            /* loadQueryTimeoutMs= */ 1_500,
-            /* sealedRetentionMs= */ 60_000);
+            DEFAULT_RENEW_INTERVAL_MS,
+            DEFAULT_ROLE_TIMEOUT_MS,
+            DEFAULT_RANK_DELAY_MS,
+            DEFAULT_SLOW_READ_INTERVAL_MS,
+            DEFAULT_FAST_READERS,
+            DEFAULT_TICK_INTERVAL_MS,
+            DEFAULT_FIRST_TABLE_DELAY_MS,
+            DEFAULT_LOAD_QUERY_INTERVAL_MS,
+            DEFAULT_LOAD_QUERY_TIMEOUT_MS,
+            DEFAULT_SEALED_RETENTION_MS);
 
     public PlannerOptions {
         if (renewIntervalMs < 1
@@ -44,7 +55,8 @@
                 || slowReadIntervalMs < renewIntervalMs
                 || fastReaders < 1) {
             throw new IllegalArgumentException(
-                    "roleTimeoutMs must exceed renewIntervalMs, and intervals and fastReaders must be positive");
+                    "renewIntervalMs and fastReaders must be positive, roleTimeoutMs must exceed renewIntervalMs,"
+                            + " and slowReadIntervalMs must be at least renewIntervalMs");
         }
         if (tickIntervalMs < 1
                 || loadQueryIntervalMs < 1
@@ -52,7 +64,8 @@
                 || firstTableDelayMs < 0
                 || sealedRetentionMs < 0) {
             throw new IllegalArgumentException(
-                    "intervals and timeouts must be positive, and other times must not be negative");
+                    "tickIntervalMs, loadQueryIntervalMs and loadQueryTimeoutMs must be positive,"
+                            + " and firstTableDelayMs and sealedRetentionMs must not be negative");
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
@@ -21,14 +21,22 @@
         long maxAnswerDelayMs,
         long tickIntervalMs,
         int maxRetainedRecords) {
+    private static final long DEFAULT_RELEASE_TIMEOUT_MS = 1_000;
+    private static final long DEFAULT_MIN_RETRY_DELAY_MS = 10;
+    private static final long DEFAULT_MAX_RETRY_DELAY_MS = 500;
+    private static final long DEFAULT_RELEASE_GRACE_MS = 500;
+    private static final long DEFAULT_MAX_ANSWER_DELAY_MS = 250;
+    private static final long DEFAULT_TICK_INTERVAL_MS = 250;
+    private static final int DEFAULT_MAX_RETAINED_RECORDS = 100_000;
+
     public static final RangeOwnershipOptions DEFAULTS = new RangeOwnershipOptions(
-            /* releaseTimeoutMs= */ 1_000,
-            /* minRetryDelayMs= */ 10,
-            /* maxRetryDelayMs= */ 500,
-            /* releaseGraceMs= */ 500,
-            /* maxAnswerDelayMs= */ 250,
-            /* tickIntervalMs= */ 250,
-            /* maxRetainedRecords= */ 100_000);
+            DEFAULT_RELEASE_TIMEOUT_MS,
+            DEFAULT_MIN_RETRY_DELAY_MS,
+            DEFAULT_MAX_RETRY_DELAY_MS,
+            DEFAULT_RELEASE_GRACE_MS,
+            DEFAULT_MAX_ANSWER_DELAY_MS,
+            DEFAULT_TICK_INTERVAL_MS,
+            DEFAULT_MAX_RETAINED_RECORDS);
 
     public RangeOwnershipOptions {
         if (releaseGraceMs < 0
@@ -37,7 +45,8 @@
                 || tickIntervalMs < 1
                 || maxRetainedRecords < 0) {
             throw new IllegalArgumentException(
-                    "retry delays and tickIntervalMs must be positive and ordered, other options not negative");
+                    "minRetryDelayMs and tickIntervalMs must be positive, maxRetryDelayMs must be at least"
+                            + " minRetryDelayMs, and releaseGraceMs and maxRetainedRecords must not be negative");
         }
         if (maxAnswerDelayMs < 0 || maxAnswerDelayMs >= releaseTimeoutMs) {
             throw new IllegalArgumentException("maxAnswerDelayMs must be less than releaseTimeoutMs");
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -39,7 +39,9 @@
                     || slowReadIntervalMs < renewIntervalMs
                     || fastReaders < 1) {
                 throw new IllegalArgumentException(
-                        "roleTimeoutMs must exceed renewIntervalMs, and intervals and fastReaders must be positive");
+                        "renewIntervalMs and fastReaders must be positive, rankDelayMs must not be negative,"
+                                + " roleTimeoutMs must exceed renewIntervalMs,"
+                                + " and slowReadIntervalMs must be at least renewIntervalMs");
             }
         }
     }
@@ -67,7 +69,7 @@
      *
      * @param nowMs monotonic time
      * @param eligible whether this daemon may hold the role
-     * @param rank position of this daemon among the candidates; 0 is the first to take over the role
+     * @param rank position of this daemon among the active members; 0 is the first to take over the role
      * @param holderLost whether the current holder is sealed or leaving
      */
     public Step nextStep(long nowMs, boolean eligible, int rank, boolean holderLost) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalanceParameters.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/RebalanceParameters.java
@@ -13,7 +13,7 @@
  * @param fillThreshold share of the hash space over the fair share below which a server gets more hash space
  * @param shareCost cost of moving a server's fair share of the hash space, in units of the watermarks
  * @param moveCost cost of one move, in units of the watermarks
- * @param minGainFraction least gain of a move, as a fraction of the load above the low watermark
+ * @param minGainFraction least gain of a move, as a fraction of the load of its source above the low watermark
  */
 public record RebalanceParameters(
         double highWatermark,
@@ -26,51 +26,86 @@
         double shareCost,
         double moveCost,
         double minGainFraction) {
+    private static final double AVAILABILITY_HIGH_WATERMARK = 1.2;
+    private static final double AVAILABILITY_LOW_WATERMARK = 1.08;
+    private static final long AVAILABILITY_MIN_INTERVAL_MS = 2_000;
+    private static final long AVAILABILITY_MIN_IMBALANCE_DURATION_MS = 0;
+    private static final int AVAILABILITY_MAX_MOVES = 64;
+    private static final int AVAILABILITY_MAX_MOVES_PER_SERVER = 8;
+    private static final double AVAILABILITY_FILL_THRESHOLD = 0.2;
+    private static final double AVAILABILITY_SHARE_COST = 1.0;
+    private static final double AVAILABILITY_MOVE_COST = 0.01;
+    private static final double AVAILABILITY_MIN_GAIN_FRACTION = 0.2;
+
+    private static final double LOW_CHURN_HIGH_WATERMARK = 1.25;
+    private static final double LOW_CHURN_LOW_WATERMARK = 1.08;
+    private static final long LOW_CHURN_MIN_INTERVAL_MS = 2_000;
+    private static final long LOW_CHURN_MIN_IMBALANCE_DURATION_MS = 2_000;
+    private static final int LOW_CHURN_MAX_MOVES = 64;
+    private static final int LOW_CHURN_MAX_MOVES_PER_SERVER = 8;
+    private static final double LOW_CHURN_FILL_THRESHOLD = 0.2;
+    private static final double LOW_CHURN_SHARE_COST = 3.0;
+    private static final double LOW_CHURN_MOVE_COST = 0.01;
+    private static final double LOW_CHURN_MIN_GAIN_FRACTION = 0.2;
+
+    private static final double GREEDY_HIGH_WATERMARK = 1.02;
+    private static final double GREEDY_LOW_WATERMARK = 1.02;
+    private static final long GREEDY_MIN_INTERVAL_MS = 1;
+    private static final long GREEDY_MIN_IMBALANCE_DURATION_MS = 0;
+    private static final int GREEDY_MAX_MOVES = 256;
+    private static final int GREEDY_MAX_MOVES_PER_SERVER = 256;
+    private static final double GREEDY_FILL_THRESHOLD = 0;
+    private static final double GREEDY_SHARE_COST = 0;
+    private static final double GREEDY_MOVE_COST = 0;
+    private static final double GREEDY_MIN_GAIN_FRACTION = 0;
+
     /** Reacts to imbalance immediately and limits the moves per server. */
     public static final RebalanceParameters AVAILABILITY = new RebalanceParameters(
-            /* highWatermark= */ 1.2,
-            /* lowWatermark= */ 1.08,
-            /* minIntervalMs= */ 2_000,
-            /* minImbalanceDurationMs= */ 0,
-            /* maxMoves= */ 64,
-            /* maxMovesPerServer= */ 8,
-            /* fillThreshold= */ 0.2,
-            /* shareCost= */ 1.0,
-            /* moveCost= */ 0.01,
-            /* minGainFraction= */ 0.2);
+            AVAILABILITY_HIGH_WATERMARK,
+            AVAILABILITY_LOW_WATERMARK,
+            AVAILABILITY_MIN_INTERVAL_MS,
+            AVAILABILITY_MIN_IMBALANCE_DURATION_MS,
+            AVAILABILITY_MAX_MOVES,
+            AVAILABILITY_MAX_MOVES_PER_SERVER,
+            AVAILABILITY_FILL_THRESHOLD,
+            AVAILABILITY_SHARE_COST,
+            AVAILABILITY_MOVE_COST,
+            AVAILABILITY_MIN_GAIN_FRACTION);
 
     /** Reacts only to imbalance that lasts, and prefers moves of little hash space. */
     public static final RebalanceParameters LOW_CHURN = new RebalanceParameters(
-            /* highWatermark= */ 1.25,
-            /* lowWatermark= */ 1.08,
-            /* minIntervalMs= */ 2_000,
-            /* minImbalanceDurationMs= */ 2_000,
-            /* maxMoves= */ 64,
-            /* maxMovesPerServer= */ 8,
-            /* fillThreshold= */ 0.2,
-            /* shareCost= */ 3.0,
-            /* moveCost= */ 0.01,
-            /* minGainFraction= */ 0.2);
+            LOW_CHURN_HIGH_WATERMARK,
+            LOW_CHURN_LOW_WATERMARK,
+            LOW_CHURN_MIN_INTERVAL_MS,
+            LOW_CHURN_MIN_IMBALANCE_DURATION_MS,
+            LOW_CHURN_MAX_MOVES,
+            LOW_CHURN_MAX_MOVES_PER_SERVER,
+            LOW_CHURN_FILL_THRESHOLD,
+            LOW_CHURN_SHARE_COST,
+            LOW_CHURN_MOVE_COST,
+            LOW_CHURN_MIN_GAIN_FRACTION);
 
     /** Balances the load at each decision regardless of the cost of moves. */
     public static final RebalanceParameters GREEDY = new RebalanceParameters(
-            /* highWatermark= */ 1.02,
-            /* lowWatermark= */ 1.02,
-            /* minIntervalMs= */ 1,
-            /* minImbalanceDurationMs= */ 0,
-            /* maxMoves= */ 256,
-            /* maxMovesPerServer= */ 256,
-            /* fillThreshold= */ 0,
-            /* shareCost= */ 0,
-            /* moveCost= */ 0,
-            /* minGainFraction= */ 0);
+            GREEDY_HIGH_WATERMARK,
+            GREEDY_LOW_WATERMARK,
+            GREEDY_MIN_INTERVAL_MS,
+            GREEDY_MIN_IMBALANCE_DURATION_MS,
+            GREEDY_MAX_MOVES,
+            GREEDY_MAX_MOVES_PER_SERVER,
+            GREEDY_FILL_THRESHOLD,
+            GREEDY_SHARE_COST,
+            GREEDY_MOVE_COST,
+            GREEDY_MIN_GAIN_FRACTION);
 
     public RebalanceParameters {
         if (lowWatermark < 1 || highWatermark < lowWatermark) {
-            throw new IllegalArgumentException("watermarks must be at least 1 and ordered");
+            throw new IllegalArgumentException(
+                    "lowWatermark must be at least 1, and highWatermark at least lowWatermark");
         }
         if (maxMoves < 1 || maxMovesPerServer < 1 || minIntervalMs < 0 || minImbalanceDurationMs < 0) {
-            throw new IllegalArgumentException("bounds on moves must be positive, and times must not be negative");
+            throw new IllegalArgumentException(
+                    "maxMoves and maxMovesPerServer must be positive, and times must not be negative");
         }
     }
 }
