--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.aggregator.ArgumentsAccessor;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the admission of requests and the concurrency limit. */
 class AdmissionTest {
     /** Guards against a wrong result code and a wrong order of the checks. */
     @ParameterizedTest
@@ -41,7 +42,7 @@
         "true,  SERVED,     false, true,  false, false, 900, false, 9,  4, 50,  , 40, 100, true",
     })
     void refusals(ArgumentsAccessor row) {
-        AdmissionContext situation = new AdmissionContext(
+        AdmissionContext context = new AdmissionContext(
                 row.getBoolean(0),
                 row.get(1, RangeStatus.class),
                 row.getBoolean(2),
@@ -59,9 +60,7 @@
                 row.getLong(13),
                 row.getBoolean(14));
         ResultCode code = row.get(11, ResultCode.class);
-        assertThat(Admission.refusal(situation, () -> 50)
-                        .map(CallerAnswer::code)
-                        .orElse(null))
+        assertThat(Admission.refusal(context, () -> 50).map(CallerAnswer::code).orElse(null))
                 .isEqualTo(code);
     }
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/FakeBackend.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/FakeBackend.java
@@ -21,7 +21,7 @@
 
 /** A backend server in virtual time; the test decides when and how its calls end. Not thread safe. */
 final class FakeBackend implements BackendServer {
-    /** A call, and whether the server still executes it, which may be longer than until its future completes. */
+    /** A call; the server may go on executing it after its future has completed. */
     static final class Call {
         final BackendCall backendCall;
         final CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRangeTest.java
@@ -27,6 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests acquires, grants, releases and drains of a gate, and the loads that it reports. */
 class GateRangeTest {
     /** Key whose hash f97f... is in the upper half of the hash space. */
     private static final String UPPER_HALF_KEY = "key0";
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateRequestTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the answers to requests and outcome queries: failed calls, retries, deadlines and cancellation. */
 class GateRequestTest {
     private static final OptionalLong FIRST_ATTEMPT_AGE = OptionalLong.of(0);
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateTest.java
@@ -23,6 +23,7 @@
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.junit.jupiter.api.Test;
 
+/** Tests a gate on its own thread with a real clock. */
 class GateTest {
     private static final int REQUEST_COUNT = 2_000;
 
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/OverloadReplayTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates overload of a payment server: for several seconds more requests arrive than it can execute. They are
- * payments and short internal checks of high priority, and longer lookups of low priority.
+ * Simulates overload of a payment server: for several seconds more requests arrive than it can execute. The requests
+ * are payments and short internal checks of high priority, and longer lookups of low priority.
  */
 class OverloadReplayTest {
     private static final int SLOTS = 18;
@@ -220,7 +220,7 @@
     @Test
     void normalLoadIsNotRefused() {
         Simulation simulation = new Simulation(true).run(0.75);
-        simulation.counts.forEach(tally -> assertThat(tally.refused).isZero());
+        simulation.counts.forEach(classCounts -> assertThat(classCounts.refused).isZero());
         assertThat(simulation.counts.get(0).withinObjectiveShare()).isGreaterThan(0.99);
     }
 }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/ServerLifeTest.java
@@ -70,7 +70,8 @@
     }
 
     /**
-     * Guards against granting the ranges of a detached server, whose fencing tokens others may know, to the next one.
+     * Guards against granting the ranges of a detached server to the next server under the same fencing tokens, which
+     * other members may have seen.
      */
     @Test
     void rangesOfADetachedServerAreNotGrantedToTheNext() {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -134,8 +134,8 @@
     }
 
     @Override
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords inherited) {
-        return executor.call(() -> withBusyTick(core.acquire(range, fence, inherited)))
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords transferred) {
+        return executor.call(() -> withBusyTick(core.acquire(range, fence, transferred)))
                 .thenCompose(Function.identity());
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Execution.java
@@ -42,7 +42,7 @@
      * A submitted request that waits for the answer of an execution. Immutable.
      *
      * @param id id of the submitted request; differs from that of the execution if they share an idempotency key
-     * @param deadlineNanos monotonic time at which the submitter gets an answer in any case
+     * @param deadlineNanos monotonic time at which the waiter is answered even if the execution has not ended
      */
     public record Waiter(RequestId id, CompletableFuture<CallerAnswer> result, long deadlineNanos) {}
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
@@ -57,7 +57,8 @@
 
     /**
      * Starts an asynchronous call and handles its result on the thread of the gate. If the task queue of the gate is
-     * full, the result is queued again later: a lost result would occupy a slot for ever.
+     * full, queueing the result is repeated until it succeeds or the gate is closed. No result may be lost, because the
+     * call of a request keeps its slot until its result is handled.
      */
     public <T> void call(Supplier<CompletableFuture<T>> call, BiConsumer<T, Throwable> onResult) {
         CompletableFuture<T> result;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -130,7 +130,10 @@
         runPendingWork();
     }
 
-    /** Revokes all ranges and refuses the queued requests; the backend server cannot start a request any more. */
+    /**
+     * Removes the backend server, which cannot start a request any more because its process has ended or its grants
+     * have expired. Revokes all ranges without a grant and refuses the queued requests.
+     */
     public void detach() {
         if (backend == null) {
             return;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
@@ -21,10 +21,11 @@
  * <p>Invariants: at most one grant is outstanding; the validity of a grant never exceeds the rest of the lease; without
  * a valid lease only an empty grant with validity 0 is sent, and only to revoke ranges.
  *
- * <p>The gate does not know when exactly the validity of a grant starts at the backend server, so it keeps two bounds
- * for the end of the validity. Requests and the lease rely on the earliest end, counted from the time of sending the
- * grant. Releases rely on the latest end, counted from the time of the answer or of the timeout. Not
- * thread safe.
+ * <p>At a backend server that honours it, the validity of a grant starts at an unknown time between the sending of the
+ * grant and its answer, so the gate keeps two bounds for the end of the validity. Requests are sent only before the
+ * earliest end, counted from the time of sending the grant; this end is never later than the end of the lease. Releases
+ * treat the grant as expired only after the latest end, counted from the time of the answer or, without an answer, of
+ * the timeout. Not thread safe.
  */
 final class GrantManager {
     private static final int RENEWALS_PER_VALIDITY_PERIOD = 3;
@@ -40,6 +41,11 @@
     private final Runnable onChange;
     private AttachedBackend backend;
     private SentGrant outstandingGrant;
+
+    /**
+     * Sequence number of the latest grant; raised to that of the backend server if the server has accepted a later
+     * grant, for example from an earlier process of this daemon.
+     */
     private long sequence;
 
     /** Whether the ranges to be granted have changed since the last grant was sent, or that grant failed. */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -72,7 +72,10 @@
         return remove(parked -> isServed(parked.hash()));
     }
 
-    /** Removes and returns the requests that timed out or whose range will not be served by this member. */
+    /**
+     * Removes and returns the requests that timed out or whose range is no longer assigned to this member, or all
+     * requests if no backend server is available.
+     */
     List<ParkedRequest> removeExpired(long nowNanos, boolean serverAvailable) {
         return remove(
                 parked -> !serverAvailable || nowNanos - parked.expiresAtNanos() >= 0 || !isAssigned(parked.hash()));
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A key range that this gate holds under one fencing token. Acquiring the range again under a newer token creates
- * another entry, so the two are never confused.
+ * A key range that this gate holds under one fencing token. Acquiring the range again, under a newer token or after a
+ * failed acquire, creates another entry, so the two are never confused.
  *
  * <p>The state only moves forward in the order of {@link State}. Not thread safe.
  */
@@ -211,7 +211,7 @@
         return rejectedAtNanos.isPresent();
     }
 
-    /** Ends the need of another grant if the acknowledged grant of the range was not sent before the rejection. */
+    /** Ends the need for another grant unless the acknowledged grant of the range was sent before the rejection. */
     public void onGrantAcknowledged(long sentAtNanos) {
         if (rejectedAtNanos.isPresent() && sentAtNanos - rejectedAtNanos.getAsLong() >= 0) {
             rejectedAtNanos = OptionalLong.empty();
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeLoadMeter.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeLoadMeter.java
@@ -8,8 +8,8 @@
 import org.coriandercrank.kernel.placement.RangeLoad.HotHash;
 
 /**
- * Measures the request rate of a range and finds its hot hashes, that is, the key hashes with most requests. Refused
- * requests count too, because placement must find capacity for them.
+ * Measures the request rate of a range and finds its hot hashes, that is, the key hashes with the most requests.
+ * Refused requests count too, because placement must find capacity for them.
  *
  * <p>The rate is smoothed over several seconds. The hot hashes are those of the last complete window. Not thread safe.
  */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -230,7 +230,7 @@
         return !releases.isEmpty();
     }
 
-    /** Fails acquires if the lease has expired, and starts to revoke released ranges without pending calls. */
+    /** Fails acquires if the lease has expired, and starts to revoke the releasing entries that await no calls. */
     void tick(long nowNanos) {
         if (!context.isLeaseValid()) {
             for (RangeEntry entry : ranges.inState(State.ACQUIRING)) {
@@ -300,7 +300,7 @@
         release.result.complete(exported);
     }
 
-    /** Whether a release waits for a call of an entry whose deadline and grace time have not passed. */
+    /** Whether a release waits for a call in the range of an entry that is within its deadline and grace time. */
     private boolean isAwaitingCalls(RangeEntry entry, long nowNanos) {
         for (Release release : releases) {
             for (Execution call : release.unsettledCalls) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeTable.java
@@ -108,9 +108,7 @@
         return inside;
     }
 
-    /**
-     * Records for all entries to which granted ranges apply until when the grant may be valid at the backend server.
-     */
+    /** Extends the grant expiry of the entries to which granted ranges apply. */
     public void extendGrantExpiry(List<GrantedRange> granted, long expiresAtNanos) {
         for (RangeEntry entry : entries) {
             if (isGrantedBy(entry, granted)) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -35,6 +35,8 @@
     private static final long RECORD_OVERHEAD_BYTES = 256;
 
     private static final long HEADER_OVERHEAD_BYTES = 48;
+
+    /** Maximum number of remembered ids of evicted records, as a multiple of the maximum number of records. */
     private static final int MAX_EVICTED_IDS_PER_RECORD = 4;
 
     /**
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestDigest.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestDigest.java
@@ -4,11 +4,11 @@
 import java.nio.charset.StandardCharsets;
 import org.coriandercrank.kernel.request.CallerRequest;
 
-/** Hash over method, path and body of a request. Stateless. */
+/** Computes a digest of the method, path and body of a request. Stateless. */
 public final class RequestDigest {
     private RequestDigest() {}
 
-    /** The same on each daemon, because records move between daemons. */
+    /** Returns the digest; it is the same on every daemon, because outcome records are passed on between daemons. */
     public static long of(CallerRequest request) {
         return Hashing.sha256()
                 .newHasher()
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestQueue.java
@@ -103,7 +103,7 @@
         return Optional.ofNullable(best);
     }
 
-    /** Total expected execution time in milliseconds of the queued requests that a request with a sort key follows. */
+    /** Total expected execution time in milliseconds of the queued requests that start before one with a sort key. */
     public double workAheadMs(SortKey sortKey, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
         double totalMs = 0;
         for (Execution execution : queue) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -36,10 +36,10 @@
  * Admits requests and executes them at the backend server. Not thread safe.
  *
  * <p>Invariants: a call is sent only if a slot is free and, for a keyed service, the lease is valid and the range is
- * served and granted; an execution starts at most once; a call keeps its slot until it ends, even if answered before.
+ * served and granted; an execution starts at most once; a call keeps its slot until it ends, even past its deadline.
  */
 final class RequestService {
-    private static final long MOVING_RETRY_AFTER_MS = 200;
+    private static final long PARK_TIMEOUT_RETRY_AFTER_MS = 200;
 
     private final GateContext context;
     private final RangeTable ranges;
@@ -190,7 +190,7 @@
         return parked.contains(id);
     }
 
-    /** Submits the parked requests whose range is served now, and refuses the expired ones. */
+    /** Submits the parked requests whose range is served now, and refuses those that must not wait any longer. */
     void processParked(long nowNanos) {
         for (ParkedRequest request : parked.removeServed()) {
             submitValidated(request.request(), context.serviceConfig(), request.waiter());
@@ -199,7 +199,7 @@
             refuse(
                     request.waiter(),
                     CallerAnswer.retryLater(
-                            ResultCode.RANGE_MOVING, "the range is being moved", MOVING_RETRY_AFTER_MS));
+                            ResultCode.RANGE_MOVING, "the range is being moved", PARK_TIMEOUT_RETRY_AFTER_MS));
         }
     }
 
@@ -279,7 +279,7 @@
         }
     }
 
-    /** Whether the lease permits requests; an unkeyed service needs no lease, as its requests have no owner. */
+    /** Whether the lease permits requests; it matters only for keys, whose owner another server could replace. */
     private boolean hasRequiredLease(ServiceConfig config) {
         return !config.keyed() || context.isLeaseValid();
     }
@@ -363,7 +363,7 @@
                 && estimator.isOverloaded(execution.request().rules(), concurrency.limit(nowNanos), nowNanos);
     }
 
-    /** Answers requests whose deadline has passed; cancels overdue calls without waiters or in a released range. */
+    /** Answers requests that are or will be late; cancels overdue calls that have no waiters or delay a release. */
     void expire(RangeService rangeService, long nowNanos) {
         for (Execution execution : List.copyOf(requestTable.active())) {
             boolean overdue = nowNanos - execution.deadlineNanos() >= 0;
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
@@ -22,7 +22,8 @@
  *
  * <p>Invariant: a request id or idempotency key that has an active execution, or a record with outcome RUN or UNKNOWN,
  * is not executed again. Answers with outcome NOT_RUN are not recorded, so a later attempt may run. An outcome query
- * bars the id in this case, so that the reported outcome stays true. Not thread safe.
+ * for an id without an active execution or record bars the id, so that the reported outcome stays true. Not thread
+ * safe.
  */
 public final class RequestTable {
     /** An idempotency key together with the key hash of its request, which is its scope. */
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/package-info.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Decision logic and state of the owner gate; touched only on the thread of the gate. */
+/** Decision logic and state of the owner gate; used on the thread of the gate only, unless a type says otherwise. */
 package org.coriandercrank.gate.internal;
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -219,7 +219,7 @@
 
         @Override
         public synchronized CompletableFuture<Void> acquire(
-                KeyRange range, Generation fence, TransferredRecords inherited) {
+                KeyRange range, Generation fence, TransferredRecords transferred) {
             remove(range);
             serving.add(new RangeLoad(range, fence, true, 0, List.of()));
             return CompletableFuture.completedFuture(null);
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipPropertyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipPropertyTest.java
@@ -9,8 +9,8 @@
 /** Properties of range ownership under injected faults; jqwik prints the seed of each run. */
 final class OwnershipPropertyTest {
     /**
-     * Guards against a hash that two members serve at the same time, and against ranges that stay unserved after the
-     * faults.
+     * Guards against a hash that is served twice at the same time, and against ranges that stay unserved after the
+     * faults have ended.
      */
     @Property(tries = 400)
     void neverServedTwiceAndFullyServedAfterFaults(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int size) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/OwnershipStateTest.java
@@ -196,8 +196,8 @@
 
     /**
      * Guards against a daemon that does not respond for seconds while it releases many narrow ranges. This happened
-     * when one of four servers left: about a hundred ranges were requested with one release request each, and every
-     * event evaluated every waiting request again.
+     * when one of the last four servers left: about a hundred ranges were requested with one release request each, and
+     * every event evaluated every waiting request again.
      */
     @Test
     @Timeout(value = 20, unit = TimeUnit.SECONDS)
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/StripePolicyTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/internal/StripePolicyTest.java
@@ -31,12 +31,12 @@
     private static final ServiceName SERVICE = new ServiceName("cards");
     private static final int KEY_BITS = 16;
 
-    /** A grant takes about 24 bytes, and an answer with grants at most 4 KiB. */
+    /** A granted range takes about 24 bytes, and the answer with all granted ranges of a server at most 4 KiB. */
     private static final int MAX_RANGES_PER_SERVER = 160;
 
     private final StripePolicy policy = new StripePolicy();
 
-    /** Adjacent keys that are hot at the same time, as the users observed: 200 of 65,536 keys. */
+    /** In the workload of the users' platform, 200 adjacent keys of 65,536 are hot at the same time. */
     @Test
     void hotSpotOf200AdjacentKeysIsSharedBySeveralServers() {
         List<PlacedRange> placed = aligned(policy.place(input(members(4), List.of())));
@@ -81,7 +81,7 @@
                 .isZero();
     }
 
-    /** Guards against servers whose grants do not fit into one answer; such a server would get no grants. */
+    /** Guards against servers whose granted ranges do not fit into one answer; such a server would get no grant. */
     @Test
     void rangesPerServerStayBoundedWhenServersJoinAndLeave() {
         List<Member> all = members(6);
@@ -91,7 +91,7 @@
         for (List<Member> fleet : fleets) {
             placed = aligned(policy.place(input(fleet, placed)));
             placed = aligned(policy.place(input(fleet, placed)));
-            Map<MemberId, Integer> counts = grantCounts(placed);
+            Map<MemberId, Integer> counts = grantedRangeCounts(placed);
             assertThat(counts.values()).allSatisfy(n -> assertThat(n).isLessThanOrEqualTo(MAX_RANGES_PER_SERVER));
         }
     }
@@ -100,8 +100,8 @@
         return RangeAlignment.align(placed, KEY_BITS);
     }
 
-    /** Number of grants by owner; adjacent ranges of the same owner need one grant. */
-    private static Map<MemberId, Integer> grantCounts(List<PlacedRange> placed) {
+    /** Number of granted ranges by owner; adjacent ranges of the same owner count as one. */
+    private static Map<MemberId, Integer> grantedRangeCounts(List<PlacedRange> placed) {
         Map<MemberId, Integer> counts = new HashMap<>();
         MemberId last = null;
         for (PlacedRange p : placed) {
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/trial/PlacementTrial.java
@@ -30,8 +30,9 @@
  * from the build. Run it with {@code -Dtest=PlacementTrial}; {@code -Dtrial.servers} restricts it to one number of
  * servers and {@code -Dtrial.policies} to some policies.
  *
- * <p>The simulation makes one decision per round of load reports, every 2 s. Every 5 minutes a server joins, leaves or
- * is lost. A planned move makes the moved keys unavailable for 0.1 s and a takeover for 5 s.
+ * <p>The simulation makes one decision per round of load reports, every 2 s. The hottest keys change every minute, and
+ * every 5 minutes a server joins, leaves or is lost. A planned move makes the moved keys unavailable for 0.1 s and a
+ * takeover for 5 s.
  */
 final class PlacementTrial {
     private static final int STEP_MS = 2_000;
@@ -48,7 +49,7 @@
     private static final double[] EXPONENTS = {0.9, 1.0, 1.1};
 
     /** Results of one run; moves and unavailability per hour of simulated time. */
-    private record Figures(
+    private record RunResult(
             double mean, double p95, double shareMoved, double moves, double unavailableKeySeconds, int maxRanges) {}
 
     @Test
@@ -61,19 +62,19 @@
             for (String policy : onlySize.isEmpty() || onlySize.equals("" + size) ? policies : List.<String>of()) {
                 for (int seed = 1; seed <= EXPONENTS.length; seed++) {
                     double exponent = EXPONENTS[seed - 1];
-                    Figures figures = new PlacementTrial().run(policy, size, seed, exponent);
+                    RunResult result = new PlacementTrial().run(policy, size, seed, exponent);
                     System.out.printf(
                             "%d %s %d %.1f %.3f %.3f %.2f %.0f %.0f %d%n",
                             size,
                             policy,
                             seed,
                             exponent,
-                            figures.mean,
-                            figures.p95,
-                            figures.shareMoved,
-                            figures.moves,
-                            figures.unavailableKeySeconds,
-                            figures.maxRanges);
+                            result.mean,
+                            result.p95,
+                            result.shareMoved,
+                            result.moves,
+                            result.unavailableKeySeconds,
+                            result.maxRanges);
                 }
             }
         }
@@ -86,7 +87,7 @@
     private double moves;
     private double unavailableKeySeconds;
 
-    private Figures run(String policyName, int size, long seed, double exponent) {
+    private RunResult run(String policyName, int size, long seed, double exponent) {
         PlacementPolicy policy = policy(policyName);
         TablePlanner planner = new TablePlanner(policy, 0);
         TrialLoad load = new TrialLoad(
@@ -118,7 +119,7 @@
         double hours = STEPS * STEP_MS / 3_600_000.0;
         double mean = imbalances.stream().mapToDouble(i -> i).average().orElseThrow();
         double p95 = imbalances.get((int) (imbalances.size() * 0.95));
-        return new Figures(mean, p95, shareMoved / hours, moves / hours, unavailableKeySeconds / hours, maxRanges);
+        return new RunResult(mean, p95, shareMoved / hours, moves / hours, unavailableKeySeconds / hours, maxRanges);
     }
 
     /** A registered policy, or a {@link RebalancePolicy} if the name is a comma-separated list of its parameters. */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -65,7 +65,7 @@
      */
     private static final long LOAD_REPORT_WAIT_DIVISOR = 4;
 
-    /** Load of the most loaded server in percent of its fair load. */
+    /** Load of the most loaded server, in percent of its fair load, above which a table counts as imbalanced. */
     private static final long IMBALANCE_TARGET_PERCENT = 125;
 
     private final PlacementContext context;
@@ -349,6 +349,7 @@
         });
         Map<MemberId, LoadReport> reports = loadCollector.reports();
         reports.values().removeIf(r -> !r.service().equals(table.service()));
+        // While a load report is missing, the time of the last change is set to now, so that no load is moved.
         boolean allReported = table.assignments().stream()
                 .allMatch(a -> reports.containsKey(a.owner()) || removed.contains(a.owner()));
         return new TablePlanner.Input(
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -299,6 +299,7 @@
                 return;
             }
             waitingRequests.add(new WaitingRequest(request, answer));
+            // The first pass handles the request, the second one performs the release that the request causes.
             performActions();
             if (!answer.isDone()) {
                 performActions();
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PendingRange.java
@@ -84,7 +84,8 @@
     /**
      * The outcome records that the gate receives with the range. They count as complete for the shortest period
      * reported by a member that has served the range. They count as incomplete if no member reports this or if a
-     * previous owner did not answer, because the last member that served the range is then unknown.
+     * previous owner did not answer, because the last member that served the range is then unknown. No record can be
+     * missing if the first table of the service assigned the range to this daemon.
      *
      * @param ownAnswer the records that this daemon itself retained for the range
      */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Position of this daemon among the active members, ordered by a hash of their ids, so that neighbouring members of
-     * a host group do not get adjacent ranks.
+     * Position of this daemon among the active members. The members are ordered by a hash of their ids, so that
+     * neighbouring hosts do not get adjacent ranks.
      */
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ServicePlanningState.java
@@ -41,6 +41,7 @@
         }
     }
 
+    /** Updates since when the candidates have been the same. */
     public void updateCandidates(List<Member> current, long nowMs) {
         List<MemberId> ids = current.stream().map(Member::id).toList();
         if (!ids.equals(candidates)) {
@@ -49,7 +50,11 @@
         }
     }
 
-    /** @param imbalance load of the most loaded server over its fair load */
+    /**
+     * Updates since when the imbalance has been above the target.
+     *
+     * @param imbalance load of the most loaded server over its fair load
+     */
     public void updateImbalance(double imbalance, long nowMs) {
         boolean aboveTarget = imbalance * 100 > imbalanceTargetPercent;
         if (aboveTarget && !imbalanced) {
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/StripePolicy.java
@@ -25,7 +25,7 @@
  * Stateless and thread safe.
  */
 public final class StripePolicy implements PlacementPolicy {
-    /** Bounded because a server receives the grants of all its ranges in one message of a few kilobytes. */
+    /** Bounded because a server receives all its granted ranges in one message of a few kilobytes. */
     private static final int STRIPES_PER_MEMBER = 100;
 
     /** Bound on the number of stripes, which limits the size of the table. */
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WeightedPlacement.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Reassigns each entry whose owner is not a candidate, the largest first, to the candidate with the lowest load and
-     * share of the hash space in proportion to its weight.
+     * Reassigns each entry whose owner is not a candidate, the largest first, to the candidate with the lowest
+     * utilization: the sum of its load over its fair load and its share of the hash space over its fair share.
      */
     static void reassignOrphans(WorkingTable table, String reason) {
         Map<MemberId, Double> utilizations = new TreeMap<>();
