--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/DisseminationTest.java
@@ -26,7 +26,7 @@
     /** Time within which the design requires a change to be in force on all hosts. */
     private static final long IN_FORCE_LIMIT_MS = 4_000;
 
-    /** A tenth of the time within which keys must be served again. */
+    /** Limit for restarted hosts to see the seals: a tenth of the time within which keys must be served again. */
     private static final long RESTART_LIMIT_MS = 500;
 
     /** Time after which restarted hosts have joined and seal the members that failed. */
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Measures only after the witnesses are balanced, because the first of 60 daemons that start together are witnesses of
-     * more members than the others.
+     * Measures only after the witnesses are balanced, because the first of 60 daemons that start together are witnesses
+     * of more members than the others.
      */
     @Test
     void controlTrafficPerDaemonStaysBelowItsLimit() {
@@ -121,7 +121,9 @@
         }
     }
 
-    /** A cache that receives parts of a history in any order ends with the state of the history and reverts no object. */
+    /**
+     * A cache that receives parts of a history in any order ends with the state of the history and reverts no object.
+     */
     @Test
     void cacheNeverRevertsToAnOlderRevision() {
         for (long seed = 0; seed < 500; seed++) {
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/FakeCluster.java
@@ -104,7 +104,9 @@
                 Set.of());
     }
 
-    /** Writes the planner's object periodically, because its renewals advance the store revision in a running system. */
+    /**
+     * Writes the planner's object periodically, because its renewals advance the store revision in a running system.
+     */
     private void schedulePlannerRenewals() {
         store.putUnconditionally(ObjectNames.PLANNER, new byte[0]);
         time.schedule(PLANNER_RENEWAL_MS, this::schedulePlannerRenewals);
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/MembershipTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against live members that lose their leases, failed members that are not sealed, and sealed members that continue
- * to use their leases after a pause.
+ * Guards against live members that lose their leases, failed members that are not sealed, and sealed members that
+ * continue to use their leases after a pause.
  */
 class MembershipTest {
     private static final String[] THREE_HOSTS = {"r/a", "r/a", "r/b"};
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/WireSize.java
@@ -6,8 +6,8 @@
 import org.coriandercrank.kernel.store.StoredObject;
 
 /**
- * Computes the encoded size of a message as the design specifies it: a length of 4 bytes, followed by a MessagePack array
- * of type, correlation id and fields. Each integer counts as 5 bytes, as for revisions above 65,535. Stateless.
+ * Computes the encoded size of a message as the design specifies it: a length of 4 bytes, followed by a MessagePack
+ * array of type, correlation id and fields. Each integer counts as 5 bytes, as for revisions above 65,535. Stateless.
  */
 final class WireSize {
     /** Length, array header, type and correlation id. */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
@@ -17,10 +17,11 @@
  * @param storeTimeoutMs timeout of a read or write of the store
  * @param listTimeoutMs timeout of a listing of the store
  * @param watchWaitMs how long a watch of the store waits for a change
- * @param configurationWatchWaitMs how long a watch of the configuration waits on a daemon that is not a relay; 0 if such
- *     a daemon receives configuration changes from peers only
- * @param startupWatchMs time after its start during which a daemon that is not a relay watches the store as well; after a
- *     failure of all hosts, the members in its first listing may have failed too, including the relay and its witnesses
+ * @param configurationWatchWaitMs how long a watch of the configuration waits on a daemon that is not a relay; 0 if
+ *     such a daemon receives configuration changes from peers only
+ * @param startupWatchMs time after its start during which a daemon that is not a relay watches the store as well; after
+ *     a failure of all hosts, the members in its first listing may have failed too, including the relay and its
+ *     witnesses
  * @param minPushIntervalMs minimum interval between a heartbeat and an early one that announces an update to peers
  * @param maxWitnessedMembers maximum number of members whose votes this daemon remembers individually as a witness
  */
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlPlane.java
@@ -16,8 +16,8 @@
 /**
  * Control plane of a daemon: membership, lease, takeover of failed members and dissemination of control objects.
  *
- * <p>{@link #start} lists the store and then joins; both are retried during an outage of the store until they succeed. A
- * daemon whose incarnation was ended by others is notified through {@link #addIncarnationListener} and must call
+ * <p>{@link #start} lists the store and then joins; both are retried during an outage of the store until they succeed.
+ * A daemon whose incarnation was ended by others is notified through {@link #addIncarnationListener} and must call
  * {@link #rejoin()}. Thread safe.
  */
 public final class ControlPlane implements AutoCloseable {
@@ -36,14 +36,16 @@
         this.closeExecutor = closeExecutor;
     }
 
-    /** Creates a control plane on an executor of its own. Its message handlers are registered, but it is not started. */
+    /**
+     * Creates a control plane on an executor of its own. Its message handlers are registered, but it is not started.
+     */
     public static ControlPlane create(ControlOptions options, HostIdentity identity, ControlDependencies dependencies) {
         return create(options, identity, dependencies, true);
     }
 
     /**
-     * Creates a control plane on an executor of its own that joins only after {@link #rejoin(JoinParameters)}. Until then
-     * it keeps its view of the other members up to date.
+     * Creates a control plane on an executor of its own that joins only after {@link #rejoin(JoinParameters)}. Until
+     * then it keeps its view of the other members up to date.
      */
     public static ControlPlane createWithDeferredJoin(
             ControlOptions options, HostIdentity identity, ControlDependencies dependencies) {
@@ -84,7 +86,7 @@
         return loop.self();
     }
 
-    /** Returns the view on configuration, members and assignment tables. */
+    /** Returns the view of the configuration, the member records and the assignment tables. */
     public RoutingView routing() {
         return loop.routing();
     }
@@ -116,8 +118,8 @@
     }
 
     /**
-     * Invalidates the lease immediately and seals the own record, as the last step of a graceful shutdown. The future completes
-     * when the record is sealed.
+     * Invalidates the lease immediately and seals the own record, as the last step of a graceful shutdown. The future
+     * completes when the record is sealed.
      */
     public CompletableFuture<Void> sealSelf() {
         return loop.sealSelf();
@@ -134,8 +136,8 @@
     }
 
     /**
-     * Joins under a given id. The previous incarnation must have ended or never have started; otherwise the future fails
-     * with {@code INTERNAL}.
+     * Joins under a given id. The previous incarnation must have ended or never have started; otherwise the future
+     * fails with {@code INTERNAL}.
      */
     public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
         return loop.rejoin(parameters);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
@@ -33,11 +33,12 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * View of this daemon on the control objects: in stored form for other daemons, and decoded as snapshots.
+ * The control objects that this daemon knows. They are kept in stored form for other daemons and are published as
+ * decoded snapshots.
  *
- * <p>Invariant: no object reverts to an older revision. If an object cannot be decoded, its last decodable revision stays
- * in force. {@link #current}, {@link #subscribe} and {@link #await} are thread safe; all other methods must be called on
- * the control thread.
+ * <p>Invariant: no object reverts to an older revision. If an object cannot be decoded, its last decodable revision
+ * stays in force. {@link #current}, {@link #subscribe} and {@link #await} are thread safe; all other methods must be
+ * called on the control thread.
  */
 public final class ClusterView implements RoutingView {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlContext.java
@@ -14,8 +14,8 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Shared context of the components of the control plane. Thread safe, except for {@link #random}, which only the control
- * thread uses.
+ * Shared context of the components of the control plane. Thread safe, except for {@link #random}, which only the
+ * control thread uses.
  *
  * @param executor runs tasks one at a time; its thread is the control thread
  */
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Runs a task on the control thread. A task that is rejected because the task queue is full is retried after a delay,
-     * because other components wait for its effect.
+     * Runs a task on the control thread. A task that is rejected because the task queue is full is retried after a
+     * delay, because other components wait for its effect.
      */
     public void execute(Runnable task) {
         try {
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Makes a call from the control thread and passes its result to the callback on the same thread, exactly once: either
-     * the value or a failure. The failure is {@code CALL_TIMEOUT} if there is no result before the timeout.
+     * Makes a call from the control thread and passes its result to the callback on the same thread, exactly once:
+     * either the value or a failure. The failure is {@code CALL_TIMEOUT} if there is no result before the timeout.
      */
     public <T> void callWithTimeout(
             Supplier<CompletableFuture<T>> call, long timeoutMs, BiConsumer<T, CrankException> callback) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -35,7 +35,9 @@
 public final class ControlLoop implements AutoCloseable {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** 36 to the power of 10: ten characters with about 51 random bits, kept short because each heartbeat has the id. */
+    /**
+     * 36 to the power of 10: ten characters with about 51 random bits, kept short because each heartbeat has the id.
+     */
     private static final long MEMBER_ID_RANDOM_BOUND = 3_656_158_440_062_976L;
 
     /** A longer gap between ticks is treated as a pause of the process. */
@@ -114,8 +116,8 @@
     }
 
     /**
-     * Ends the membership of this process immediately without sealing its record; the next incarnation seals it after it
-     * has joined. Must be used only if the incarnation may be resumed and no other process resumes it.
+     * Ends the membership of this process immediately without sealing its record; the next incarnation seals it after
+     * it has joined. Must be used only if the incarnation may be resumed and no other process resumes it.
      */
     public CompletableFuture<Void> abandon() {
         return context.submit(() -> {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -25,21 +25,24 @@
  * the store as a fallback. If the options say so, each daemon also watches the configuration itself, so that a change
  * comes into force without waiting for a relay.
  *
- * <p>A digest has the revisions up to which a daemon knows every change. Watches that end without a change advance it too,
- * so a daemon that receives the digests of a working relay advances its own about once per {@code watchWaitMs}. A digest
- * that does not advance indicates that no relay works. Control thread only.
+ * <p>A digest has the revisions up to which a daemon knows every change. Watches that end without a change advance it
+ * too, so a daemon that receives the digests of a working relay advances its own about once per {@code watchWaitMs}. A
+ * digest that does not advance indicates that no relay works. Control thread only.
  */
 public final class Dissemination {
-    /** Watch waits without an advance of the digest after which the daemon next in rank watches the store. */
+    /** The daemon with rank 1 starts a fallback watch after this many watch waits without an advance of its digest. */
     private static final double FALLBACK_AFTER_WAITS = 2.5;
 
-    /** Watch waits without an advance from a peer for which a fallback watch continues. */
+    /** A fallback watch is no longer needed if a peer advanced the digest within this many watch waits. */
     private static final int FALLBACK_PEER_SILENCE_WAITS = 2;
 
-    /** Additional watch waits for each further rank. */
+    /** Additional watch waits before a fallback watch, for each rank above 1. */
     private static final double EXTRA_WAITS_PER_RANK = 1;
 
-    /** Largest rank with a wait of its own; daemons of a higher rank wait for a random number of further watch waits. */
+    /**
+     * Up to this rank, the wait depends on the rank alone. Daemons of higher ranks wait longer, by a random number of
+     * watch waits.
+     */
     private static final int MAX_FALLBACK_RANK = 8;
 
     private static final long FETCH_TIMEOUT_MS = 1_000;
@@ -171,8 +174,8 @@
     }
 
     /**
-     * Returns the rank of this daemon as relay of its region; 0 is the relay. A daemon without a usable record ranks after
-     * all members.
+     * Returns the rank of this daemon as relay of its region; 0 is the relay. A daemon without a usable record ranks
+     * after all members.
      */
     private int rank(Member self, Set<MemberId> suspects) {
         Collection<VersionedMember> known = view.current().members().values();
@@ -193,8 +196,9 @@
     }
 
     /**
-     * Whether the digest has not advanced for so long that this daemon must watch the store. The wait grows with the rank.
-     * Beyond the largest rank it has a random part, so that not all daemons of a large cluster start to watch together.
+     * Whether the digest has not advanced for so long that this daemon must watch the store. The wait grows with the
+     * rank. Beyond the largest rank it has a random part, so that not all daemons of a large cluster start to watch
+     * together.
      */
     private boolean isFallbackDue(int rank, long nowNanos) {
         int rankSteps = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackRankOffset;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -35,9 +35,9 @@
  *
  * <p>A sealed incarnation stays sealed; the daemon rejoins with a new instance of this class.
  *
- * <p>Invariant: the published expiry of the lease is that of the holder after its latest event, and it is published before
- * the actions of the event are carried out. {@link #validUntilNanos} is thread safe; all other methods must be called on
- * the control thread. Times are those of the lease clock.
+ * <p>Invariant: the published expiry of the lease is that of the holder after its latest event, and it is published
+ * before the actions of the event are carried out. {@link #validUntilNanos} is thread safe; all other methods must be
+ * called on the control thread. Times are those of the lease clock.
  */
 public final class Membership implements LeaseView {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -250,8 +250,8 @@
     }
 
     /**
-     * Marks witnesses that timed out as suspects. Selects the witnesses anew if the members or the suspects changed or a
-     * rebalance is due.
+     * Marks witnesses that timed out as suspects. Selects the witnesses anew if the members or the suspects changed or
+     * a rebalance is due.
      */
     private void reviewWitnesses(long nowNanos) {
         suspectUntilNanos.values().removeIf(until -> nowNanos - until >= 0);
@@ -285,8 +285,8 @@
     }
 
     /**
-     * Returns the time from which the silence of a witness is measured: the latest of its last vote, its selection and the
-     * start of the observation.
+     * Returns the time from which the silence of a witness is measured: the latest of its last vote, its selection and
+     * the start of the observation.
      */
     private long lastContactNanos(MemberId witness) {
         long latest = observedSinceNanos;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
@@ -73,7 +73,10 @@
         return applied;
     }
 
-    /** Applies a single object, for example one written by this daemon; returns whether it was newer than the cached one. */
+    /**
+     * Applies a single object, for example one written by this daemon; returns whether it was newer than the cached
+     * one.
+     */
     public boolean applySingle(StoredObject change) {
         return change.revision().isNewerThan(completeUpTo) && put(change);
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Handles the end of a pause of this process. Members may have sent heartbeats during the pause, so their silence is
-     * measured from now on.
+     * Handles the end of a pause of this process. Members may have sent heartbeats during the pause, so their silence
+     * is measured from now on.
      */
     public void processResumed(long nowNanos) {
         observedSinceNanos = nowNanos;
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Returns the time of the last contact with a member. A new revision of its record counts as a contact too; it is the
-     * only one for a member without witnesses.
+     * Returns the time of the last contact with a member. A new revision of its record counts as a contact too; it is
+     * the only one for a member without witnesses.
      */
     private long lastContactNanos(MemberId member) {
         long latest = observedSinceNanos;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
@@ -15,12 +15,13 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * Selects the witnesses of a member from its region: half in its own failure domain and half in others.
+ * Selects the witnesses of a member from its region: half in its own failure domain and half in others. If its region
+ * has too few usable members, members of other regions are selected, and after these also suspects.
  *
- * <p>Current witnesses that are usable are kept. A new witness is the candidate with the lowest load, which is the number
- * of known member records that name it as a witness. Ties are broken by rendezvous hashing with the id of the selecting
- * member, so that members that select at the same time prefer different candidates. Not thread safe; used for a single
- * selection.
+ * <p>Current witnesses that are usable are kept. A new witness is the candidate with the lowest load, which is the
+ * number of known member records that name it as a witness. Ties are broken by rendezvous hashing with the id of the
+ * selecting member, so that members that select at the same time prefer different candidates. Not thread safe; used for
+ * a single selection.
  */
 public final class WitnessSelector {
     /** A smaller cluster has no witnesses; its members renew their leases through the store alone. */
@@ -32,7 +33,9 @@
     private static final int SMALL_REGION_WITNESSES = 2;
     private static final int LARGE_REGION_WITNESSES = 4;
 
-    /** A witness is replaced only for a candidate whose load is lower by at least this; less does not justify a write. */
+    /**
+     * A witness is replaced only for a candidate whose load is lower by at least this; less does not justify a write.
+     */
     private static final int MIN_LOAD_DIFFERENCE = 2;
 
     private final Member self;
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/ClosingConnectionTest.java
@@ -29,7 +29,7 @@
     void handlesNoRequestAfterAResponseThatClosesTheConnection() throws IOException, InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         AtomicInteger handledRequests = new AtomicInteger();
-        HttpHandler handler = (call, closed) -> {
+        HttpHandler handler = (request, connectionClosed) -> {
             handledRequests.incrementAndGet();
             return CompletableFuture.completedFuture(
                     new HttpResponse(503, List.of(new Header("connection", "close")), new byte[BODY_BYTES]));
@@ -61,7 +61,8 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpServerOptions options =
                 new HttpServerOptions(8_192, 16_384, 1_000, status -> HttpResponse.text(status, "rejected"));
-        HttpHandler handler = (call, closed) -> CompletableFuture.completedFuture(HttpResponse.text(200, "ok"));
+        HttpHandler handler =
+                (request, connectionClosed) -> CompletableFuture.completedFuture(HttpResponse.text(200, "ok"));
         try (HttpServer server = HttpServer.listen(group, new HostAddress("127.0.0.1", 0), options, handler)) {
             for (int i = 0; i < 20; i++) {
                 try (Socket socket = new Socket(
--- a/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
+++ b/org.coriandercrank.http.test/src/test/java/org/coriandercrank/http/HttpFaultTest.java
@@ -31,7 +31,7 @@
                 new HostAddress("127.0.0.1", 0),
                 HttpServerOptions.DEFAULTS,
                 2,
-                (request, closed) -> respond(request));
+                (request, connectionClosed) -> respond(request));
         client = new HttpClient(group, server.address(), HttpClientOptions.DEFAULTS);
     }
 
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientOptions.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientOptions.java
@@ -17,12 +17,18 @@
         int maxBodyBytes,
         long idleTimeoutMs,
         ResponseMatcher responseMatcher) {
+    private static final int DEFAULT_MAX_CONNECTIONS = 16;
+    private static final int DEFAULT_MAX_QUEUED_REQUESTS = 1_024;
+    private static final int DEFAULT_CONNECT_TIMEOUT_MS = 500;
+    private static final int DEFAULT_MAX_BODY_BYTES = 16_777_216;
+    private static final long DEFAULT_IDLE_TIMEOUT_MS = 30_000;
+
     public static final HttpClientOptions DEFAULTS = new HttpClientOptions(
-            /* maxConnections= */ 16,
-            /* maxQueuedRequests= */ 1_024,
-            /* connectTimeoutMs= */ 500,
-            /* maxBodyBytes= */ 16_777_216,
-            /* idleTimeoutMs= */ 30_000,
+            DEFAULT_MAX_CONNECTIONS,
+            DEFAULT_MAX_QUEUED_REQUESTS,
+            DEFAULT_CONNECT_TIMEOUT_MS,
+            DEFAULT_MAX_BODY_BYTES,
+            DEFAULT_IDLE_TIMEOUT_MS,
             ResponseMatcher.ACCEPT_ALL);
 
     /** Creates options that accept every response. */
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpRequest.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpRequest.java
@@ -10,7 +10,8 @@
  *
  * @param target path and query, starting with a slash
  * @param headers with names in lower case, without hop-by-hop fields such as {@code Content-Length}, {@code Connection}
- *     and {@code Transfer-Encoding}; a request of a client gets the address of the server as {@code Host} if it has none
+ *     and {@code Transfer-Encoding}; a request of a client gets the address of the server as {@code Host} if it has
+ *     none
  */
 public record HttpRequest(String method, String target, List<Header> headers, byte[] body) {
     public HttpRequest {
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServerOptions.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpServerOptions.java
@@ -13,9 +13,13 @@
  */
 public record HttpServerOptions(
         int maxInitialLineBytes, int maxHeaderBytes, int maxBodyBytes, IntFunction<HttpResponse> rejectionResponse) {
+    private static final int DEFAULT_MAX_INITIAL_LINE_BYTES = 8_192;
+    private static final int DEFAULT_MAX_HEADER_BYTES = 16_384;
+    private static final int DEFAULT_MAX_BODY_BYTES = 8_388_608;
+
     public static final HttpServerOptions DEFAULTS = new HttpServerOptions(
-            /* maxInitialLineBytes= */ 8_192,
-            /* maxHeaderBytes= */ 16_384,
-            /* maxBodyBytes= */ 8_388_608,
+            DEFAULT_MAX_INITIAL_LINE_BYTES,
+            DEFAULT_MAX_HEADER_BYTES,
+            DEFAULT_MAX_BODY_BYTES,
             status -> HttpResponse.text(status, "request rejected\n"));
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ResponseMatcher.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ResponseMatcher.java
@@ -6,7 +6,7 @@
  */
 @FunctionalInterface
 public interface ResponseMatcher {
-    ResponseMatcher ACCEPT_ALL = (call, reply) -> true;
+    ResponseMatcher ACCEPT_ALL = (request, response) -> true;
 
     /**
      * Whether the response belongs to the request. If not, the client closes the connection and fails the request with
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/RoutingTest.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Guards against waiting for a new owner that cannot appear: an unreachable owner in the other region can still renew
-     * its lease there.
+     * Guards against waiting for a new owner that cannot appear: an unreachable owner in the other region can still
+     * renew its lease there.
      */
     @Test
     void refusesImmediatelyIfAnOwnerInTheOtherRegionIsUnreachable() {
@@ -168,7 +168,9 @@
         }
     }
 
-    /** Guards against unlimited resends to a server that does not hold a range, since each resend reaches the server. */
+    /**
+     * Guards against unlimited resends to a server that does not hold a range, since each resend reaches the server.
+     */
     @Test
     void resendsAfterFenceRejectionsUseTheRetryBudget() {
         try (IngressFixture fixture =
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimeTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/ExpectedTimeTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Simulates a service at 90% of its capacity whose servers differ in speed by a factor of three. Four daemons send the
-     * requests. Each knows its own requests and the load that a server reports with each answer.
+     * Simulates a service at 90% of its capacity whose servers differ in speed by a factor of three. Four daemons send
+     * the requests. Each knows its own requests and the load that a server reports with each answer.
      */
     @Test
     void busyServersOfDifferentSpeedsMeetTheLatencyObjective() {
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/internal/balancing/FlappingServerTrialTest.java
@@ -50,8 +50,8 @@
     void twoThresholdsFlapLessAndFailFewerRequests() {
         OutlierDetectionOptions two = OutlierDetectionOptions.DEFAULTS;
         OutlierDetectionOptions one = new OutlierDetectionOptions(
-                two.excludeBelow(),
-                two.excludeBelow(),
+                two.excludeBelowSuccessRate(),
+                two.excludeBelowSuccessRate(),
                 two.smoothingFactor(),
                 two.minSamples(),
                 two.probeIntervalMs(),
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/Ingress.java
@@ -80,7 +80,9 @@
         PeerMessageHandlers.register(dependencies.peerHandlers(), dependencies.ownerGate(), dependencies.routingView());
     }
 
-    /** Starts to listen for callers. Port 0 selects a free port. Blocks until the port is bound; returns its address. */
+    /**
+     * Starts to listen for callers. Port 0 selects a free port. Blocks until the port is bound; returns its address.
+     */
     public HostAddress start(HostAddress listenAddress) {
         HttpServerOptions limits = HttpServerOptions.DEFAULTS;
         server = HttpServer.listen(
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/IngressOptions.java
@@ -9,8 +9,9 @@
  * @param rangeMoveWaitMs longest time that a request waits for a newer table or while its range moves
  * @param ownerLostWaitMs longest time that a request waits while its owner is lost
  * @param backoffStepMs time to wait before a refused request is sent again for the first time; each further wait is
- *     longer by this step, up to {@code maxBackoffMs}. It is also the first interval between outcome queries, which
- *     doubles up to the same limit.
+ *     longer by this step, up to {@code maxBackoffMs}. It is also the first interval between outcome queries; that
+ *     interval doubles with each query up to the same limit.
+ * @param maxBackoffMs longest time to wait between two sends or two outcome queries
  * @param outcomeQueryTimeoutMs timeout of one outcome query
  * @param answerGracePeriodMs time after the deadline in which the gate can still deliver its answer
  * @param defaultRetryAfterMs {@code Retry-After} of refusals that state none
@@ -32,19 +33,31 @@
         RetryBudgetOptions retryBudget,
         long drainWriteTimeoutMs,
         OutlierDetectionOptions outlierDetection) {
+    private static final int DEFAULT_MAX_IN_FLIGHT_REQUESTS = 8_192;
+    private static final int DEFAULT_MAX_SENDS_PER_REQUEST = 24;
+    private static final int DEFAULT_MAX_ATTEMPT_IDS_PER_REQUEST = 4;
+    private static final long DEFAULT_RANGE_MOVE_WAIT_MS = 1_500;
+    private static final long DEFAULT_OWNER_LOST_WAIT_MS = 1_000;
+    private static final long DEFAULT_BACKOFF_STEP_MS = 5;
+    private static final long DEFAULT_MAX_BACKOFF_MS = 100;
+    private static final long DEFAULT_OUTCOME_QUERY_TIMEOUT_MS = 1_000;
+    private static final long DEFAULT_ANSWER_GRACE_PERIOD_MS = 100;
+    private static final long DEFAULT_RETRY_AFTER_MS = 1_000;
+    private static final long DEFAULT_DRAIN_WRITE_TIMEOUT_MS = 5_000;
+
     public static final IngressOptions DEFAULTS = new IngressOptions(
-            /* maxInFlight= */ 8_192,
-            /* maxSendsPerRequest= */ 24,
-            /* maxAttemptIdsPerRequest= */ 4,
-            /* rangeMoveWaitMs= */ 1_500,
-            /* ownerLostWaitMs= */ 1_000,
-            /* backoffStepMs= */ 5,
-            /* maxBackoffMs= */ 100,
-            /* outcomeQueryTimeoutMs= */ 1_000,
-            /* answerGracePeriodMs= */ 100,
-            /* defaultRetryAfterMs= */ 1_000,
+            DEFAULT_MAX_IN_FLIGHT_REQUESTS,
+            DEFAULT_MAX_SENDS_PER_REQUEST,
+            DEFAULT_MAX_ATTEMPT_IDS_PER_REQUEST,
+            DEFAULT_RANGE_MOVE_WAIT_MS,
+            DEFAULT_OWNER_LOST_WAIT_MS,
+            DEFAULT_BACKOFF_STEP_MS,
+            DEFAULT_MAX_BACKOFF_MS,
+            DEFAULT_OUTCOME_QUERY_TIMEOUT_MS,
+            DEFAULT_ANSWER_GRACE_PERIOD_MS,
+            DEFAULT_RETRY_AFTER_MS,
             RetryBudgetOptions.DEFAULTS,
-            /* drainWriteTimeoutMs= */ 5_000,
+            DEFAULT_DRAIN_WRITE_TIMEOUT_MS,
             OutlierDetectionOptions.DEFAULTS);
 
     public IngressOptions {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/LoadEstimator.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/LoadEstimator.java
@@ -12,8 +12,8 @@
  * thread safe; the current time is passed as an argument.
  *
  * <p>A report counts the requests of all daemons. The number of requests of other daemons is assumed to stay constant
- * until the next report, but its weight decays to zero within a few seconds, so that a server that was busy once is tried
- * again.
+ * until the next report, but its weight decays to zero within a few seconds, so that a server that was busy once is
+ * tried again.
  */
 final class LoadEstimator {
     /** Age at which a report no longer counts requests of other daemons. */
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/LocalityFilter.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/LocalityFilter.java
@@ -48,7 +48,9 @@
         return selected;
     }
 
-    /** Whether the near servers are clearly busier than the least loaded server of a larger group that contains them. */
+    /**
+     * Whether the near servers are clearly busier than the least loaded server of a larger group that contains them.
+     */
     private static boolean isClearlyBusier(
             List<BalancingCandidate> near, List<BalancingCandidate> larger, double marginRequests) {
         return near.size() < larger.size()
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
@@ -56,11 +56,11 @@
         health.samples++;
         health.successRate += options.smoothingFactor() * ((success ? 1 : 0) - health.successRate);
         if (health.excluded) {
-            if (health.successRate > options.readmitAbove()) {
+            if (health.successRate > options.readmitAboveSuccessRate()) {
                 readmit(health);
             }
         } else if (health.samples >= options.minSamples()
-                && health.successRate < options.excludeBelow()
+                && health.successRate < options.excludeBelowSuccessRate()
                 && excludedCount < maxExcluded()) {
             health.excluded = true;
             health.nextProbeNanos = nowNanos + probeIntervalNanos();
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/WeightedLoad.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/WeightedLoad.java
@@ -8,8 +8,8 @@
     private WeightedLoad() {}
 
     /**
-     * Compares the weighted load of two servers. Counts the request that is about to be sent, so that among idle servers
-     * the one with the larger weight has the smaller load.
+     * Compares the weighted load of two servers. Counts the request that is about to be sent, so that among idle
+     * servers the one with the larger weight has the smaller load.
      */
     static int compare(BalancingCandidate a, BalancingCandidate b) {
         return Long.compare((a.inFlight() + 1L) * b.weightPercent(), (b.inFlight() + 1L) * a.weightPercent());
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptHistory.java
@@ -7,8 +7,8 @@
 import org.coriandercrank.kernel.request.CallerAnswer;
 
 /**
- * The attempts of one request and the state of each. Decides whether a further attempt is allowed and which outcome the
- * caller is told. Not thread safe.
+ * The attempts of one request and the state of each. Decides whether a further attempt is allowed and which outcome is
+ * reported to the caller. Not thread safe.
  *
  * <p>Invariants: the outcome of the final answer is {@code not-run} only if every attempt provably did not run and will
  * not run. A request that is not repeatable has at most one attempt without that proof.
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/AttemptSender.java
@@ -119,7 +119,9 @@
         }
     }
 
-    /** Whether the server handled the attempt well; empty if the answer does not show it, such as an overload refusal. */
+    /**
+     * Whether the server handled the attempt well; empty if the answer does not show it, such as an overload refusal.
+     */
     private static Optional<Boolean> serverSuccess(CallerAnswer answer) {
         return switch (answer.code()) {
             case OK -> Optional.of(answer.status() < SERVER_ERROR_STATUS);
@@ -194,6 +196,8 @@
                 .equals(Optional.of(context.dependencies().region()))) {
             dispatch.resendLater(refusal, attempt.snapshot());
         } else {
+            // An unreachable owner in another region can still renew its lease there, so no new owner is to be
+            // expected.
             dispatch.finish(refusal);
         }
     }
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/DispatchContext.java
@@ -20,8 +20,8 @@
     private static final long FULL_QUEUE_RETRY_MS = 1;
 
     /**
-     * Runs a task on the executor. If the task queue is full, the task is retried by a timer, because a dropped task could
-     * leave a request without an answer.
+     * Runs a task on the executor. If the task queue is full, the task is retried by a timer, because a dropped task
+     * could leave a request without an answer.
      */
     void execute(Runnable task) {
         if (!executor.offer(task)) {
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OutcomeResolver.java
@@ -10,7 +10,8 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Queries the outcome of an attempt of a non-repeatable request whose answer was lost. Confined to the ingress executor.
+ * Queries the outcome of an attempt of a non-repeatable request whose answer was lost. Confined to the ingress
+ * executor.
  *
  * <p>Queries go only to the member to which the attempt was sent, because no other gate can determine its outcome. The
  * caller gets {@code OUTCOME_UNKNOWN} as soon as that member can no longer answer, and at the deadline at the latest.
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OwnerWait.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/OwnerWait.java
@@ -28,7 +28,9 @@
         this.maxBackoffMs = maxBackoffMs;
     }
 
-    /** Time that the request can still wait for this cause; 0 if the limit is reached. The first call starts the wait. */
+    /**
+     * Time that the request can still wait for this cause; 0 if the limit is reached. The first call starts the wait.
+     */
     long remainingMs(ResultCode cause, long nowNanos) {
         if (!started) {
             started = true;
@@ -39,7 +41,7 @@
 
     /**
      * Returns the time to wait before a refused request is sent again, and increases it for the next call. The backoff
-     * grows linearly: with doubling, the end of a range move of 80 ms was noticed only after 155 ms.
+     * grows linearly, because with a doubling backoff the end of a range move of 80 ms was noticed only after 155 ms.
      */
     long takeNextBackoffMs() {
         long backoffMs = nextBackoffMs;
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Runs a step on the ingress executor. A step that throws finishes the request, which would otherwise stay unanswered
-     * until its deadline.
+     * Runs a step on the ingress executor. A step that throws finishes the request, which would otherwise stay
+     * unanswered until its deadline.
      */
     void execute(Runnable step) {
         context.execute(() -> runGuarded(step));
@@ -257,8 +257,8 @@
     }
 
     /**
-     * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused attempt reached the backend
-     * server.
+     * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused attempt reached the
+     * backend server.
      */
     void resendLaterWithinBudget(CallerAnswer refusal, RoutingSnapshot seen) {
         if (retryBudget().tryRetry(context.nowNanos())) {
@@ -270,8 +270,9 @@
     }
 
     /**
-     * Sends a further attempt if the history, the limit on attempt ids and the retry budget allow it. The retry does not
-     * count against the budget if the last attempt reached no server and was not refused because of overload.
+     * Sends a further attempt if the history, the limits on attempt ids and servers, and the retry budget allow it. The
+     * retry does not count against the budget if the last attempt reached no server and was not refused because of
+     * overload.
      *
      * @param newId whether a server may have received the last attempt, so that its id must not be used again
      * @param fallback the answer to finish with if there is no further attempt
@@ -284,7 +285,8 @@
         boolean idsLeft = !newId || attemptNumber < context.options().maxAttemptIdsPerRequest();
         if (!history.canSend() || !idsLeft || history.possiblyRunCount() >= maxServers) {
             finish(fallback);
-        } else if ((newId || isOverloadCode(fallback.code())) && !retryBudget().tryRetry(context.nowNanos())) {
+        } else if ((newId || countsAgainstRetryBudget(fallback.code()))
+                && !retryBudget().tryRetry(context.nowNanos())) {
             context.metrics().countRetryBudgetRefusal();
             finish(
                     fallback.code() == ResultCode.OK
@@ -297,7 +299,8 @@
         }
     }
 
-    private static boolean isOverloadCode(ResultCode code) {
+    /** Whether a retry after this refusal counts against the retry budget although the attempt id stays the same. */
+    private static boolean countsAgainstRetryBudget(ResultCode code) {
         return code == ResultCode.OVERLOADED
                 || code == ResultCode.KEY_SHARE_EXCEEDED
                 || code == ResultCode.FENCE_REJECTED;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/code/ResultCode.java
@@ -41,7 +41,7 @@
     KEY_SHARE_EXCEEDED(211, 429, Outcome.NOT_RUN, "the key uses more than its share of the server"),
     BARRED(212, 409, Outcome.NOT_RUN, "the request id was barred by an outcome query"),
     DUPLICATE_RUNNING(213, 409, Outcome.UNKNOWN, "a request with the same id or idempotency key is running"),
-    FENCE_REJECTED(214, 503, Outcome.NOT_RUN, "the backend server rejected the fence"),
+    FENCE_REJECTED(214, 503, Outcome.NOT_RUN, "the backend server rejected the fencing token"),
     RETRY_BUDGET_EXHAUSTED(215, 503, Outcome.NOT_RUN, "too many retries at this daemon"),
 
     OUTCOME_UNKNOWN(300, 504, Outcome.UNKNOWN, "the request was sent to a server and its answer was lost"),
@@ -63,8 +63,8 @@
     STORE_MALFORMED(603, 500, Outcome.NOT_RUN, "an object or answer of the store cannot be read"),
 
     FRAME_MALFORMED(700, 400, Outcome.NOT_RUN, "a frame between daemons cannot be read"),
-    LINK_LOST(701, 503, Outcome.UNKNOWN, "the link to a daemon was lost while a call was outstanding"),
-    PEER_UNREACHABLE(702, 503, Outcome.NOT_RUN, "no link to a daemon could be opened; the call was not sent"),
+    LINK_LOST(701, 503, Outcome.UNKNOWN, "the connection to a daemon was lost while a call was outstanding"),
+    PEER_UNREACHABLE(702, 503, Outcome.NOT_RUN, "no connection to a daemon could be opened; the call was not sent"),
     CALL_TIMEOUT(703, 504, Outcome.UNKNOWN, "a daemon did not answer a call in time"),
     WRONG_MEMBER(704, 409, Outcome.NOT_RUN, "the address belongs to another member than expected"),
     UNSUPPORTED_MESSAGE(705, 400, Outcome.NOT_RUN, "the daemon has no handler for the message"),
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/OwnerGate.java
@@ -14,7 +14,8 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The only path to the local backend server. Thread safe; never blocks the caller.
+ * Gate in front of the local backend server. Every request to the server passes through it. Thread safe; never blocks
+ * the caller.
  *
  * <p>The gate sends a request to its server only while the lease is valid, the range of the key is served under its
  * fencing token, and a slot is free. It checks the lease immediately before it sends.
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/PluginRegistry.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/plugin/PluginRegistry.java
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Fails with {@link ResultCode#SETTING_INVALID} if nothing is registered under the name. */
+    /** @throws CrankException with {@link ResultCode#SETTING_INVALID} if nothing is registered under the name */
     public <T> T get(Kind<T> kind, String name) {
         Object value = entries.getOrDefault(kind, Map.of()).get(name);
         if (value == null) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/JsonCodec.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/JsonCodec.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not the JSON form of the type. */
+    /** @throws CrankException with {@link ResultCode#STORE_MALFORMED} if the bytes are not the JSON form of the type */
     public static <T> T decode(byte[] bytes, Class<T> type) {
         try {
             T value = MAPPER.readValue(bytes, type);
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
@@ -53,7 +53,7 @@
                 new StoredTable(table.service().value(), table.generation().value(), members, ranges));
     }
 
-    /** Fails with {@link ResultCode#STORE_MALFORMED} if the bytes are not a valid table. */
+    /** @throws CrankException with {@link ResultCode#STORE_MALFORMED} if the bytes are not a valid table */
     public static AssignmentTable decode(byte[] bytes) {
         StoredTable stored = JsonCodec.decode(bytes, StoredTable.class);
         try {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/Member.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/Member.java
@@ -10,12 +10,12 @@
 /**
  * Record of one incarnation of a daemon.
  *
- * <p>Immutable. Written by the daemon itself; another daemon may only seal the record. The backend server is empty
- * while the state is {@link MemberState#JOINING}.
+ * <p>Immutable. Written by the daemon itself; another daemon may only seal the record.
  *
  * @param peerAddress address for connections between daemons
  * @param callerAddress address for requests of callers
  * @param adminAddress address for operators and metrics
+ * @param backend the backend server; empty while the state is {@link MemberState#JOINING}
  * @param witnesses members that vote on the lease of this member
  */
 public record Member(
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SystemTimerService.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/time/SystemTimerService.java
@@ -90,7 +90,7 @@
             logger.atFine().withCause(e).log("event=timer-run-left-out reason=duty-full");
             queued.set(false);
         } catch (RuntimeException e) {
-            // The task itself failed, because the executor ran it immediately. Rethrowing would end the subscription.
+            // The executor ran the task immediately, and the task failed. Rethrowing would end the subscription.
             logger.atSevere().withCause(e).log("event=timer-task-failed");
         }
     }
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSafetyTest.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSafetyTest.java
@@ -9,11 +9,13 @@
 import net.jqwik.api.lifecycle.AfterProperty;
 import net.jqwik.api.lifecycle.BeforeProperty;
 
-/** Guards against two owners of a key, which result if a lease is still valid after the seal of its member took effect. */
+/**
+ * Guards against two owners of a key, which result if a lease is still valid after the seal of its member took effect.
+ */
 class LeaseSafetyTest {
     private static final int TRIES = 1_500;
 
-    /** Least number of runs with a seal per property; without seals, the property would hold trivially. */
+    /** More runs of each property than this must seal the member; without seals, the property would hold trivially. */
     private static final int MIN_SEALS = TRIES / 20;
 
     private int seals;
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -21,14 +21,15 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li>Every pending write is conditional on the revision of the confirmed record, so at most one of them takes effect.
+ *   <li>Every pending write is conditional on the revision of the confirmed record, so at most one of them takes
+ *       effect.
  *   <li>The lease needs a majority of votes in the confirmed witness set and in the witness set of each pending write.
  *   <li>At most one store operation is in flight.
  * </ul>
  *
  * <p>A holder may resume an incarnation whose record was written by an earlier process of the same host. The lease of a
- * resumed incarnation is not valid before the first successful write of this process, because that write guarantees that
- * no write of the earlier process can still take effect.
+ * resumed incarnation is not valid before the first successful write of this process, because that write guarantees
+ * that no write of the earlier process can still take effect.
  *
  * <p>Not thread safe. All times are in nanoseconds of the same monotonic clock.
  */
@@ -48,11 +49,14 @@
     private final boolean mayResume;
     private Optional<VersionedMember> confirmed = Optional.empty();
 
-    /** Revision of the record that an earlier process wrote; {@link Revision#NONE} if none was found. */
+    /** Revision of the record that an earlier process wrote; {@link Revision#NONE} if no such record was found. */
     private Revision inheritedRevision = Revision.NONE;
 
     private Member desired;
+
+    /** Newest record revision at which a witness refuses this member. */
     private Revision refusedUpTo = Revision.NONE;
+
     private long lastOperation;
     private boolean operationInFlight;
     private boolean writeOutcomeUnknown;
@@ -113,8 +117,8 @@
     /**
      * Sets the desired content of the record.
      *
-     * <p>A new witness set is written only after its members have voted, so that the change does not interrupt the lease.
-     * {@link MemberState#SEALED} invalidates the lease immediately.
+     * <p>A new witness set is written only after its members have voted, so that the change does not interrupt the
+     * lease. {@link MemberState#SEALED} invalidates the lease immediately.
      *
      * @throws IllegalArgumentException if the record belongs to another member
      */
@@ -189,8 +193,8 @@
     /**
      * Handles a write that was rejected because the record had another revision than expected.
      *
-     * <p>The write stays pending until the record has been read, because a write that took effect may have been delivered
-     * twice, and the answer to the second copy is a conflict.
+     * <p>The write stays pending until the record has been read, because a write that took effect may have been
+     * delivered twice, and the answer to the second copy is a conflict.
      */
     public List<HolderAction> writeConflicted(long answeredOperation, long nowNanos) {
         return scheduleReadBack(answeredOperation, nowNanos);
@@ -236,9 +240,9 @@
     }
 
     /**
-     * Continues with a record that was found before this process had a confirmed one. The record is confirmed if it holds
-     * a pending write of this process on top of the inherited revision. Otherwise it is treated as the record of the earlier
-     * process, which the next write replaces.
+     * Handles a record that was read while no write of this process is confirmed. The record is confirmed if it has the
+     * content of a pending write of this process and an older inherited record is known. Otherwise it is treated as the
+     * record of the earlier process, which the next write replaces.
      */
     private List<HolderAction> resume(VersionedMember inherited, long nowNanos) {
         if (inherited.member().state() == MemberState.SEALED) {
@@ -357,18 +361,18 @@
         if (desired.state() == MemberState.SEALED) {
             return Optional.of(desired);
         }
-        Member sameWitnesses = desired.withWitnesses(current.witnesses());
-        boolean refusedRevision = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
-        boolean witnessChange = !desired.witnesses().equals(current.witnesses());
-        if (witnessChange && canChangeWitnesses(nowNanos)) {
+        Member desiredWithCurrentWitnesses = desired.withWitnesses(current.witnesses());
+        boolean revisionRefused = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
+        boolean witnessesChanged = !desired.witnesses().equals(current.witnesses());
+        if (witnessesChanged && canChangeWitnesses(nowNanos)) {
             return Optional.of(desired);
         }
-        boolean contentChange = !sameWitnesses.equals(current);
-        if (refusedRevision
-                || contentChange
+        boolean contentChanged = !desiredWithCurrentWitnesses.equals(current);
+        if (revisionRefused
+                || contentChanged
                 || !pendingWrites.isEmpty()
-                || isRenewalDue(current, witnessChange, nowNanos)) {
-            return Optional.of(sameWitnesses);
+                || isRenewalDue(current, witnessesChanged, nowNanos)) {
+            return Optional.of(desiredWithCurrentWitnesses);
         }
         return Optional.empty();
     }
@@ -383,12 +387,12 @@
      * Whether the record must be rewritten to renew the vote of the store. A change to witnesses that lack votes is
      * preceded by a renewal, because the vote of the store may complete their majority.
      */
-    private boolean isRenewalDue(Member current, boolean witnessChange, long nowNanos) {
+    private boolean isRenewalDue(Member current, boolean witnessesChanged, long nowNanos) {
         if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.minRenewalIntervalNanos()) {
             return false;
         }
         return isWitnessMajorityExpiring(current.witnesses(), nowNanos)
-                || (witnessChange && isWitnessMajorityExpiring(desired.witnesses(), nowNanos));
+                || (witnessesChanged && isWitnessMajorityExpiring(desired.witnesses(), nowNanos));
     }
 
     /** Whether the witnesses alone guarantee a majority for less than half the TTL. */
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Quorum.java
@@ -3,8 +3,8 @@
 /**
  * Quorum sizes for n witnesses and the store, which have n + 1 votes in total.
  *
- * <p>A lease needs a majority of the votes. A taker needs its write to the store and so many refusals that the remaining
- * votes are no majority. Stateless.
+ * <p>A lease needs a majority of the votes. A taker needs its write to the store and so many refusals that the
+ * remaining votes are no majority. Stateless.
  */
 public final class Quorum {
     private Quorum() {}
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Handles a seal that was rejected because the record has another revision, or whose outcome is unknown. The record is
-     * read before anything else is written.
+     * Handles a seal that was rejected because the record has another revision, or whose outcome is unknown. The record
+     * is read before anything else is written.
      */
     public List<TakeoverAction> sealNotConfirmed(long answeredOperation, long nowNanos) {
         if (!completeOperation(answeredOperation)) {
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/TakeoverAction.java
@@ -9,7 +9,9 @@
     /** Ask a witness to refuse the member at a record revision, and report the answer with that revision. */
     record RequestRefusal(MemberId witness, Revision recordRevision) implements TakeoverAction {}
 
-    /** Write the sealed record if it still has the expected revision, and report the result with the operation number. */
+    /**
+     * Write the sealed record if it still has the expected revision, and report the result with the operation number.
+     */
     record Seal(long operation, Member sealed, Revision expected) implements TakeoverAction {}
 
     /** Read the record of the member and report the result with the operation number. */
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
@@ -16,7 +16,7 @@
  * answer. Not thread safe. Times are monotonic, in nanoseconds.
  */
 final class VoteTable {
-    /** Number of heartbeat rounds, the latest ones, whose answers are still accepted. */
+    /** Answers are accepted only for this number of latest heartbeat rounds. */
     private static final int MAX_SENT_HEARTBEATS = 64;
 
     private record SentHeartbeat(Revision recordRevision, long sentAtNanos) {}
@@ -56,7 +56,9 @@
         }
     }
 
-    /** Returns the record revision that a heartbeat carried; {@link Revision#NONE} if the heartbeat is no longer known. */
+    /**
+     * Returns the record revision that a heartbeat carried; {@link Revision#NONE} if the heartbeat is no longer known.
+     */
     Revision revisionOf(long answeredSequence) {
         SentHeartbeat heartbeat = sentHeartbeats.get(answeredSequence);
         return heartbeat == null ? Revision.NONE : heartbeat.recordRevision();
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -10,11 +10,11 @@
 /**
  * State machine of a daemon that votes on the leases of other members.
  *
- * <p>Invariants: a refusal is granted only if the last acknowledgement to the member is older than the expiry time; after
- * a refusal at revision v, no heartbeat at v or an older revision is acknowledged.
+ * <p>Invariants: a refusal is granted only if the last acknowledgement to the member is older than the expiry time;
+ * after a refusal at revision v, no heartbeat at v or an older revision is acknowledged.
  *
- * <p>Memory is bounded: the least recently used member is evicted. Its acknowledgement and refusal are merged into limits
- * that apply to every member without an entry, so both invariants also hold for evicted members.
+ * <p>Memory is bounded: the least recently used member is evicted. Its acknowledgement and refusal are merged into
+ * limits that apply to every member without an entry, so both invariants also hold for evicted members.
  *
  * <p>Not thread safe. Times are monotonic, in nanoseconds.
  */
@@ -35,8 +35,14 @@
 
     private final LeaseTiming timing;
     private final int maxMembers;
+
+    /** Entries in access order: the least recently used member comes first. */
     private final LinkedHashMap<MemberId, Entry> entries = new LinkedHashMap<>(16, 0.75f, true);
+
+    /** Latest acknowledgement to any evicted member. */
     private OptionalLong evictedAckNanos = OptionalLong.empty();
+
+    /** Newest record revision at which any evicted member was refused. */
     private Revision evictedRefusal = Revision.NONE;
 
     /**
--- a/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
+++ b/org.coriandercrank.peer.test/src/test/java/org/coriandercrank/peer/PeerNetworkTest.java
@@ -134,7 +134,7 @@
         }
     }
 
-    /** See KNOWN-RED.txt: a link mistakes a pause of its own thread for silence of the peer. */
+    /** See KNOWN-RED.txt: an outgoing connection mistakes a pause of its own thread for silence of the peer. */
     @Tag("known-red")
     @Test
     void outOfOrderAnswersReachTheirOwnCalls() throws Exception {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/MessageCodec.java
@@ -65,7 +65,7 @@
         return out.toByteArray();
     }
 
-    /** Fails with {@link ResultCode#FRAME_MALFORMED} if the bytes are not a frame. */
+    /** @throws CrankException with {@link ResultCode#FRAME_MALFORMED} if the bytes are not a frame */
     public static Frame decode(byte[] bytes) {
         FieldReader in = new FieldReader(bytes);
         try {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerLink.java
@@ -60,8 +60,8 @@
     private boolean closed;
     private long nextCorrelationId = Frame.ONE_WAY + 1;
     /**
-     * When the last frame arrived, the connection was established, or the only outstanding call started; the latest of
-     * these.
+     * Start of the silence: when the last frame arrived, when the connection was established, or when a call started
+     * while no other was outstanding, whichever was last.
      */
     private long silentSinceNanos;
 
@@ -106,7 +106,7 @@
     }
 
     void close() {
-        loop.execute(() -> fail(ResultCode.LINK_LOST, "link closed"));
+        loop.execute(() -> fail(ResultCode.LINK_LOST, "connection closed by this daemon"));
     }
 
     private void connect() {
@@ -146,7 +146,7 @@
     private void startCall(
             Message message, Class<? extends Message> answerType, long timeoutMs, CompletableFuture<Message> result) {
         if (closed) {
-            result.completeExceptionally(exception(ResultCode.PEER_UNREACHABLE, "link was closed"));
+            result.completeExceptionally(exception(ResultCode.PEER_UNREACHABLE, "connection was closed"));
             return;
         }
         if (outstandingCalls.size() >= options.maxOutstandingCalls()) {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/package-info.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/package-info.java
@@ -1,2 +1,4 @@
-/** Connections between daemons: MessagePack frames, correlation of calls and answers, detection of silent connections. */
+/**
+ * Connections between daemons: MessagePack frames, correlation of calls and answers, detection of silent connections.
+ */
 package org.coriandercrank.peer;
