--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
@@ -174,10 +174,11 @@
 
     /** Guards against the execution of a request whose grant ended before or during the execution. */
     @ParameterizedTest
-    @ValueSource(strings = {"never granted", "lapsed", "lapses while running", "revoked while running", "other range"})
+    @ValueSource(
+            strings = {"never granted", "expired", "expires while running", "revoked while running", "other range"})
     void rejectsWithoutGrant(String grantCase) throws Exception {
         BackendServer server = start(Setup.withServiceMs(grantCase.endsWith("running") ? 300 : 1));
-        long validityMs = grantCase.startsWith("lapse") ? 100 : VALIDITY_MS;
+        long validityMs = grantCase.startsWith("expire") ? 100 : VALIDITY_MS;
         if (grantCase.equals("other range")) {
             KeyHash other = new KeyHash(KEY.hash().value() + 1);
             Await.value(server.grant(new Grant(
@@ -185,7 +186,7 @@
         } else if (!grantCase.equals("never granted")) {
             Await.value(server.grant(grant(1, 5, validityMs)));
         }
-        if (grantCase.equals("lapsed")) {
+        if (grantCase.equals("expired")) {
             Thread.sleep(validityMs + 20);
         }
         CompletableFuture<CallerAnswer> answer = server.execute(put("r1", 5, DEADLINE_MS));
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
@@ -109,7 +109,7 @@
                 group, backendProgram.info().address(), HttpClientOptions.DEFAULTS.withMaxConnections(1));
     }
 
-    private HttpResponse adminClient(String method, String path, String json) {
+    private HttpResponse sendAdminRequest(String method, String path, String json) {
         HttpResponse response =
                 adminClient.send(HttpRequest.of(method, path, json), TIMEOUT_MS).join();
         assertThat(response.status()).isEqualTo(200);
@@ -128,7 +128,7 @@
             Thread.sleep(100);
         } else if (fault != BackendFault.NONE) {
             String kind = fault.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            adminClient("POST", "/admin/faults", "{\"kind\":\"" + kind + "\",\"delayMs\":" + SLOW_MS + "}");
+            sendAdminRequest("POST", "/admin/faults", "{\"kind\":\"" + kind + "\",\"delayMs\":" + SLOW_MS + "}");
         }
     }
 
@@ -146,7 +146,8 @@
 
     @Override
     int peakConnections() {
-        JsonNode stats = JsonCodec.decode(adminClient("GET", "/admin/stats", "").body(), JsonNode.class);
+        JsonNode stats =
+                JsonCodec.decode(sendAdminRequest("GET", "/admin/stats", "").body(), JsonNode.class);
         return stats.path("peakConnections").asInt() - adminClient.openConnections();
     }
 
@@ -155,8 +156,9 @@
     @CsvSource({"0, OK", "900, OK", "1100, FENCE_REJECTED"})
     void validityStartsWhenGrantIsSent(long ageMs, ResultCode expected) throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
-        String clock =
-                adminClient("GET", "/control/clock", "").header("crank-clock").orElseThrow();
+        String clock = sendAdminRequest("GET", "/control/clock", "")
+                .header("crank-clock")
+                .orElseThrow();
         int colon = clock.indexOf(':');
         long sentAtNanos = Long.parseLong(clock.substring(colon + 1)) - TimeUnit.MILLISECONDS.toNanos(ageMs);
         HttpRequest request = new HttpRequest(
@@ -224,7 +226,7 @@
         Await.value(server.drain());
         assertThat(Await.value(server.health()).draining()).isFalse();
         Await.eventually(() -> server.health().join().draining());
-        adminClient("POST", "/admin/health", "{\"healthy\":false,\"draining\":false,\"load\":77}");
+        sendAdminRequest("POST", "/admin/health", "{\"healthy\":false,\"draining\":false,\"load\":77}");
         assertThat(Await.value(server.health())).isEqualTo(new BackendHealth(false, false, 77));
     }
 
@@ -270,7 +272,7 @@
     void cancellationBeforeRequestStopsRequest() throws Exception {
         BackendServer backend = start(Setup.withServiceMs(1));
         Await.value(backend.grant(grant(1, 5, 60_000)));
-        adminClient("POST", "/control/cancel/r1", "");
+        sendAdminRequest("POST", "/control/cancel/r1", "");
         assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.BACKEND_UNAVAILABLE);
         assertThat(executions(new RequestId("r1"))).isEmpty();
     }
@@ -292,7 +294,7 @@
         BackendServer backend = start(Setup.withServiceMs(5));
         Await.value(backend.grant(grant(1, 5, 60_000)));
         Await.value(backend.execute(put("r1", 5, TIMEOUT_MS)));
-        String text = adminClient("GET", "/ledger", "").bodyText();
+        String text = sendAdminRequest("GET", "/ledger", "").bodyText();
         assertThat(text).isEqualTo(Files.readString(directory.resolve("ledger")));
         JsonNode entry = JsonCodec.mapper().readTree(text);
         assertThat(entry.path("key").asText()).isEqualTo("ticket 7/\u00e4");
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HostServices.java
@@ -12,7 +12,7 @@
 /**
  * Services of the process that a {@link DaemonHost} uses and does not close. Immutable.
  *
- * @param leaseClock clock that measures the own lease, see {@link org.coriandercrank.control.ControlDependencies}
+ * @param leaseClock clock that measures the lease of this daemon, see {@link org.coriandercrank.control.ControlDependencies}
  * @param executors creates the executors of the components
  */
 public record HostServices(
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Processes a heartbeat.
+     * Handles a heartbeat.
      *
      * @param sequence increases with each heartbeat of an incarnation; a heartbeat with a lower sequence was delayed
      *     and is ignored
@@ -112,7 +112,7 @@
         return actions;
     }
 
-    /** Processes the announcement of the server with an id that it will end. */
+    /** Handles the announcement of the server with an id that it will end. */
     public List<Action> onDeregister(String id, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         if (current.isPresent() && current.get().id().equals(id)) {
@@ -121,7 +121,7 @@
         return actions;
     }
 
-    /** Processes that another daemon sealed the member. A server that is not leaving continues under a new member. */
+    /** Handles the sealing of the member by another daemon. A server that is not leaving gets a new member. */
     public List<Action> onMemberSealed(long nowNanos) {
         List<Action> actions = new ArrayList<>();
         Optional<ServerIncarnation> server = current;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -106,10 +106,10 @@
             boolean earlierWriteMayTakeEffect = writeMayTakeEffect;
             writeMayTakeEffect = true;
             try {
-                Revision acceptance = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
+                Revision acceptedRevision = store.put(ObjectNames.CONFIGURATION, configuration, note.basedOn())
                         .join();
-                recordState(note.id(), text, State.ACCEPTED, acceptance);
-                return SubmitResult.accepted(acceptance);
+                recordState(note.id(), text, State.ACCEPTED, acceptedRevision);
+                return SubmitResult.accepted(acceptedRevision);
             } catch (RuntimeException e) {
                 CrankException failure = CrankException.of(e);
                 rethrowUnlessRetryable(failure, ResultCode.REVISION_CONFLICT);
