--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -37,7 +37,7 @@
 public final class HttpBackendServer implements BackendServer {
     private static final int MAX_CONTROL_CONNECTIONS = 2;
 
-    /** Minimum connection limit at which two dedicated connections for control calls are a small share. */
+    /** Connection limit from which two connections for control calls are a small share of all connections. */
     private static final int MIN_CONNECTIONS_FOR_TWO_CONTROL = 8;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -162,6 +162,7 @@
         gate.detach();
     }
 
+    /** Returns the attached backend server. */
     public Optional<BackendInfo> backend() {
         return Optional.ofNullable(attachedBackend.get());
     }
@@ -174,6 +175,7 @@
         return control.routing();
     }
 
+    /** Whether the daemon has read a configuration. */
     public boolean hasConfiguration() {
         return control.routing().current().configurationRevision().isNewerThan(Revision.NONE);
     }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Replaces the grant to be delivered. Completes with the sequence of the grant when the server acknowledges it;
-     * fails if a newer grant replaces it first.
+     * Replaces the grant to be delivered. The future completes with the sequence of the grant when the server
+     * acknowledges it, and fails if a newer grant replaces it first.
      */
     public CompletableFuture<Long> offer(Grant grant) {
         CompletableFuture<Long> superseded;
@@ -78,8 +78,7 @@
     }
 
     /**
-     * Processes a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews
-     * nothing.
+     * Handles a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews nothing.
      *
      * @param heartbeatSequence increases with each heartbeat; a heartbeat that arrives after a later one renews nothing
      * @param reported rows that the server holds or still executes requests for
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * State machine that decides, from the heartbeats of the backend server on this host, under which member id the daemon
- * takes part.
+ * State machine that decides, from the heartbeats of the backend server on this host, when the daemon joins as a new
+ * member and when its member ends.
  *
  * <p>Methods take the current time as an argument and return the actions to perform. Not thread safe. Invariants:
  *
@@ -25,8 +25,8 @@
         /**
          * Attach the server and join as a new member.
          *
-         * @param life number of members that this incarnation has had without another incarnation in between, from 1
-         *     on; part of the member id
+         * @param life 1 for the first member of the incarnation, and one more for each further member; part of the
+         *     member id
          * @param joinAfterMs delay before the join, in which the server may still hold ranges of its previous member
          */
         record Attach(ServerIncarnation server, int life, long joinAfterMs) implements Action {}
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -26,7 +26,7 @@
 
 /**
  * The gate of this host. It is created when the first backend server is attached; until then, requests are rejected and
- * outcome queries return {@code UNKNOWN}. Thread safe, except that calls of {@link #attach} must not overlap.
+ * outcome queries return {@code UNKNOWN}. Thread safe.
  */
 public final class LocalGate implements OwnerGate, AutoCloseable {
     private static final GateStatus NO_GATE = new GateStatus(false, false, 0, 0, List.of());
