--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -33,7 +33,7 @@
 import org.coriandercrank.kernel.table.BackendInfo;
 import org.coriandercrank.kernel.table.MemberState;
 import org.coriandercrank.peer.PeerNetwork;
-import org.coriandercrank.placement.PlacementContext;
+import org.coriandercrank.placement.PlacementDependencies;
 
 /**
  * All components of a daemon: connections to other daemons, control plane, owner gate, ingress, and the components that
@@ -103,7 +103,12 @@
 
     private void startMember() {
         MemberComponents components = new MemberComponents(
-                placementContext(), control.lease(), gate, services.plugins(), options.ownership(), options.planner());
+                placementDependencies(),
+                control.lease(),
+                gate,
+                services.plugins(),
+                options.ownership(),
+                options.planner());
         MemberComponents previous = memberComponents.getAndSet(components);
         if (previous != null) {
             previous.close();
@@ -295,8 +300,8 @@
                 services.executors());
     }
 
-    private PlacementContext placementContext() {
-        return new PlacementContext(
+    private PlacementDependencies placementDependencies() {
+        return new PlacementDependencies(
                 control.self(),
                 services.store(),
                 control.routing(),
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
@@ -3,7 +3,7 @@
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.placement.PlacementContext;
+import org.coriandercrank.placement.PlacementDependencies;
 import org.coriandercrank.placement.Planner;
 import org.coriandercrank.placement.PlannerOptions;
 import org.coriandercrank.placement.RangeOwnership;
@@ -18,14 +18,14 @@
     private final Planner planner;
 
     public MemberComponents(
-            PlacementContext context,
+            PlacementDependencies placementDependencies,
             LeaseView lease,
             OwnerGate gate,
             PluginRegistry plugins,
             RangeOwnershipOptions ownershipOptions,
             PlannerOptions plannerOptions) {
-        ownership = new RangeOwnership(context, lease, gate, ownershipOptions);
-        planner = new Planner(context, plugins, plannerOptions);
+        ownership = new RangeOwnership(placementDependencies, lease, gate, ownershipOptions);
+        planner = new Planner(placementDependencies, plugins, plannerOptions);
     }
 
     public void start() {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/Gate.java
@@ -49,8 +49,8 @@
     private Gate(GateDependencies dependencies, GateOptions options) {
         timers = dependencies.timers();
         executor = dependencies.executorFactory().create("gate", options.taskQueueCapacity());
-        core = new GateCore(
-                new GateContext(dependencies, options, executor, new GateMetrics(dependencies.meters()), closed::get));
+        core = new GateCore(new GateContext(
+                dependencies, options, executor, new GateMetrics(dependencies.meterRegistry()), closed::get));
         busyTickMs = options.busyTickMs();
         idleTicks = timers.every(options.idleTickMs(), executor, this::idleTick);
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
@@ -11,39 +11,39 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * The components that a gate uses. Immutable.
+ * Collaborators of a {@link Gate}, which does not close them. Immutable.
  *
  * @param service the only service whose requests the gate admits
  * @param lease lease of this daemon; its times are read from the clock of {@code timers}
- * @param decisions log of the decisions of the gate
+ * @param decisionLog log of the decisions of the gate
  * @param executorFactory creates the executor that runs all tasks of the gate
  */
 public record GateDependencies(
         ServiceName service,
-        RoutingView routing,
+        RoutingView routingView,
         LeaseView lease,
         TimerService timers,
-        DecisionLog decisions,
-        MeterRegistry meters,
+        DecisionLog decisionLog,
+        MeterRegistry meterRegistry,
         SerialExecutor.Factory executorFactory) {
     public GateDependencies {
         Objects.requireNonNull(service, "service");
-        Objects.requireNonNull(routing, "routing");
+        Objects.requireNonNull(routingView, "routingView");
         Objects.requireNonNull(lease, "lease");
         Objects.requireNonNull(timers, "timers");
-        Objects.requireNonNull(decisions, "decisions");
-        Objects.requireNonNull(meters, "meters");
+        Objects.requireNonNull(decisionLog, "decisionLog");
+        Objects.requireNonNull(meterRegistry, "meterRegistry");
         Objects.requireNonNull(executorFactory, "executorFactory");
     }
 
     /** Creates the dependencies of a gate that runs on its own thread. */
     public GateDependencies(
             ServiceName service,
-            RoutingView routing,
+            RoutingView routingView,
             LeaseView lease,
             TimerService timers,
-            DecisionLog decisions,
-            MeterRegistry meters) {
-        this(service, routing, lease, timers, decisions, meters, SingleThreadExecutor::new);
+            DecisionLog decisionLog,
+            MeterRegistry meterRegistry) {
+        this(service, routingView, lease, timers, decisionLog, meterRegistry, SingleThreadExecutor::new);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateContext.java
@@ -40,7 +40,7 @@
     }
 
     public RoutingSnapshot routing() {
-        return dependencies.routing().current();
+        return dependencies.routingView().current();
     }
 
     /** Configuration of the service; the default values while the configuration does not contain the service. */
@@ -52,7 +52,7 @@
     }
 
     public void logDecision(Supplier<String> line) {
-        dependencies.decisions().log(line);
+        dependencies.decisionLog().log(line);
     }
 
     /**
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -60,11 +60,11 @@
     final Map<MemberId, Gate> gates = new ConcurrentHashMap<>();
     private final Map<MemberId, PeerHandlers> handlersByMember = new ConcurrentHashMap<>();
 
-    PlacementContext context(MemberId self, TimerService timers) {
+    PlacementDependencies dependencies(MemberId self, TimerService timers) {
         PeerHandlers ownHandlers = new PeerHandlers();
         handlersByMember.put(self, ownHandlers);
         gates.put(self, new Gate());
-        return new PlacementContext(
+        return new PlacementDependencies(
                 self,
                 store,
                 new View(self),
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/PlacementTest.java
@@ -53,10 +53,10 @@
         Member member = TestFleet.member(number, MemberState.ACTIVE);
         members.add(member);
         daemons.write(member);
-        PlacementContext context = daemons.context(member.id(), timers);
+        PlacementDependencies dependencies = daemons.dependencies(member.id(), timers);
         RangeOwnership ownership = new RangeOwnership(
-                context, () -> Long.MAX_VALUE / 2, daemons.gates.get(member.id()), RangeOwnershipOptions.DEFAULTS);
-        Planner planner = new Planner(context, PluginRegistry.load(), PLANNER_OPTIONS);
+                dependencies, () -> Long.MAX_VALUE / 2, daemons.gates.get(member.id()), RangeOwnershipOptions.DEFAULTS);
+        Planner planner = new Planner(dependencies, PluginRegistry.load(), PLANNER_OPTIONS);
         ownership.start();
         planner.start();
         components.add(planner);
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementContext.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementDependencies.java
@@ -11,23 +11,23 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * The components of the daemon that the planner and range ownership depend on. Immutable; all components are thread
- * safe.
+ * Collaborators of {@link Planner} and {@link RangeOwnership}, which do not close them. Immutable; all collaborators are
+ * thread safe.
  *
  * @param self member id of this daemon
- * @param view current configuration, members and assignment tables
- * @param peers sends messages to other daemons
- * @param handlers registry of the handlers for messages from other daemons
+ * @param routingView current configuration, members and assignment tables
+ * @param peerClient sends messages to other daemons
+ * @param peerHandlers registry of the handlers for messages from other daemons
  * @param decisionLog log of placement decisions and of acquired and released ranges
- * @param executors creates the serial executors of the planner and of range ownership
+ * @param executorFactory creates the serial executors of the planner and of range ownership
  */
-public record PlacementContext(
+public record PlacementDependencies(
         MemberId self,
         ObjectStore store,
-        RoutingView view,
-        PeerClient peers,
-        PeerHandlers handlers,
+        RoutingView routingView,
+        PeerClient peerClient,
+        PeerHandlers peerHandlers,
         TimerService timers,
         DecisionLog decisionLog,
-        MeterRegistry meters,
-        SerialExecutor.Factory executors) {}
+        MeterRegistry meterRegistry,
+        SerialExecutor.Factory executorFactory) {}
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -68,7 +68,7 @@
     /** Load of the most loaded server, in percent of its fair load, above which a table counts as imbalanced. */
     private static final long IMBALANCE_TARGET_PERCENT = 125;
 
-    private final PlacementContext context;
+    private final PlacementDependencies dependencies;
     private final PluginRegistry plugins;
     private final PlannerOptions options;
     private final SerialExecutor executor;
@@ -88,9 +88,9 @@
     private TimerService.Subscription tickTimer = () -> {};
     private TimerService.Subscription loadQueryTimer = () -> {};
 
-    public Planner(PlacementContext context, PluginRegistry plugins, PlannerOptions options) {
-        this.context = context;
-        executor = context.executors().create("planner", TASK_QUEUE_CAPACITY);
+    public Planner(PlacementDependencies dependencies, PluginRegistry plugins, PlannerOptions options) {
+        this.dependencies = dependencies;
+        executor = dependencies.executorFactory().create("planner", TASK_QUEUE_CAPACITY);
         this.plugins = plugins;
         this.options = options;
         PlannerElection.Options electionOptions = new PlannerElection.Options(
@@ -100,13 +100,21 @@
                 options.slowReadIntervalMs(),
                 options.fastReaders());
         role = new PlannerRole(
-                context.self(), context.store(), context.timers().clock(), this::enqueue, electionOptions);
+                dependencies.self(),
+                dependencies.store(),
+                dependencies.timers().clock(),
+                this::enqueue,
+                electionOptions);
         loadCollector = new LoadCollector(
-                context.self(), context.peers(), context.handlers(), this::enqueue, options.loadQueryTimeoutMs());
-        tableWriter = new TableWriter(context.store(), this::sendToNewOwners);
-        memberCleaner = new MemberCleaner(context.store(), options.sealedRetentionMs());
-        memberLookup = new MemberLookup(context.store(), this::enqueue);
-        meters = new PlacementMeters(context.meters());
+                dependencies.self(),
+                dependencies.peerClient(),
+                dependencies.peerHandlers(),
+                this::enqueue,
+                options.loadQueryTimeoutMs());
+        tableWriter = new TableWriter(dependencies.store(), this::sendToNewOwners);
+        memberCleaner = new MemberCleaner(dependencies.store(), options.sealedRetentionMs());
+        memberLookup = new MemberLookup(dependencies.store(), this::enqueue);
+        meters = new PlacementMeters(dependencies.meterRegistry());
     }
 
     /** Whether this daemon held the planner role when it last checked. */
@@ -116,12 +124,12 @@
 
     /** Starts to compete for the planner role. Call once, after the peer handlers of this daemon are registered. */
     public void start() {
-        context.view().subscribe(snapshot -> {
+        dependencies.routingView().subscribe(snapshot -> {
             inputVersion.incrementAndGet();
             executor.offer(this::updateRoleAndPlan);
         });
-        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::updateRoleAndPlan);
-        loadQueryTimer = context.timers().every(options.loadQueryIntervalMs(), executor, this::collectLoads);
+        tickTimer = dependencies.timers().every(options.tickIntervalMs(), executor, this::updateRoleAndPlan);
+        loadQueryTimer = dependencies.timers().every(options.loadQueryIntervalMs(), executor, this::collectLoads);
     }
 
     /**
@@ -130,14 +138,14 @@
      * by normal dissemination.
      */
     private void sendToNewOwners(AssignmentTable table, StoredObject object) {
-        RoutingSnapshot snapshot = context.view().current();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         ObjectData data = new ObjectData(FetchObject.Kind.ASSIGNMENTS, Revision.NONE, false, List.of(object));
         table.assignments().stream()
                 .filter(assignment -> assignment.fence().equals(table.generation()))
                 .map(RangeAssignment::owner)
                 .distinct()
                 .flatMap(owner -> snapshot.member(owner).stream())
-                .forEach(owner -> context.peers().send(PeerTarget.of(owner), data));
+                .forEach(owner -> dependencies.peerClient().send(PeerTarget.of(owner), data));
     }
 
     /** Stops renewing the planner role; another daemon takes it over after {@link PlannerOptions#roleTimeoutMs}. */
@@ -151,17 +159,17 @@
     /** Queues a task that must not be lost, and retries while the task queue is full. */
     private void enqueue(Runnable task) {
         if (!executor.offer(task)) {
-            context.timers().once(ENQUEUE_RETRY_MS, executor, task);
+            dependencies.timers().once(ENQUEUE_RETRY_MS, executor, task);
         }
     }
 
     private long nowMs() {
-        return context.timers().clock().nowMs();
+        return dependencies.timers().clock().nowMs();
     }
 
     private void updateRoleAndPlan() {
         long version = inputVersion.get();
-        RoutingSnapshot snapshot = context.view().current();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         role.update(snapshot);
         meters.setRoleHeld(role.isHolder());
         holdsRole = role.isHolder();
@@ -189,7 +197,7 @@
         if (!role.isHolder()) {
             return;
         }
-        RoutingSnapshot snapshot = context.view().current();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         serviceStates.forEach((service, state) -> {
             TablePlanner.Input input = planningInput(snapshot, state, state.table());
             double imbalance = TablePlanner.imbalance(input);
@@ -198,7 +206,7 @@
             meters.recordUnserved(service, state.table(), input.reports(), options.loadQueryIntervalMs() / 1_000.0);
         });
         loadCollector.query(snapshot);
-        context.timers().once(options.loadQueryIntervalMs() / LOAD_REPORT_WAIT_DIVISOR, executor, () -> {
+        dependencies.timers().once(options.loadQueryIntervalMs() / LOAD_REPORT_WAIT_DIVISOR, executor, () -> {
             inputVersion.incrementAndGet();
             updateRoleAndPlan();
         });
@@ -243,7 +251,8 @@
             state.recordPolicyChange(nowMs());
         }
         for (TableBuilder.Change change : decision.changes()) {
-            context.decisionLog()
+            dependencies
+                    .decisionLog()
                     .log(() -> String.format(
                             "event=place service=%s range=%s from=%s to=%s fence=%s reason=%s",
                             service,
@@ -254,7 +263,8 @@
                             change.reason()));
         }
         if (decision.kind() == TablePlanner.Kind.WITHDRAW) {
-            context.decisionLog()
+            dependencies
+                    .decisionLog()
                     .log(() -> String.format(
                             "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
                             service, decision.table().generation()));
@@ -268,7 +278,7 @@
      */
     private CompletableFuture<Optional<TablePlanner.Decision>> decideOnStoredTable(
             ServicePlanningState state, AssignmentTable table) {
-        RoutingSnapshot snapshot = context.view().current();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         if (!memberLookup.resolveMissing(snapshot, table)) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
@@ -283,7 +293,8 @@
             return memberLookup.listMembers().thenApply(members -> decide(withStoredMembers(input, members)));
         }
         if (decision.get().kind() == TablePlanner.Kind.WITHDRAW) {
-            return context.store()
+            return dependencies
+                    .store()
                     .get(ObjectNames.CONFIGURATION)
                     .thenApply(found -> isWithdrawn(table.service(), found) ? decision : Optional.empty());
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -54,7 +54,7 @@
     private static final int MAX_WAITING_REQUESTS = 16_384;
     private static final long ENQUEUE_RETRY_MS = 1;
 
-    private final PlacementContext context;
+    private final PlacementDependencies dependencies;
     private final LeaseView lease;
     private final OwnerGate gate;
     private final RangeOwnershipOptions options;
@@ -69,23 +69,24 @@
     private final PeerHandler<LoadQuery> loadHandler = this::onLoadQuery;
     private TimerService.Subscription tickTimer = () -> {};
 
-    public RangeOwnership(PlacementContext context, LeaseView lease, OwnerGate gate, RangeOwnershipOptions options) {
-        this.context = context;
-        executor = context.executors().create("ownership", TASK_QUEUE_CAPACITY);
+    public RangeOwnership(
+            PlacementDependencies dependencies, LeaseView lease, OwnerGate gate, RangeOwnershipOptions options) {
+        this.dependencies = dependencies;
+        executor = dependencies.executorFactory().create("ownership", TASK_QUEUE_CAPACITY);
         this.lease = lease;
         this.gate = gate;
         this.options = options;
-        acquiredRanges = context.meters().counter("crank.ownership.acquired");
-        releasedRanges = context.meters().counter("crank.ownership.released");
-        failedGateCalls = context.meters().counter("crank.ownership.gate.failures");
+        acquiredRanges = dependencies.meterRegistry().counter("crank.ownership.acquired");
+        releasedRanges = dependencies.meterRegistry().counter("crank.ownership.released");
+        failedGateCalls = dependencies.meterRegistry().counter("crank.ownership.gate.failures");
     }
 
     /** Registers the peer handlers and starts to apply new assignment tables. Call once. */
     public void start() {
-        context.handlers().register(ReleaseRequest.class, releaseHandler);
-        context.handlers().register(LoadQuery.class, loadHandler);
-        context.view().subscribe(snapshot -> executor.offer(this::applySnapshot));
-        tickTimer = context.timers().every(options.tickIntervalMs(), executor, this::applySnapshot);
+        dependencies.peerHandlers().register(ReleaseRequest.class, releaseHandler);
+        dependencies.peerHandlers().register(LoadQuery.class, loadHandler);
+        dependencies.routingView().subscribe(snapshot -> executor.offer(this::applySnapshot));
+        tickTimer = dependencies.timers().every(options.tickIntervalMs(), executor, this::applySnapshot);
         enqueue(this::applySnapshot);
     }
 
@@ -103,8 +104,8 @@
     /** Stops applying assignment tables; the gate goes on serving the ranges that it has acquired. */
     @Override
     public void close() {
-        context.handlers().unregister(ReleaseRequest.class, releaseHandler);
-        context.handlers().unregister(LoadQuery.class, loadHandler);
+        dependencies.peerHandlers().unregister(ReleaseRequest.class, releaseHandler);
+        dependencies.peerHandlers().unregister(LoadQuery.class, loadHandler);
         tickTimer.cancel();
         executor.close();
     }
@@ -112,23 +113,23 @@
     /** Queues a task that must not be lost, and retries while the task queue is full. */
     private void enqueue(Runnable task) {
         if (!executor.offer(task)) {
-            context.timers().once(ENQUEUE_RETRY_MS, executor, task);
+            dependencies.timers().once(ENQUEUE_RETRY_MS, executor, task);
         }
     }
 
     private long nowMs() {
-        return context.timers().clock().nowMs();
+        return dependencies.timers().clock().nowMs();
     }
 
     private void applySnapshot() {
-        RoutingSnapshot snapshot = context.view().current();
-        if (!sealed && snapshot.member(context.self()).map(Member::state).orElse(null) == MemberState.SEALED) {
+        RoutingSnapshot snapshot = dependencies.routingView().current();
+        if (!sealed && snapshot.member(dependencies.self()).map(Member::state).orElse(null) == MemberState.SEALED) {
             sealed = true;
             states.values().forEach(OwnershipState::seal);
         }
         snapshot.tables().forEach((service, table) -> {
             OwnershipState state = states.get(service);
-            if (state == null && table.ownedBy(context.self()).isEmpty()) {
+            if (state == null && table.ownedBy(dependencies.self()).isEmpty()) {
                 return;
             }
             findOrCreateState(service).ifPresent(s -> s.applyTable(table));
@@ -145,7 +146,7 @@
             return Optional.empty();
         }
         OwnershipState state = new OwnershipState(
-                context.self(),
+                dependencies.self(),
                 service,
                 options.minRetryDelayMs(),
                 options.maxRetryDelayMs(),
@@ -154,13 +155,13 @@
         if (sealed) {
             state.seal();
         }
-        context.view().current().table(service).ifPresent(state::applyTable);
+        dependencies.routingView().current().table(service).ifPresent(state::applyTable);
         states.put(service, state);
         return Optional.of(state);
     }
 
     private void performActions() {
-        RoutingSnapshot snapshot = context.view().current();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         Predicate<MemberId> isSealed =
                 id -> snapshot.member(id).map(Member::state).orElse(null) == MemberState.SEALED;
         states.forEach((service, state) -> {
@@ -182,7 +183,7 @@
     }
 
     private void acquire(ServiceName service, OwnershipState state, OwnershipAction.Acquire action) {
-        if (!lease.isValid(context.timers().clock().nowNanos())) {
+        if (!lease.isValid(dependencies.timers().clock().nowNanos())) {
             state.acquireFailed(action, nowMs());
             return;
         }
@@ -191,7 +192,8 @@
                     if (failure == null) {
                         acquiredRanges.increment();
                         state.acquireCompleted(action);
-                        context.decisionLog()
+                        dependencies
+                                .decisionLog()
                                 .log(() -> String.format(
                                         "event=range-acquired service=%s range=%s fence=%s records=%d",
                                         service,
@@ -212,7 +214,8 @@
                     if (failure == null) {
                         releasedRanges.increment();
                         state.releaseCompleted(action, records, nowMs());
-                        context.decisionLog()
+                        dependencies
+                                .decisionLog()
                                 .log(() -> String.format(
                                         "event=range-released service=%s range=%s records=%d",
                                         service,
@@ -235,12 +238,13 @@
     }
 
     private void requestRelease(ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action) {
-        Optional<Member> previousOwner = context.view().current().member(action.previousOwner());
+        Optional<Member> previousOwner = dependencies.routingView().current().member(action.previousOwner());
         if (previousOwner.isPresent()) {
             sendReleaseRequest(service, state, action, previousOwner.get());
             return;
         }
-        context.store()
+        dependencies
+                .store()
                 .get(ObjectNames.member(action.previousOwner()))
                 .whenComplete(
                         (found, failure) -> enqueue(() -> lookupCompleted(service, state, action, found, failure)));
@@ -268,8 +272,9 @@
 
     private void sendReleaseRequest(
             ServiceName service, OwnershipState state, OwnershipAction.RequestRelease action, Member member) {
-        ReleaseRequest request = new ReleaseRequest(context.self(), service, action.range(), action.fence());
-        context.peers()
+        ReleaseRequest request = new ReleaseRequest(dependencies.self(), service, action.range(), action.fence());
+        dependencies
+                .peerClient()
                 .call(PeerTarget.of(member), request, ReleaseAnswer.class, options.releaseTimeoutMs())
                 .whenComplete((answer, failure) -> enqueue(() -> {
                     if (failure != null || !answer.released()) {
@@ -283,7 +288,7 @@
 
     private void retryLater(OwnershipState state, OwnershipAction.RequestRelease action) {
         long delayMs = state.releaseRequestFailed(action, nowMs());
-        context.timers().once(delayMs, executor, this::performActions);
+        dependencies.timers().once(delayMs, executor, this::performActions);
     }
 
     private CompletableFuture<ReleaseAnswer> onReleaseRequest(MemberId sender, ReleaseRequest request) {
@@ -303,7 +308,7 @@
             performActions();
             if (!answer.isDone()) {
                 performActions();
-                context.timers().once(options.maxAnswerDelayMs(), executor, () -> answerNotReleased(answer));
+                dependencies.timers().once(options.maxAnswerDelayMs(), executor, () -> answerNotReleased(answer));
             }
         });
         if (!queued) {
@@ -343,15 +348,16 @@
 
     private CompletableFuture<LoadReport> onLoadQuery(MemberId sender, LoadQuery query) {
         return executor.call(() -> {
-            ServiceName service = context.view()
+            ServiceName service = dependencies
+                    .routingView()
                     .current()
-                    .member(context.self())
+                    .member(dependencies.self())
                     .flatMap(Member::backend)
                     .map(BackendInfo::service)
                     .orElseThrow(() -> new CrankException(ResultCode.STARTING, "no backend server is attached yet"));
             OwnershipState state = findOrCreateState(service)
                     .orElseThrow(() -> new CrankException(ResultCode.OVERLOADED, "too many keyed services"));
-            return new LoadReport(context.self(), service, state.appliedGeneration(), gate.rangeLoads());
+            return new LoadReport(dependencies.self(), service, state.appliedGeneration(), gate.rangeLoads());
         });
     }
 }
