--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -22,8 +22,9 @@
     private static final long DURATION_MS = CUT_MS + 2_000;
 
     /**
-     * A direction that is blocked, for the first host as an owner of keys or for all hosts. Callers send their requests to
-     * the last two hosts.
+     * A blocked direction of the connections of the first host, which owns keys, or of all connections to the store.
+     * {@code ALL_BYTES} includes connections that the first host opened, {@code CALLS} and {@code ANSWERS} do not. Callers
+     * send their requests to the last two hosts.
      */
     enum Cut {
         ALL_BYTES_TO_THE_OWNER {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingClient.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RepeatingClient.java
@@ -15,8 +15,8 @@
 import org.coriandercrank.load.CallRecord;
 
 /**
- * Sends operations with idempotency keys to random daemons and repeats them although they succeeded. Every repeat must
- * get the first response. Not thread safe; {@link #finish} ends its thread.
+ * Sends non-repeatable operations with idempotency keys to random daemons and repeats them although they succeeded.
+ * Every repeat must get the first response. Not thread safe; {@link #finish} ends its thread.
  */
 final class RepeatingClient {
     private static final long SEED = 11;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -122,7 +122,9 @@
             fault.inject(cluster, affected);
             LoadReport report = traffic.finish();
 
-            Stream.concat(report.toLines().stream(), report.violations().stream().map(Violation::toString))
+            Stream.concat(
+                            report.toLines().stream(),
+                            report.violations().stream().map(Violation::toString))
                     .forEach(line -> System.out.println(fault + ": " + line));
             assertThat(report.violations().stream().map(Violation::kind).collect(Collectors.toSet()))
                     .isSubsetOf(fault.allowedViolations());
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ClusterHost.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ClusterHost.java
@@ -54,10 +54,12 @@
         return new HostAddress(ip, CALLER_PORT);
     }
 
+    /** Address of the admin HTTP server of the daemon. */
     public HostAddress adminAddress() {
         return new HostAddress(ip, ADMIN_PORT);
     }
 
+    /** Address on which the backend server accepts requests. */
     public HostAddress backendAddress() {
         return new HostAddress(ip, BACKEND_PORT);
     }
--- a/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
+++ b/org.coriandercrank.testkit/src/main/java/org/coriandercrank/testkit/ProxyConnection.java
@@ -77,7 +77,7 @@
     private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel source;
         private final Channel sink;
-        private final Deque<ByteBuf> heldBytes = new ArrayDeque<>();
+        private final Deque<ByteBuf> bufferedBytes = new ArrayDeque<>();
         private boolean blocked;
         private long lastSendNanos;
 
@@ -88,8 +88,8 @@
 
         void setBlocked(boolean newBlocked) {
             blocked = newBlocked;
-            while (!blocked && !heldBytes.isEmpty()) {
-                forward(heldBytes.poll());
+            while (!blocked && !bufferedBytes.isEmpty()) {
+                forward(bufferedBytes.poll());
             }
         }
 
@@ -97,7 +97,7 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             if (blocked) {
-                heldBytes.add(bytes);
+                bufferedBytes.add(bytes);
             } else {
                 forward(bytes);
             }
