--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Admission.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/Admission.java
@@ -76,7 +76,7 @@
             return retryLater(ResultCode.RANGE_MOVING, "the range is being moved", RANGE_MOVING_RETRY_AFTER_MS);
         }
         if (context.rangeStatus() == RangeStatus.NOT_SERVED) {
-            return Optional.of(CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
+            return Optional.of(CallerAnswer.of(ResultCode.NOT_OWNER, "this daemon does not serve the range"));
         }
         if (context.draining()) {
             return retryLater(
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailureMapper.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/CallFailureMapper.java
@@ -24,7 +24,9 @@
                         ResultCode.OVERLOADED, "the backend server is overloaded", retryAfterMs.getAsLong());
             case FENCE_REJECTED ->
                 CallerAnswer.retryLater(
-                        ResultCode.FENCE_REJECTED, "the backend server rejected the fence", BACKEND_RETRY_AFTER_MS);
+                        ResultCode.FENCE_REJECTED,
+                        "the backend server rejected the fencing token",
+                        BACKEND_RETRY_AFTER_MS);
             case BACKEND_UNAVAILABLE ->
                 CallerAnswer.retryLater(
                         ResultCode.BACKEND_UNAVAILABLE, "the backend server is unreachable", BACKEND_RETRY_AFTER_MS);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -15,8 +15,9 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Requests whose range is assigned to this member but not yet served by the backend server. They wait here, so that the
- * daemons of the callers need not retry them while a range moves. Limited in number and waiting time. Not thread safe.
+ * Requests whose range is assigned to this member but not served now, because it is not acquired yet or the backend
+ * server rejected its fencing token. The requests wait here, so that the daemons of the callers need not retry them
+ * while a range moves. Limited in number and waiting time. Not thread safe.
  */
 final class ParkedRequests {
     /** A request that waits until its range is served. Immutable. */
@@ -32,7 +33,7 @@
     }
 
     /**
-     * Parks a request if its range is assigned to this member but not yet served, and the limit is not reached. Returns
+     * Parks a request if its range is assigned to this member but not served now, and the limit is not reached. Returns
      * whether the request was parked.
      */
     boolean park(CallerRequest request, KeyHash hash, Waiter waiter, long nowNanos) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -98,11 +98,12 @@
         }
         if (!fenceHistory.allows(range, fence)) {
             return new CrankException(
-                    ResultCode.RANGE_MOVING, "a newer fence was used for the range, or this fence was released");
+                    ResultCode.RANGE_MOVING,
+                    "part of the range was acquired under a newer fencing token or released under this one");
         }
         if (active.stream().anyMatch(e -> !fence.isNewerThan(e.fence()))) {
             return new CrankException(
-                    ResultCode.NOT_OWNER, "part of the range is already held under this fence or a newer one");
+                    ResultCode.NOT_OWNER, "part of the range is already held under this fencing token or a newer one");
         }
         return null;
     }
@@ -145,8 +146,8 @@
         List<RangeEntry> removed = new ArrayList<>();
         for (RangeEntry old : ranges.overlapping(range)) {
             if (old.state() == State.ACQUIRING) {
-                old.failAcquire(
-                        new CrankException(ResultCode.RANGE_MOVING, "the range was acquired under a newer fence"));
+                old.failAcquire(new CrankException(
+                        ResultCode.RANGE_MOVING, "the range was acquired under a newer fencing token"));
             } else if (old.state() == State.SERVING
                     || (old.isAcquireFailed() && old.fence().equals(fence))) {
                 RangeEntry part = ranges.splitOff(old, range);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -272,7 +272,7 @@
         if (remainingMs < 1) {
             finishQueued(execution, CallerAnswer.of(ResultCode.DEADLINE_EXPIRED, "the deadline expired in the queue"));
         } else if (config.keyed() && entry.isEmpty()) {
-            finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
+            finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "this daemon does not serve the range"));
         } else {
             Generation fence = config.keyed() ? entry.orElseThrow().fence() : Generation.NONE;
             send(execution, config, new BackendCall(execution.request().withRemainingMs(remainingMs), fence), nowNanos);
@@ -400,7 +400,7 @@
         if (context.serviceConfig().keyed()) {
             for (Execution execution :
                     queue.filter(e -> ranges.serving(e.hash()).isEmpty())) {
-                finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "the range is not served here"));
+                finishQueued(execution, CallerAnswer.of(ResultCode.NOT_OWNER, "this daemon does not serve the range"));
             }
         }
     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MoveSearch.java
@@ -45,6 +45,9 @@
     /** Load over fair load that a server may reach when it gets more hash space. */
     private static final double MAX_FILLED_LOAD_RATIO = 1.0;
 
+    /** Largest moved hash space over the wanted hash space; it can exceed 1 if the range may not be split. */
+    private static final int MAX_MOVED_SHARE_RATIO = 2;
+
     private final WorkingTable table;
     private final MemberId source;
     private final MemberId target;
@@ -150,7 +153,9 @@
             double movedShare = parts.get(0).share();
             double load = entry.load().partOf(entry.range(), parts.get(0)).perSecond();
             double score = Math.min(movedShare, missingShare) + table.loadRatio(owner) * movedShare;
-            if (movedShare <= 2 * wanted && load <= loadRoom && (best == null || score > best.score)) {
+            if (movedShare <= MAX_MOVED_SHARE_RATIO * wanted
+                    && load <= loadRoom
+                    && (best == null || score > best.score)) {
                 best = new Move(i, parts, 0, target, score, false);
             }
         }
