--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/BackendSettings.java
@@ -13,7 +13,7 @@
 import org.coriandercrank.standin.internal.BackendOptions;
 import org.kohsuke.args4j.Option;
 
-/** Settings of {@code crank-backend}. Not thread safe; not changed after loading. */
+/** Settings of {@code crank-backend}. Not thread safe; read-only after loading. */
 public final class BackendSettings implements Settings {
     private static final int MAX_COUNT = 100_000;
     private static final long MAX_DURATION_MS = 3_600_000;
@@ -49,10 +49,10 @@
     @Option(name = "--cold-start-ms", usage = "time after the start during which requests take longer")
     long coldStartMs = 0;
 
-    @Option(name = "--cold-start-factor", usage = "factor on the service time at the start, falling to 1")
+    @Option(name = "--cold-start-factor", usage = "factor on the service time at the start, decreasing to 1")
     double coldStartFactor = 5;
 
-    @Option(name = "--health-lag-ms", usage = "age of what the health and load endpoints report")
+    @Option(name = "--health-lag-ms", usage = "age of the state that the health and load endpoints report")
     long healthLagMs = 0;
 
     @Option(name = "--ledger-file", usage = "file to which each execution is appended as a JSON line; empty: none")
@@ -92,7 +92,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** What the server announces when it is bound to an address. */
+    /** Returns the description that the server sends to its daemon, with the address to which the server is bound. */
     BackendInfo backendInfo(HostAddress bound) {
         return new BackendInfo(name, new ServiceName(service), bound, slots, maxConnections, parseCapabilities());
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankBackend.java
@@ -17,9 +17,9 @@
 import org.coriandercrank.standin.internal.BackendService;
 
 /**
- * The program {@code crank-backend}: a keyed backend server that checks grants and records each execution.
+ * The program {@code crank-backend}: a simulated keyed backend server that checks grants and records each execution.
  *
- * <p>Thread safe. Holds nothing across a restart but the ledger file.
+ * <p>Thread safe. Only the ledger file survives a restart.
  */
 public final class CrankBackend implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -52,12 +52,12 @@
                         new Announcer(eventLoopGroup, executor, timers, HostAddress.parse(settings.daemon), info));
     }
 
-    /** Starts a server; returns when it listens. */
+    /** Starts a server; returns when it accepts connections. */
     public static CrankBackend start(BackendSettings settings) {
         return new CrankBackend(settings);
     }
 
-    /** What the server announces, with the address to which it is bound. */
+    /** Returns the description that the server sends to its daemon, with the address to which the server is bound. */
     public BackendInfo info() {
         return info;
     }
@@ -75,7 +75,7 @@
         eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs until the process is stopped. */
+    /** Runs the server until the process is stopped. */
     public static void main(String[] arguments) {
         StandInLauncher.run("crank-backend", new BackendSettings(), arguments, settings -> {
             CrankBackend backend = start(settings);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/CrankStore.java
@@ -17,17 +17,19 @@
 import org.coriandercrank.standin.internal.StoreState;
 
 /**
- * The program {@code crank-store}: an in-memory object store with conditional writes, watches and faults on demand.
+ * The program {@code crank-store}: an in-memory object store with conditional writes, watches and fault injection.
  *
- * <p>Thread safe. Holds nothing across a restart.
+ * <p>Thread safe. No object survives a restart.
  */
 public final class CrankStore implements AutoCloseable {
-    /** Largest value of an object. */
+    /** Largest accepted value of an object. */
     public static final int MAX_VALUE_BYTES = 1_048_576;
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int IO_THREADS = 2;
     private static final int TASK_QUEUE_CAPACITY = 16_384;
+    private static final int MAX_INITIAL_LINE_BYTES = 8_192;
+    private static final int MAX_HEADER_BYTES = 16_384;
 
     private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
@@ -43,11 +45,14 @@
                 new StoreState(settings.historyEntries),
                 new FaultInjector(timers.clock(), settings.faultSeed));
         HttpServerOptions options = new HttpServerOptions(
-                8_192, 16_384, MAX_VALUE_BYTES, status -> HttpResponse.text(status, "request rejected\n"));
+                MAX_INITIAL_LINE_BYTES,
+                MAX_HEADER_BYTES,
+                MAX_VALUE_BYTES,
+                status -> HttpResponse.text(status, "request rejected\n"));
         server = HttpServer.listen(eventLoopGroup, HostAddress.parse(settings.listen), options, service);
     }
 
-    /** Starts a store; returns when it listens. */
+    /** Starts a store; returns when it accepts connections. */
     public static CrankStore start(StoreSettings settings) {
         return new CrankStore(settings);
     }
@@ -67,7 +72,7 @@
         eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs until the process is stopped. */
+    /** Runs the store until the process is stopped. */
     public static void main(String[] arguments) {
         StandInLauncher.run("crank-store", new StoreSettings(), arguments, settings -> {
             CrankStore store = start(settings);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StandInLauncher.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StandInLauncher.java
@@ -6,11 +6,11 @@
 import org.coriandercrank.kernel.settings.CommandLine;
 import org.coriandercrank.kernel.settings.Settings;
 
-/** Common start of the stand-in programs. Stateless. */
+/** Common entry point of the stand-in programs. Stateless. */
 final class StandInLauncher {
     private StandInLauncher() {}
 
-    /** Loads settings, starts the program and closes it when the process is asked to end. */
+    /** Loads the settings, starts the program and registers a shutdown hook that closes it. */
     static <T extends Settings> void run(
             String program, T defaults, String[] arguments, Function<T, AutoCloseable> start) {
         LogSetup.configure(Level.INFO);
@@ -23,7 +23,7 @@
         try {
             program.close();
         } catch (Exception e) {
-            System.err.println("close failed: " + e.getMessage());
+            System.err.println("closing the program failed: " + e.getMessage());
         }
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/StoreSettings.java
@@ -5,14 +5,14 @@
 import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 
-/** Settings of {@code crank-store}. Not thread safe; not changed after loading. */
+/** Settings of {@code crank-store}. Not thread safe; read-only after loading. */
 public final class StoreSettings implements Settings {
     private static final int MAX_HISTORY_ENTRIES = 10_000_000;
 
     @Option(name = "--listen", usage = "address of the HTTP server, ip:port")
     String listen = "127.0.0.1:7100";
 
-    @Option(name = "--history-entries", usage = "changes that a watch can reach back to")
+    @Option(name = "--history-entries", usage = "number of past changes kept for watches")
     int historyEntries = 10_000;
 
     @Option(name = "--fault-seed", usage = "seed of faults with a probability")
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Announcer.java
@@ -15,8 +15,8 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Announces a backend server to the daemon beside it: every second until accepted, then every three seconds, so that a
- * restarted daemon learns of the server. Confined to the duty of the server.
+ * Announces a backend server to the daemon on its host: every second until the daemon accepts the announcement, then
+ * every three seconds, so that a restarted daemon receives it again. Confined to the executor of the server.
  */
 public final class Announcer implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -17,12 +17,13 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Execution of requests. Not thread safe; confined to the duty of the server.
+ * Queues and executes requests. Not thread safe; confined to the executor of the server.
  *
- * <p>Invariants: at most {@code slots} requests run; a request takes effect in one step at the end of its service time,
- * directly after its grant, fence, deadline and cancellation were checked; each effect has one ledger entry, written
- * before the answer. A request that was answered as not run never takes effect. Repeated request ids are executed
- * again, so that the ledger shows a failure of the system to send a request once.
+ * <p>Invariants: at most {@code slots} requests run at a time. A request takes effect in one step at the end of its
+ * service time, directly after its grant, fencing token, deadline and cancellation were checked. Each effect has one
+ * ledger entry, which is written before the response is sent. A request that was answered as not run never takes effect.
+ *
+ * <p>A request id that arrives again is executed again, so that the ledger shows it if the router sends a request twice.
  */
 final class BackendEngine {
     private static final int STATUS_REJECTED = 409;
@@ -30,7 +31,7 @@
     private static final int STATUS_UNAVAILABLE = 503;
     private static final int STATUS_DEADLINE_EXPIRED = 504;
 
-    /** Cancellations that overtook their request on another connection are remembered up to this number. */
+    /** Largest number of retained cancellations that arrived, on another connection, before their request. */
     private static final int MAX_EARLY_CANCELLATIONS = 1_024;
 
     private final BackendOptions options;
@@ -71,7 +72,7 @@
         this.serverStartMs = timers.clock().nowMs();
     }
 
-    /** Queues a request or refuses it at once. */
+    /** Queues a request, or rejects it immediately. */
     void submit(HttpRequest httpRequest, CompletableFuture<HttpResponse> response) {
         BackendRequest request = new BackendRequest(httpRequest, timers.clock().nowNanos(), response);
         if (faults.isTriggered(FaultKind.CLOSED)) {
@@ -207,7 +208,7 @@
         return true;
     }
 
-    /** Stops a request that has not taken effect; true if it was found. */
+    /** Aborts a request that has not taken effect; returns whether such a request was found. */
     boolean cancel(RequestId id) {
         if (!hasCapability(Capability.CANCEL)) {
             return false;
@@ -220,7 +221,7 @@
         return abort(request, STATUS_CANCELLED, "cancelled");
     }
 
-    /** Takes a grant; false if it is older than the present one. */
+    /** Replaces the current grant; returns false if the new one is older. */
     boolean replaceGrant(Grant grant, long sentAtNanos) {
         return grants.replace(grant, sentAtNanos);
     }
@@ -237,7 +238,7 @@
         return draining;
     }
 
-    /** Requests that run or wait. */
+    /** Returns the number of running and queued requests. */
     int load() {
         return runningRequests + queue.size();
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendOptions.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendOptions.java
@@ -3,13 +3,16 @@
 import org.coriandercrank.kernel.table.BackendInfo;
 
 /**
- * Behaviour of the backend server. Immutable.
+ * Configured behaviour of the backend server. Immutable.
  *
- * @param queueLimit requests that may wait for a slot; one more is shed
- * @param serviceMs time that a slot is in use for one request
- * @param coldStartMs time after the start during which requests take longer
- * @param coldStartFactor factor on the service time at the start, falling linearly to 1
- * @param healthLagMs age of what the health and load endpoints report
+ * @param info description of the server for its daemon
+ * @param queueLimit largest number of requests that wait for a slot; further ones are rejected
+ * @param serviceMs time for which one request occupies a slot
+ * @param coldStartMs period after the start in which requests take longer
+ * @param coldStartFactor factor on the service time at the start; it decreases linearly to 1
+ * @param healthLagMs age of the state that the health and load endpoints report
+ * @param faultSeed seed of the faults that occur with a probability
+ * @param ledgerFile file for executions; empty for none
  */
 public record BackendOptions(
         BackendInfo info,
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -11,7 +11,7 @@
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.time.TimerService.Subscription;
 
-/** A request at the backend server, from arrival to answer. Not thread safe; confined to the duty of the server. */
+/** A request at the backend server, from arrival to response. Not thread safe; confined to the executor of the server. */
 final class BackendRequest {
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long MAX_DEADLINE_MS = 86_400_000;
@@ -33,7 +33,11 @@
     long startWallMs;
     Subscription deadlineTimer = () -> {};
 
-    /** Fails with {@link IllegalArgumentException} if a header of the protocol is malformed. */
+    /**
+     * Parses the request headers of the protocol.
+     *
+     * @throws IllegalArgumentException if one of them is malformed, or if the request id is missing
+     */
     BackendRequest(HttpRequest httpRequest, long nowNanos, CompletableFuture<HttpResponse> response) {
         this.httpRequest = httpRequest;
         this.response = response;
@@ -50,7 +54,7 @@
         return URLDecoder.decode(text.replace("+", "%2B"), StandardCharsets.UTF_8);
     }
 
-    /** Name under which the value is stored: the key, or the path without query for a request without key. */
+    /** Returns the name under which the value is stored: the key, or the path without query for a request without key. */
     String valueName() {
         return key.map(Key::value).orElseGet(httpRequest::path);
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -20,10 +20,11 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * HTTP front of the backend server; see {@code docs/PROTOCOL_BACKEND.md}. Thread safe: all work runs on the duty.
+ * HTTP interface of the backend server; see {@code docs/PROTOCOL_BACKEND.md}. Thread safe: all work runs on the
+ * executor.
  *
- * <p>Invariant: a request with {@code Crank-Request-Id} is never taken for a control or admin call, whatever its path,
- * so that a caller cannot reach those through the router.
+ * <p>Invariant: a request with {@code Crank-Request-Id} is never handled as a control or admin request, whatever its
+ * path, so that a caller cannot reach those endpoints through the router.
  */
 public final class BackendService implements HttpHandler, AutoCloseable {
     private static final String CANCEL_PATH = "/control/cancel/";
@@ -36,7 +37,7 @@
     private final HealthReporter healthReporter;
     private final int slots;
 
-    /** Tells the clock of this process from that of one before it. */
+    /** Distinguishes the clock of this process from that of an earlier process. */
     private final String clockInstanceId = UUID.randomUUID().toString();
 
     private volatile IntSupplier openConnections = () -> 0;
@@ -56,7 +57,7 @@
                 timers);
     }
 
-    /** Sets the source of the connection counts in the statistics. */
+    /** Sets the sources of the connection counts in the statistics. */
     public void setConnectionCounters(IntSupplier open, IntSupplier peak) {
         openConnections = open;
         peakConnections = peak;
@@ -108,7 +109,7 @@
         };
     }
 
-    /** The validity counts from the sending of the grant if the sender states it, else from its arrival. */
+    /** The validity period starts when the grant was sent, if the sender states that time, and otherwise on arrival. */
     private HttpResponse handleGrant(HttpRequest request) {
         long nowNanos = timers.clock().nowNanos();
         long sentAtNanos = nowNanos;
@@ -140,18 +141,18 @@
                 yield Responses.json(200, faults.activeFaults());
             }
             case "POST /admin/health" -> {
-                healthReporter.override(Optional.of(JsonCodec.decode(request.body(), BackendHealth.class)));
+                healthReporter.setFixedHealth(Optional.of(JsonCodec.decode(request.body(), BackendHealth.class)));
                 yield Responses.json(200, healthReporter.reportedHealth());
             }
             case "DELETE /admin/health" -> {
-                healthReporter.override(Optional.empty());
+                healthReporter.setFixedHealth(Optional.empty());
                 yield Responses.json(200, healthReporter.reportedHealth());
             }
             default -> HttpResponse.text(404, "not found\n");
         };
     }
 
-    /** Call after the duty has ended. */
+    /** Closes the ledger. Must be called after the executor has ended. */
     @Override
     public void close() {
         ledger.close();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Fault.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Fault.java
@@ -3,10 +3,10 @@
 /**
  * A fault as submitted to {@code POST /admin/faults}. Immutable.
  *
- * @param durationMs time after which the fault ends; 0 for no end
- * @param delayMs delay of {@link FaultKind#SLOW} and {@link FaultKind#DELAYED_WRITE}
- * @param probability share of calls that are hit; 0 for all
- * @param count calls that are hit before the fault ends; 0 for no bound
+ * @param durationMs time after which the fault ends; 0 for no time limit
+ * @param delayMs delay for {@link FaultKind#SLOW} and {@link FaultKind#DELAYED_WRITE}
+ * @param probability probability with which a request is affected; 0 means that every request is
+ * @param count number of affected requests after which the fault ends; 0 for no limit
  */
 public record Fault(FaultKind kind, long durationMs, long delayMs, double probability, int count) {
     public Fault {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.coriandercrank.kernel.time.MonotonicClock;
 
-/** The faults in force, at most one of each kind. Not thread safe; confined to the duty of its stand-in. */
+/** Holds the active faults, at most one of each kind. Not thread safe; confined to the executor of its stand-in. */
 public final class FaultInjector {
     private record ActiveFault(Fault fault, long endsAtMs, int remainingCount) {}
 
@@ -20,7 +20,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Adds a fault in place of one of the same kind; {@link FaultKind#UP} removes all. */
+    /** Adds a fault and replaces one of the same kind; {@link FaultKind#UP} removes all faults. */
     public void add(Fault fault) {
         if (fault.kind() == FaultKind.UP) {
             activeFaults.clear();
@@ -30,7 +30,7 @@
         activeFaults.put(fault.kind(), new ActiveFault(fault, endsAtMs, fault.count()));
     }
 
-    /** The fault of a kind if it hits the present call; uses up one hit of a counted fault. */
+    /** Returns the fault of a kind if it affects the current request; decrements the remaining count of a counted fault. */
     public Optional<Fault> trigger(FaultKind kind) {
         ActiveFault activeFault = activeFaults.get(kind);
         if (activeFault == null) {
@@ -53,7 +53,7 @@
         return Optional.of(activeFault.fault);
     }
 
-    /** Whether the present call is hit by a fault of a kind; uses up one hit. */
+    /** Returns whether a fault of a kind affects the current request; decrements the remaining count of a counted fault. */
     public boolean isTriggered(FaultKind kind) {
         return trigger(kind).isPresent();
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultKind.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultKind.java
@@ -2,30 +2,30 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** Faults that a stand-in can be told to show. */
+/** Faults that can be injected into a stand-in. */
 public enum FaultKind {
-    /** Ends all faults. */
+    /** Removes all faults. */
     @JsonProperty("up")
     UP,
-    /** Calls are answered with 503 and have no effect. */
+    /** Requests are answered with 503 and have no effect. */
     @JsonProperty("down")
     DOWN,
-    /** Connections are closed without an answer; calls have no effect. */
+    /** Connections are closed without a response; requests have no effect. */
     @JsonProperty("closed")
     CLOSED,
-    /** Calls take effect and are answered after a delay. */
+    /** Requests take effect and are answered after a delay. */
     @JsonProperty("slow")
     SLOW,
-    /** Writes take effect and the connection is closed without an answer. */
+    /** Writes take effect, but the connection is closed without a response. */
     @JsonProperty("unanswered")
     UNANSWERED,
     /** Writes take effect after a delay and are never answered. */
     @JsonProperty("delayed-write")
     DELAYED_WRITE,
-    /** Calls take effect and the connection is closed in the middle of the answer. */
+    /** Requests take effect, but the connection is closed in the middle of the response. */
     @JsonProperty("cut-answer")
     CUT_ANSWER,
-    /** Calls are refused as overload, certainly without effect. */
+    /** Requests are rejected with 503 as by an overloaded server and have no effect. */
     @JsonProperty("shed")
     SHED
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
@@ -10,10 +10,10 @@
 import org.coriandercrank.kernel.table.BackendInfo.Capability;
 
 /**
- * The grant in force and the checks that depend on it. Not thread safe; confined to the duty of the server.
+ * Holds the current grant and checks requests against it. Not thread safe; confined to the executor of the server.
  *
- * <p>Invariant: the sequence never decreases. Without {@link Capability#FENCE} neither fences nor ranges are checked,
- * without {@link Capability#VALIDITY} a grant never lapses.
+ * <p>Invariant: the sequence number never decreases. Without {@link Capability#FENCE} neither fencing tokens nor ranges
+ * are checked; without {@link Capability#VALIDITY} a grant never expires.
  */
 final class GrantTable {
     private static final long NANOS_PER_MS = 1_000_000;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Replaces the grant; false if its sequence is older than the present one.
+     * Replaces the grant; returns false if its sequence number is lower than the current one.
      *
-     * @param sentAtNanos when the grant was sent, on the clock of this process
+     * @param sentAtNanos time at which the grant was sent, on the clock of this process
      */
     boolean replace(Grant grant, long sentAtNanos) {
         if (grant.sequence() < sequence) {
@@ -48,7 +48,10 @@
         return true;
     }
 
-    /** Why a request must not be executed at an instant: {@code validity}, {@code range} or {@code fence}. */
+    /**
+     * Returns why a request must not be executed at a given time, or empty if it may be: {@code validity}, {@code range}
+     * or {@code fence}.
+     */
     Optional<String> rejectionReason(BackendRequest request, long nowNanos) {
         if (request.key.isEmpty()) {
             return Optional.empty();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
@@ -7,15 +7,15 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * What the health and load endpoints report: the present state, a past one, or a fixed false one. Not thread safe;
- * confined to the duty of the server.
+ * Provides the state for the health and load endpoints: the current one, a delayed one, or a fixed one that simulates a
+ * wrong report. Not thread safe; confined to the executor of the server.
  */
 final class HealthReporter {
     private static final long SAMPLE_INTERVAL_MS = 25;
 
     private final Supplier<BackendHealth> currentHealth;
     private final boolean hasLag;
-    private Optional<BackendHealth> override = Optional.empty();
+    private Optional<BackendHealth> fixedHealth = Optional.empty();
     private BackendHealth delayedHealth;
 
     HealthReporter(
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Reports a fixed state, or the true one again if empty. */
-    void override(Optional<BackendHealth> health) {
-        override = health;
+    /** Sets a fixed state to report; empty to report the actual state again. */
+    void setFixedHealth(Optional<BackendHealth> health) {
+        fixedHealth = health;
     }
 
     BackendHealth reportedHealth() {
-        return override.orElseGet(() -> hasLag ? delayedHealth : currentHealth.get());
+        return fixedHealth.orElseGet(() -> hasLag ? delayedHealth : currentHealth.get());
     }
 }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
@@ -10,8 +10,9 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 
 /**
- * Record of executions. The file has every entry; memory has the latest. Not thread safe; confined to the duty of the
- * server. A line is handed to the operating system before the answer is sent, so it survives a kill of the process.
+ * Log of executed requests. The file has every entry, memory the latest ones. Not thread safe; confined to the executor
+ * of the server. A line is written to the operating system before the response is sent, so it survives a kill of the
+ * process.
  */
 public final class Ledger implements AutoCloseable {
     private static final int MAX_ENTRIES_IN_MEMORY = 100_000;
@@ -20,7 +21,7 @@
     private final OutputStream fileOutput;
     private long totalEntries;
 
-    /** Appends to a file; an empty name means no file. */
+    /** Opens a ledger that appends to a file; an empty name means no file. */
     public Ledger(String fileName) {
         try {
             fileOutput = fileName.isEmpty() ? OutputStream.nullOutputStream() : new FileOutputStream(fileName, true);
@@ -38,7 +39,7 @@
             fileOutput.write(bytes);
             fileOutput.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write the ledger file", e);
+            throw new UncheckedIOException("cannot write to the ledger file", e);
         }
         recentLines.addLast(bytes);
         if (recentLines.size() > MAX_ENTRIES_IN_MEMORY) {
@@ -51,7 +52,7 @@
         return totalEntries;
     }
 
-    /** JSON lines of the latest 100,000 entries, in the order of their effect. */
+    /** Returns the latest 100,000 entries as JSON lines, in the order in which they took effect. */
     public byte[] toJsonLines() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         recentLines.forEach(out::writeBytes);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Responses.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Responses.java
@@ -6,7 +6,7 @@
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.store.JsonCodec;
 
-/** Common replies of the stand-ins. Stateless. */
+/** Creates HTTP responses of the stand-ins. Stateless. */
 final class Responses {
     private static final String NOT_RUN_HEADER = "crank-not-run";
     private static final String REASON_HEADER = "crank-reason";
@@ -17,7 +17,7 @@
         return HttpResponse.json(status, JsonCodec.encode(value));
     }
 
-    /** A refusal of a call that certainly had and will have no effect. */
+    /** Returns the response to a rejected request, which had no effect and will have none. */
     static HttpResponse notRun(int status, String reason) {
         return new HttpResponse(
                 status,
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -24,8 +24,8 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * HTTP front of {@link StoreState}; see {@code docs/PROTOCOL_STORE.md}. Thread safe: all work runs on the duty, which
- * alone touches the state.
+ * HTTP interface of {@link StoreState}; see {@code docs/PROTOCOL_STORE.md}. Thread safe: only the executor accesses the
+ * state.
  */
 public final class StoreService implements HttpHandler {
     private static final String OBJECTS_PATH = "/v1/objects/";
@@ -33,7 +33,7 @@
     private static final String EXPECTED_HEADER = "crank-expected-revision";
     private static final long MAX_WATCH_WAIT_MS = 600_000;
 
-    /** A watch that waits for a change. Confined to the duty. */
+    /** A watch request that waits for a change. Confined to the executor. */
     private record PendingWatch(String prefix, long afterRevision, CompletableFuture<HttpResponse> response) {}
 
     private final SingleThreadExecutor executor;
@@ -183,7 +183,7 @@
         return new Header(REVISION_HEADER, revision.toString());
     }
 
-    /** The check and the effect of a write happen in one step of the duty, at the end of a delay. */
+    /** A delayed write checks the expected revision and takes effect in one executor task, at the end of the delay. */
     private Runnable write(
             String operation, HttpRequest request, String name, CompletableFuture<HttpResponse> response) {
         Revision expected = new Revision(Long.parseLong(request.header(EXPECTED_HEADER)
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
@@ -17,11 +17,11 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Objects, the global revision counter and the bounded history of changes. Not thread safe; confined to the duty of the
- * store.
+ * Holds the objects, the global revision counter and the bounded history of changes. Not thread safe; confined to the
+ * executor of the store.
  *
- * <p>Invariants: the counter grows by one with each successful put or delete; the history holds every change after
- * {@code historyStart}, without values, so its memory does not depend on the size of objects.
+ * <p>Invariants: the counter grows by one with each successful put or delete. The history holds every change after
+ * {@code historyStartRevision}. It has no values, so its memory does not depend on the size of objects.
  */
 public final class StoreState {
     private record Change(String name, long revision) {}
@@ -48,12 +48,12 @@
         return Optional.ofNullable(objects.get(name));
     }
 
-    /** Revision of an object; {@link Revision#NONE} if it does not exist. */
+    /** Returns the revision of an object, or {@link Revision#NONE} if it does not exist. */
     public Revision revisionOf(String name) {
         return get(name).map(StoredObject::revision).orElse(Revision.NONE);
     }
 
-    /** Writes an object; empty if it does not have the expected revision. */
+    /** Writes an object and returns its revision; returns empty if it does not have the expected revision. */
     public Optional<Revision> put(String name, byte[] value, Revision expected) {
         if (!revisionOf(name).equals(expected)) {
             return Optional.empty();
@@ -63,7 +63,10 @@
         return Optional.of(written);
     }
 
-    /** Deletes an object; empty if it does not exist or does not have the expected revision. */
+    /**
+     * Deletes an object and returns the revision of the deletion; returns empty if the object does not exist or does not
+     * have the expected revision.
+     */
     public Optional<Revision> delete(String name, Revision expected) {
         if (expected.equals(Revision.NONE) || !revisionOf(name).equals(expected)) {
             return Optional.empty();
@@ -81,7 +84,7 @@
         return new Revision(revision);
     }
 
-    /** All objects under a prefix, by ascending revision; {@code reset} is true. */
+    /** Returns all objects with a name prefix by ascending revision, in a batch with {@code reset} set. */
     public WatchBatch list(String prefix) {
         List<StoredObject> objectsFound = new ArrayList<>();
         for (StoredObject object : objects.tailMap(prefix, true).values()) {
@@ -95,8 +98,8 @@
     }
 
     /**
-     * Changes under a prefix after a revision; the whole listing if the history does not reach back that far or the
-     * revision is from before a restart of the store.
+     * Returns the changes to objects with a name prefix after a revision, or all objects with the prefix if the history
+     * does not reach back that far or the revision is from before a restart of the store.
      */
     public WatchBatch changes(String prefix, long afterRevision) {
         if (afterRevision < historyStartRevision || afterRevision > revision) {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreStats.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreStats.java
@@ -3,10 +3,14 @@
 import java.util.Map;
 
 /**
- * Answer to {@code GET /admin/stats} of the store. Immutable.
+ * Response to {@code GET /admin/stats} of the store. Immutable.
  *
- * @param calls calls since the start by kind: get, list, put, delete, watch
- * @param refused calls that had no effect because of a fault
+ * @param revision current value of the revision counter
+ * @param objects number of stored objects
+ * @param calls number of requests since the start by operation: get, list, put, delete, watch
+ * @param conflicts number of writes since the start that did not have the expected revision
+ * @param refused number of requests since the start that had no effect because of an injected fault
+ * @param waitingWatches number of watch requests that wait for a change
  */
 public record StoreStats(
         long revision, int objects, Map<String, Long> calls, long conflicts, long refused, int waitingWatches) {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
@@ -7,14 +7,14 @@
 import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.http.HttpResponse;
 
-/** Values by key. Not thread safe; confined to the duty of the server. */
+/** Holds values by key. Not thread safe; confined to the executor of the server. */
 final class ValueMap {
-    /** An appended value keeps its latest bytes, so that a hot key does not exhaust the memory. */
+    /** An append keeps only the latest bytes of a value, so that a hot key does not exhaust the memory. */
     private static final int MAX_APPENDED_BYTES = 65_536;
 
     private final Map<String, byte[]> values = new HashMap<>();
 
-    /** Applies a request: GET and HEAD read, PUT stores, POST appends, DELETE removes. */
+    /** Applies a request: GET and HEAD read the value, PUT stores it, POST appends to it, DELETE removes it. */
     HttpResponse apply(String name, HttpRequest request) {
         return switch (request.method()) {
             case "GET", "HEAD" -> readValue(name);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/package-info.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Implementation of the stand-ins. */
+/** Implementation of the simulated object store and backend server. */
 package org.coriandercrank.standin.internal;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/package-info.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the platform's object store and for a keyed backend server. */
+/** Stand-ins: a simulated object store and a simulated keyed backend server, for tests, demos and load runs. */
 package org.coriandercrank.standin;
