--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
@@ -177,8 +177,8 @@
 
     /** What the daemon of the owner shows, and what is explained. */
     enum Owner {
-        SERVES("served now: the owner serves the range and its lease holds"),
-        LEASE_LAPSED("not served now: the lease of the owner does not hold") {
+        SERVES("served now: the owner serves the range and its lease is valid"),
+        LEASE_LAPSED("not served now: the lease of the owner is not valid") {
             @Override
             void set(CtlSite site) {
                 site.daemonShows(1, -5, List.of(new ServingRange(CtlSite.OWNED, CtlSite.FENCE)));
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -33,9 +33,9 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectStore;
 
-/** The program {@code crankctl}. Results go to standard output, progress and faults to standard error. */
+/** The command line client {@code crankctl}. Prints results to standard output, progress and errors to standard error. */
 public final class CrankCtl {
-    /** The commands of one run. Immutable. */
+    /** The command groups of one run. Immutable. */
     private record Commands(NoteCommands notes, StatusCommands status) {}
 
     private static final Map<String, Function<Commands, CtlCommand>> COMMANDS = new TreeMap<>(Map.of(
@@ -52,7 +52,7 @@
     private static final String SYNOPSIS =
             "COMMAND [--FLAG VALUE]...\ncommands: " + String.join(", ", COMMANDS.keySet());
 
-    /** What {@code --json true} prints. Immutable; the order of the fields is that of the text. */
+    /** Output with {@code --json true}. Immutable; the components are printed in this order. */
     private record JsonOutput(int code, String name, Object result) {}
 
     private CrankCtl() {}
@@ -62,7 +62,7 @@
         System.exit(run(List.of(arguments), System.getenv(), System.out, System.err));
     }
 
-    /** Runs one command and returns the exit code. */
+    /** Runs one command and returns the exit code of the process. */
     public static int run(List<String> arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
         List<String> commandWords = new ArrayList<>();
         List<String> flags = new ArrayList<>(arguments);
@@ -107,7 +107,7 @@
         return CommandLine.EXIT_USAGE;
     }
 
-    /** Prints a failure for people; the result has it for programs. */
+    /** Prints a failure to standard error and returns it as a result for {@code --json true}. */
     private static CtlResult reportFailure(CrankException failure, PrintStream err) {
         err.println(failure.code() + " (" + failure.code().number() + "): " + failure.getMessage());
         return new CtlResult(failure.code(), Map.of("message", String.valueOf(failure.getMessage())), List.of());
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
@@ -27,15 +27,19 @@
 import org.coriandercrank.kernel.table.MemberState;
 import org.coriandercrank.note.NoteApplier;
 
-/** What the store and the daemons say at present. Thread safe; methods block. */
+/** Reads the current state of the cluster from the store and the daemons. Thread safe; methods block. */
 public final class ClusterReader {
     private static final int STATUS_OK = 200;
     private static final long STATUS_TIMEOUT_MS = 1_000;
 
-    /** The configuration and its revision. Immutable. */
+    /** The current configuration and its revision. Immutable. */
     public record CurrentConfiguration(Revision revision, Configuration configuration) {}
 
-    /** A member and what its daemon answered, if it did. Immutable. */
+    /**
+     * A member and the status of its daemon. Immutable.
+     *
+     * @param status empty if the daemon did not answer, or answered for another member
+     */
     public record MemberStatus(Member member, Optional<DaemonStatus> status) {}
 
     private final ObjectStore store;
@@ -79,7 +83,7 @@
         return await(store.list(ObjectNames.NOTES_PREFIX)).changes();
     }
 
-    /** Members that are not sealed, with the status of their daemons, asked in parallel. */
+    /** Returns all members that are not sealed, with the status of their daemons; queries the daemons in parallel. */
     List<MemberStatus> memberStatuses() {
         List<CompletableFuture<MemberStatus>> pending = new ArrayList<>();
         for (Member member : members()) {
@@ -90,7 +94,7 @@
         return pending.stream().map(CompletableFuture::join).toList();
     }
 
-    /** What notes are checked against. */
+    /** Returns the services in use and the policy names for the validation of notes. */
     NoteApplier.Environment noteEnvironment() {
         Configuration configuration = currentConfiguration().configuration();
         Set<ServiceName> servicesInUse = members().stream()
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlCommand.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlCommand.java
@@ -1,7 +1,8 @@
 package org.coriandercrank.ctl.internal;
 
-/** A command of {@code crankctl}; blocks until it has its result. */
+/** A command of {@code crankctl}. */
 @FunctionalInterface
 public interface CtlCommand {
+    /** Executes the command. Blocks until the result is available. */
     CtlResult execute();
 }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlResult.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlResult.java
@@ -6,8 +6,9 @@
 /**
  * Result of a command. Immutable.
  *
- * @param value what {@code --json true} prints
- * @param lines what is printed otherwise
+ * @param code result code, which determines the exit code
+ * @param value object printed with {@code --json true}
+ * @param lines text printed otherwise
  */
 public record CtlResult(ResultCode code, Object value, List<String> lines) {
     private static final int EXIT_OTHER_FAILURE = 1;
@@ -25,7 +26,7 @@
         return new CtlResult(ResultCode.OK, value, lines);
     }
 
-    /** Stable exit code of the process. */
+    /** Returns the exit code of the process. Scripts rely on these numbers. */
     public int exitCode() {
         return switch (code) {
             case OK -> 0;
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
@@ -31,10 +31,10 @@
     @Option(
             name = "--timeout-ms",
             metaVar = "MS",
-            usage = "time after which a note without a certain answer is given up")
+            usage = "time after which submitting a note ends although its outcome is unknown")
     private long submitTimeoutMs = 15_000;
 
-    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "time-out of a call of the store")
+    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "timeout of a store request")
     private long storeTimeoutMs = 2_000;
 
     @Option(name = "--note", metaVar = "ID", usage = "id of a release note")
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -26,14 +26,15 @@
 import org.coriandercrank.note.ReleaseNote;
 import org.coriandercrank.note.SubmitResult;
 
-/** Commands {@code note ...}. Not thread safe. */
+/** The commands {@code note ...}, which handle release notes. Not thread safe. */
 public final class NoteCommands {
     private static final long POLL_INTERVAL_MS = 100;
+    private static final long NANOS_PER_MS = 1_000_000;
 
-    /** Result of {@link #check} without faults. Immutable. */
+    /** Result of {@link #check} for a valid note. Immutable. */
     private record ValidNote(boolean valid, Revision revision) {}
 
-    /** The present revision and the notes accepted since the one that a note is based on. Immutable. */
+    /** The current revision, and the notes accepted since the revision on which the checked note is based. Immutable. */
     private record Conflict(Revision revision, List<AcceptedNote> newerNotes) {}
 
     private final CtlSettings settings;
@@ -41,9 +42,10 @@
     private final Supplier<String> noteText;
     private final ProgressListener progressListener;
 
-    /** Prints a line while a command goes on. */
+    /** Receives progress messages of a running command. */
     @FunctionalInterface
     public interface ProgressListener {
+        /** Handles one message. */
         void report(String line);
     }
 
@@ -74,7 +76,7 @@
                 new ValidNote(true, current.revision()), List.of("valid against revision " + current.revision()));
     }
 
-    /** Submits a note and waits until it is in force on all live daemons or the time is over. */
+    /** Submits a note and waits until it is in force on all daemons or the wait time has passed. */
     public CtlResult submit() {
         SubmitResult result = new NoteSubmitter(cluster.store(), cluster::noteEnvironment, settings.submitTimeoutMs())
                 .submit(noteText.get());
@@ -95,7 +97,7 @@
                 : waitUntilInForce(result.revision());
     }
 
-    /** On how many live daemons a note, or the current configuration, is in force. */
+    /** Reports on how many daemons a note, or the current configuration, is in force. */
     public CtlResult status() {
         CurrentConfiguration current = cluster.currentConfiguration();
         Revision revision = current.revision();
@@ -115,7 +117,7 @@
         return new CtlResult(code, rollout, List.of(rollout.summaryLine()));
     }
 
-    /** Recorded notes by the revision at which they were accepted; those that were not come first. */
+    /** Lists the recorded notes by the revision at which they were accepted; notes that were not accepted come first. */
     public CtlResult list() {
         AcceptanceHistory history = acceptanceHistory(cluster.currentConfiguration());
         List<NoteRecord> records = cluster.notes().stream()
@@ -139,7 +141,10 @@
         return new AcceptanceHistory(current.revision(), current.configuration());
     }
 
-    /** The configuration decides; the record only where its list of notes no longer reaches back. */
+    /**
+     * Returns the revision at which a note was accepted. The configuration is authoritative; the record of the note counts
+     * only if the configuration no longer lists the note because it is too old.
+     */
     private static Optional<Revision> acceptanceRevision(
             AcceptanceHistory history, NoteId id, Optional<NoteRecord> record) {
         return history.find(id)
@@ -148,17 +153,20 @@
                         .map(NoteRecord::accepted));
     }
 
+    /** Shows the recorded text of a note. */
     public CtlResult show() {
         if (settings.noteId().isEmpty()) {
-            return new CtlResult(ResultCode.SETTING_INVALID, Map.of(), List.of("note show needs --note ID"));
+            return new CtlResult(ResultCode.SETTING_INVALID, Map.of(), List.of("note show requires --note ID"));
         }
         return findRecord(new NoteId(settings.noteId()))
                 .map(note -> CtlResult.ok(note, List.of(note.id() + " " + note.fate(), note.text())))
                 .orElseGet(() -> new CtlResult(
-                        ResultCode.NOTE_INVALID, Map.of("found", false), List.of("no note " + settings.noteId())));
+                        ResultCode.NOTE_INVALID,
+                        Map.of("found", false),
+                        List.of("note " + settings.noteId() + " does not exist")));
     }
 
-    /** What a note would change in the current configuration. */
+    /** Shows what a note would change in the current configuration. */
     public CtlResult diff() {
         Configuration current = cluster.currentConfiguration().configuration();
         NoteParser parser = new NoteParser();
@@ -184,9 +192,12 @@
                 .forEach(element -> lines.add("+ " + toJson(element)));
     }
 
-    /** The note is accepted whatever happens here, so a fault of the store only ends in "not in force". */
+    /**
+     * Waits until a revision is in force on all daemons. The note is already accepted, so an error of the store is reported
+     * as "not in force" and not as a failure.
+     */
     private CtlResult waitUntilInForce(Revision revision) {
-        long deadlineNanos = System.nanoTime() + settings.waitInForceMs() * 1_000_000;
+        long deadlineNanos = System.nanoTime() + settings.waitInForceMs() * NANOS_PER_MS;
         RolloutStatus rollout = new RolloutStatus(revision, 0, 0, List.of(), List.of());
         String lastLine = "";
         while (true) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/RolloutStatus.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/RolloutStatus.java
@@ -7,10 +7,12 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * On how many live daemons a configuration revision is in force. Immutable.
+ * Progress of the rollout of a configuration revision to the daemons of all members that are not sealed. Immutable.
  *
- * @param missing live members that follow an older revision
- * @param unreachable members that are not sealed and did not answer
+ * @param inForce number of daemons on which the revision or a newer one is in force
+ * @param live number of members that are not sealed
+ * @param missing members whose daemons use an older revision
+ * @param unreachable members whose daemons did not answer
  */
 public record RolloutStatus(
         Revision revision, int inForce, int live, List<MemberId> missing, List<MemberId> unreachable) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
@@ -18,7 +18,7 @@
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.RangeAssignment;
 
-/** Commands that show the state of the system. Not thread safe. */
+/** The commands that show the state of the cluster. Not thread safe. */
 public final class StatusCommands {
     private final CtlSettings settings;
     private final ClusterReader cluster;
@@ -28,9 +28,10 @@
         this.cluster = cluster;
     }
 
-    /** Answer of {@link #status}. Immutable. */
+    /** Result of {@link #status}. Immutable. */
     private record Report(RolloutStatus configuration, List<MemberStatus> members) {}
 
+    /** Shows the rollout of the configuration, the services and the daemons. */
     public CtlResult status() {
         CurrentConfiguration current = cluster.currentConfiguration();
         List<MemberStatus> memberStatuses = cluster.memberStatuses();
@@ -45,6 +46,7 @@
         return CtlResult.ok(new Report(rollout, memberStatuses), lines);
     }
 
+    /** Shows the stored records of all members. */
     public CtlResult members() {
         List<Member> members = cluster.members();
         List<String> lines = members.stream()
@@ -56,6 +58,7 @@
         return CtlResult.ok(members, lines);
     }
 
+    /** Shows the assignment tables of all services or of the service in the settings. */
     public CtlResult owners() {
         List<String> lines = new ArrayList<>();
         List<AssignmentTable> tables = cluster.tables().stream()
@@ -72,11 +75,11 @@
         return CtlResult.ok(tables, lines);
     }
 
-    /** Who owns a key, since which fence, and whether it can be served now. */
+    /** Shows the owner of a key, the fencing token since which it owns the key, and whether the key can be served now. */
     public CtlResult explain() {
         if (settings.service().isEmpty() || settings.key().isEmpty()) {
             return new CtlResult(
-                    ResultCode.SETTING_INVALID, Map.of(), List.of("explain needs --service NAME and --key KEY"));
+                    ResultCode.SETTING_INVALID, Map.of(), List.of("explain requires --service NAME and --key KEY"));
         }
         ServiceName service = new ServiceName(settings.service());
         Key key = new Key(settings.key());
@@ -99,7 +102,12 @@
                         (explanation.served() ? "served now" : "not served now") + ": " + explanation.reason()));
     }
 
-    /** Answer of {@link #explain}. Immutable. */
+    /**
+     * Result of {@link #explain}. Immutable. The range, owner and fence are null for a key without owner.
+     *
+     * @param previousOwners owners that have not released the range yet
+     * @param reason why the key is or is not served
+     */
     public record Explanation(
             ServiceName service,
             String key,
@@ -124,7 +132,7 @@
                 assignment.fence(),
                 assignment.previousOwners(),
                 reason.isEmpty(),
-                reason.isEmpty() ? "the owner serves the range and its lease holds" : reason);
+                reason.isEmpty() ? "the owner serves the range and its lease is valid" : reason);
     }
 
     private static String reasonNotServed(Optional<DaemonStatus> status, Key key, RangeAssignment assignment) {
@@ -132,7 +140,7 @@
             return "the daemon of the owner does not answer";
         }
         if (status.get().leaseRemainingMs() <= 0) {
-            return "the lease of the owner does not hold";
+            return "the lease of the owner is not valid";
         }
         for (ServingRange serving : status.get().serving()) {
             if (serving.range().contains(key.hash()) && serving.fence().equals(assignment.fence())) {
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/package-info.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Commands of {@code crankctl}; each is one class with a method {@code call}. */
+/** Settings, commands and results of {@code crankctl}. */
 package org.coriandercrank.ctl.internal;
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/package-info.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The operator program {@code crankctl}: release notes and status. */
+/** The command line client {@code crankctl}, with which operators submit release notes and query the cluster. */
 package org.coriandercrank.ctl;
