--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
@@ -4,13 +4,17 @@
 import org.coriandercrank.kernel.code.Outcome;
 
 /**
- * One call of a caller. Immutable. Times are monotonic nanoseconds of the machine.
+ * One call: a request of a caller and its response. Immutable. Times are in nanoseconds of the machine's monotonic clock.
  *
- * @param operation number of the operation; attempts of one operation share it
- * @param intendedNanos when the call was due by the schedule
- * @param resultCode number of the result code, or -1 if there was no answer
- * @param outcome what the answer said; empty if there was no answer
- * @param foreignAnswer whether the body belongs to another request
+ * @param operation number of the operation; all attempts of one operation share it
+ * @param requestId id of this attempt
+ * @param key key of the request; empty for a request without key
+ * @param repeatable whether the operation is idempotent, so that executing it more than once is allowed
+ * @param intendedNanos time at which the call was scheduled to start
+ * @param endedNanos time at which the response arrived or the call failed
+ * @param resultCode number of the result code; {@link #NO_ANSWER} if the call failed without one
+ * @param outcome outcome stated by the response; empty if there was no response or it stated none
+ * @param foreignAnswer whether the response belongs to another request
  */
 public record CallRecord(
         long operation,
@@ -24,9 +28,10 @@
         int resultCode,
         Optional<Outcome> outcome,
         boolean foreignAnswer) {
+    /** Stands for the result code of a call that failed without one. */
     public static final int NO_ANSWER = -1;
 
-    /** The same call under another operation number. */
+    /** Returns a copy of this call with another operation number. */
     public CallRecord withOperation(long newOperation) {
         return new CallRecord(
                 newOperation,
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
@@ -16,7 +16,7 @@
 import org.coriandercrank.load.internal.PlanResult;
 import org.coriandercrank.load.internal.ReportWriter;
 
-/** The program {@code crank-load}. Exit code 0: no violation; 1: violations; 2: faulty settings. */
+/** The load generator {@code crank-load}. Exit code 0: no violation; 1: violations; 2: invalid settings. */
 public final class CrankLoad {
     private static final int EXIT_VIOLATIONS = 1;
     private static final int IO_THREADS = 2;
@@ -29,7 +29,7 @@
         System.exit(run(settings) ? 0 : EXIT_VIOLATIONS);
     }
 
-    /** Runs the load and reports it; whether no violation was found. */
+    /** Runs the load and prints reports; returns whether no violation was found. */
     private static boolean run(LoadSettings settings) throws IOException {
         LoadDriver.RequestFactory requestFactory =
                 settings.direct() ? LoadDriver::directRequest : LoadDriver::routedRequest;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * One report for each service, if there are several, and one in total. The total covers all executions of the
-     * ledgers, so that ownership is checked across all callers.
+     * Prints one report per service, if there are several, and one for all services; returns whether no violation was
+     * found. The total covers all executions of the ledgers, so that ownership is checked across all callers.
      */
     private static boolean reportResults(LoadSettings settings, List<PlanResult> results) throws IOException {
         Optional<List<Execution>> executions = settings.ledgerFiles().isEmpty()
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
@@ -12,13 +12,15 @@
 import org.coriandercrank.load.Violation.Kind;
 
 /**
- * Compares what callers were told with what backend servers executed. Stateless.
+ * Compares the responses that callers received with the executions in the ledgers of the backend servers. Stateless.
  *
- * <p>The ledgers must be complete. Ownership checks hold for servers that check fences and validity.
+ * <p>The ledgers must be complete. The ownership checks apply only to servers that check the fencing token and the
+ * validity of grants.
  */
 public final class HistoryChecker {
     private HistoryChecker() {}
 
+    /** Returns all violations in a history; empty if there are none. */
     public static List<Violation> check(List<CallRecord> calls, List<Execution> executions) {
         List<Violation> violations = new ArrayList<>();
         checkOutcomes(calls, executions, violations);
@@ -31,7 +33,7 @@
         return violations;
     }
 
-    /** Checks what answers show on their own; for runs whose ledgers are not available. */
+    /** Performs only the checks that need no ledgers. */
     public static List<Violation> checkWithoutLedgers(List<CallRecord> calls) {
         List<Violation> violations = new ArrayList<>();
         calls.forEach(call -> checkForeignAnswer(call, violations));
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LedgerReader.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LedgerReader.java
@@ -10,14 +10,15 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.store.JsonCodec;
 
-/** Reads ledger files of backend servers. Stateless. */
+/** Reads the ledger files of backend servers, in which they log each execution. Stateless. */
 public final class LedgerReader {
     private LedgerReader() {}
 
     /**
-     * All executions of the files; a missing file counts as empty.
+     * Returns all executions of the files. A missing file counts as empty. An incomplete last line, which a killed server
+     * may leave, is ignored.
      *
-     * @throws CrankException for a line that is not an execution, except for a last line cut off by a kill
+     * @throws CrankException if any other line is not an execution
      */
     public static List<Execution> read(List<Path> files) {
         List<Execution> executions = new ArrayList<>();
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -13,13 +13,15 @@
 import org.coriandercrank.kernel.code.ResultCode;
 
 /**
- * Figures of one run. Immutable.
+ * Measurements of one run. Immutable. Latency counts from the scheduled start of a call.
  *
- * @param outcomes number of calls by what they said, {@code no-answer} included
- * @param unavailableKeySeconds sum over keys of the time between the instant a failed or late call was due and the
- *     next success of that key
+ * @param outcomes number of calls by stated outcome; {@code no-answer} for calls without an outcome
+ * @param resultCodes number of calls by result code; {@code NO_ANSWER} for calls without response
+ * @param unavailableKeySeconds total time over all keys in which a key was not served: from the scheduled start of a
+ *     failed or late call to the next success of its key
  * @param longestGapMs longest such time of one key
- * @param imbalance mean over seconds of the busiest server's executions over the mean of all servers; 0 without ledgers
+ * @param imbalance number of executions of the busiest server divided by the mean of all servers, averaged over the
+ *     seconds with executions; 0 without ledgers
  * @param perSecond time series for the plot
  */
 public record LoadReport(
@@ -37,14 +39,24 @@
         List<SecondStats> perSecond,
         List<Violation> violations) {
     private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(2);
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 3;
+    private static final int MAX_PRINTED_VIOLATIONS = 5;
+    private static final double US_PER_MS = 1e3;
     private static final double NANOS_PER_MS = 1e6;
 
-    /** The target for the unavailable time of a planned move; a key that is served later counts as not served. */
+    /**
+     * A key counts as not served if a call for it succeeds later than this after its scheduled start. This is the target for
+     * the unavailable time of a planned move.
+     */
     private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** One second of a run. Immutable. */
+    /**
+     * Measurements of one second of a run. Immutable.
+     *
+     * @param second number of the second from the start of the run, from 0
+     */
     public record SecondStats(long second, long succeeded, long failed, double imbalance) {}
 
     public LoadReport {
@@ -52,19 +64,19 @@
         violations = List.copyOf(violations);
     }
 
-    /** Figures of a run that started at a monotonic time. */
+    /** Returns the report of a run. The start is on the clock of the calls and executions. */
     public static LoadReport of(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
         return of(startedNanos, calls, executions, HistoryChecker.check(calls, executions));
     }
 
-    /** Figures of a run whose ledgers are not available. */
+    /** Returns the report of a run whose ledgers are not available. */
     public static LoadReport withoutLedgers(long startedNanos, List<CallRecord> calls) {
         return of(startedNanos, calls, List.of(), HistoryChecker.checkWithoutLedgers(calls));
     }
 
     private static LoadReport of(
             long startedNanos, List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
-        Histogram latencyHistogramUs = new Histogram(MAX_LATENCY_US, 3);
+        Histogram latencyHistogramUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_SIGNIFICANT_DIGITS);
         Map<String, Long> outcomes = new TreeMap<>();
         Map<String, Long> resultCodes = new TreeMap<>();
         long succeeded = 0;
@@ -83,9 +95,9 @@
                 calls.size(),
                 succeeded,
                 succeeded / ((lastNanos - startedNanos) / NANOS_PER_SECOND),
-                latencyHistogramUs.getValueAtPercentile(50) / 1e3,
-                latencyHistogramUs.getValueAtPercentile(99) / 1e3,
-                latencyHistogramUs.getMaxValue() / 1e3,
+                latencyHistogramUs.getValueAtPercentile(50) / US_PER_MS,
+                latencyHistogramUs.getValueAtPercentile(99) / US_PER_MS,
+                latencyHistogramUs.getMaxValue() / US_PER_MS,
                 outcomes,
                 resultCodes,
                 unavailableNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
@@ -114,8 +126,8 @@
     }
 
     /**
-     * Adds the times in which a key was not served: from the instant at which a failed or late call was due to the first
-     * success of the key after it. Overlapping times are merged.
+     * Adds the periods in which a key was not served: from the scheduled start of a failed or late call to the next success
+     * of the key. Overlapping periods are merged.
      */
     private static void addUnavailableNanos(List<CallRecord> callsOfKey, List<Long> unavailableNanos) {
         TreeSet<Long> successEndNanos = callsOfKey.stream()
@@ -170,7 +182,7 @@
         return busiest * servers / (double) total;
     }
 
-    /** A short text for people. */
+    /** Returns a short summary as text. */
     public List<String> toLines() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format("calls %d, succeeded %d, goodput %.1f/s", calls, succeeded, goodputPerSecond));
@@ -183,7 +195,7 @@
                 unavailableKeySeconds, longestGapMs, imbalance));
         lines.add("violations " + violations.size());
         violations.stream()
-                .limit(5)
+                .limit(MAX_PRINTED_VIOLATIONS)
                 .forEach(violation -> lines.add("  " + violation.kind() + " " + violation.detail()));
         return lines;
     }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/Violation.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/Violation.java
@@ -1,20 +1,24 @@
 package org.coriandercrank.load;
 
-/** A broken promise found in a history. Immutable. */
+/**
+ * A violated guarantee found in a history of calls and executions. Immutable.
+ *
+ * @param detail the call or execution that shows the violation
+ */
 public record Violation(Kind kind, String detail) {
-    /** The promises that are checked. */
+    /** Kinds of violations. */
     public enum Kind {
-        /** Two servers executed the same key at overlapping times. */
+        /** Two servers executed requests for the same key at overlapping times. */
         TWO_OWNERS,
-        /** A key was executed under an older fence after a newer one. */
+        /** A request for a key was executed with an older fencing token after one with a newer token. */
         FENCE_WENT_BACK,
-        /** An operation that must not be repeated was executed more than once. */
+        /** An operation that is not idempotent was executed more than once. */
         EXECUTED_TWICE,
-        /** An answer said not-run, and the request was executed. */
+        /** A response stated not-run, but the request was executed. */
         NOT_RUN_BUT_EXECUTED,
-        /** An answer said run, and the request was not executed. */
+        /** A response stated run, but no attempt of the operation was executed. */
         RUN_BUT_NOT_EXECUTED,
-        /** A caller got the answer of another request. */
+        /** A caller received the response to another request. */
         FOREIGN_ANSWER
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
@@ -4,9 +4,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses keys with a Zipf distribution whose hottest keys change after each period. Not thread safe.
+ * Chooses random keys with a Zipf distribution whose most frequent keys change after each period. Not thread safe.
  *
- * <p>The distribution over ranks stays the same; which keys hold the ranks of the hot set depends on seed and period.
+ * <p>The distribution over ranks stays the same. The first ranks belong to the hot set, whose keys depend on the seed and
+ * the period.
  */
 final class KeyChooser {
     private final double[] cumulativeWeights;
@@ -35,6 +36,7 @@
         return cumulativeWeights;
     }
 
+    /** Returns a random key for a request at a time since the start of the run. */
     String nextKey(long elapsedMs) {
         long currentPeriod = elapsedMs / hotChangeMs;
         if (currentPeriod != hotSetPeriod) {
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -22,12 +22,14 @@
 import org.coriandercrank.load.CallRecord;
 
 /**
- * Sends a workload in an open loop: each call has its time by the schedule, whatever the calls before it do. Latency
- * counts from that time. Thread safe after construction; {@link #run} is called once.
+ * Generates load in an open loop: calls start by a schedule that does not depend on the progress of earlier calls.
+ * Latency counts from the scheduled start. Thread safe after construction; {@link #run} may be called only once.
  */
 public final class LoadDriver implements AutoCloseable {
     private static final int MAX_CONNECTIONS_PER_TARGET = 512;
     private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_RESPONSE_BODY_BYTES = 16_777_216;
+    private static final long IDLE_TIMEOUT_MS = 60_000;
     private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
     private static final long DEFAULT_RETRY_AFTER_MS = 100;
     private static final int STATUS_OK = 200;
@@ -36,13 +38,19 @@
     private static final int LAST_REQUEST_ERROR_CODE = 199;
     private static final long SPIN_THRESHOLD_NANOS = 100_000;
 
-    /** Builds the call of an attempt. */
+    /** Creates the HTTP request of an attempt. */
     @FunctionalInterface
     public interface RequestFactory {
         HttpRequest create(LoadPlan plan, Attempt attempt);
     }
 
-    /** One attempt of an operation. Immutable. */
+    /**
+     * One attempt of an operation. Immutable.
+     *
+     * @param number number of the attempt, from 1
+     * @param value request body; empty for a read
+     * @param idempotencyKeyAgeMs time since the scheduled start of the first attempt
+     */
     public record Attempt(
             long operation,
             int number,
@@ -69,11 +77,15 @@
         this.eventLoopGroup = eventLoopGroup;
         this.runId = "l" + Long.toString(System.nanoTime(), Character.MAX_RADIX) + "-" + plan.seed();
         HttpClientOptions options = new HttpClientOptions(
-                MAX_CONNECTIONS_PER_TARGET, MAX_CONNECTIONS_PER_TARGET, CONNECT_TIMEOUT_MS, 16_777_216, 60_000);
+                MAX_CONNECTIONS_PER_TARGET,
+                MAX_CONNECTIONS_PER_TARGET,
+                CONNECT_TIMEOUT_MS,
+                MAX_RESPONSE_BODY_BYTES,
+                IDLE_TIMEOUT_MS);
         targets.forEach(target -> clients.add(new HttpClient(eventLoopGroup, target, options)));
     }
 
-    /** Runs the workload, waits for its last answer and returns all calls. Blocks. */
+    /** Runs the workload and returns all calls. Blocks until the last call has ended. */
     public List<CallRecord> run() {
         KeyChooser keyChooser = new KeyChooser(plan);
         Random random = new Random(plan.seed() + 1);
@@ -120,8 +132,8 @@
     }
 
     /**
-     * Whether a repeat cannot change the answer: success, a fault of the request, or a lost record, since the age of an
-     * idempotency key only grows.
+     * Returns whether a retry cannot change the result: after a success, an invalid request, or a lost outcome record,
+     * because the age of an idempotency key only increases.
      */
     private static boolean isFinal(CallRecord call) {
         int code = call.resultCode();
@@ -181,7 +193,7 @@
                 foreignResponse);
     }
 
-    /** A value starts with its key, so the answer to a read tells whether it belongs to it. */
+    /** Returns whether a response belongs to another request. A value starts with its key, so a read can be checked. */
     private boolean isForeignResponse(Attempt attempt, HttpResponse response, int code) {
         boolean foreignRequestId = response.header("crank-request-id")
                 .map(id -> !id.equals(attempt.requestId()))
@@ -230,7 +242,7 @@
         clients.forEach(HttpClient::close);
     }
 
-    /** Calls through a daemon. */
+    /** Creates a request to a daemon. */
     public static HttpRequest routedRequest(LoadPlan plan, Attempt attempt) {
         List<Header> headers = new ArrayList<>();
         headers.add(new Header("crank-request-id", attempt.requestId()));
@@ -243,7 +255,7 @@
         return new HttpRequest(attempt.method(), path, headers, attempt.value().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Calls straight to a backend server that checks nothing; the baseline of the router's cost. */
+    /** Creates a request to a backend server without checks, as the baseline for the cost of the router. */
     public static HttpRequest directRequest(LoadPlan plan, Attempt attempt) {
         List<Header> headers = List.of(
                 new Header("crank-request-id", attempt.requestId()),
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
@@ -1,13 +1,18 @@
 package org.coriandercrank.load.internal;
 
 /**
- * A workload. Immutable.
+ * A workload for one service. Immutable.
  *
  * @param service name of the service
- * @param keyed whether requests carry a key
- * @param writePercent share of PUT requests, which the service counts as not repeatable
- * @param hotKeys size of the hot set that changes every {@code hotChangeMs}
- * @param maxRetries further attempts of an operation that was not run or whose outcome is unknown
+ * @param keyed whether requests have a key
+ * @param ratePerSecond mean number of operations started per second
+ * @param keys number of different keys
+ * @param zipfExponent exponent of the Zipf distribution of keys
+ * @param hotKeys number of most frequent keys; they change every {@code hotChangeMs}
+ * @param writePercent share of PUT requests, which the service treats as not idempotent; the others are GET requests
+ * @param bodyBytes number of bytes added to the value of a PUT request
+ * @param maxRetries largest number of retries of an operation that was not run or whose outcome is unknown
+ * @param seed seed of keys, arrival times and methods
  */
 public record LoadPlan(
         String service,
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
@@ -17,13 +17,16 @@
     private static final long MAX_DURATION_MS = 3_600_000;
     private static final long WARMUP_SEED_OFFSET = 1_000_003;
 
-    @Option(name = "--targets", metaVar = "IP:PORT,...", usage = "callers' addresses of daemons")
+    @Option(
+            name = "--targets",
+            metaVar = "IP:PORT,...",
+            usage = "addresses at which daemons accept requests of callers")
     private String targets;
 
     @Option(
             name = "--scenario",
             metaVar = "NAME",
-            usage = "authority or tincturia: its services in place of --service, --keyed and --write-percent")
+            usage = "authority or tincturia; replaces --service, --keyed and --write-percent")
     private String scenario = "";
 
     @Option(name = "--service", metaVar = "NAME", usage = "name of the service")
@@ -34,7 +37,7 @@
 
     @Option(
             name = "--direct",
-            usage = "whether targets are backend servers that check nothing",
+            usage = "whether targets are backend servers without ownership checks instead of daemons",
             handler = ExplicitBooleanOptionHandler.class)
     private boolean direct;
 
@@ -44,7 +47,7 @@
     @Option(name = "--duration-ms", metaVar = "MS", usage = "length of the schedule")
     private long durationMs = 10_000;
 
-    @Option(name = "--warmup-ms", metaVar = "MS", usage = "length of a run before it that is not reported")
+    @Option(name = "--warmup-ms", metaVar = "MS", usage = "length of a warm-up run that is not reported; 0: none")
     private long warmupMs = 0;
 
     @Option(name = "--keys", metaVar = "N", usage = "number of keys")
@@ -68,7 +71,7 @@
     @Option(name = "--deadline-ms", metaVar = "MS", usage = "deadline of requests")
     private long deadlineMs = 2_000;
 
-    @Option(name = "--max-repeats", metaVar = "N", usage = "further attempts of an operation without success")
+    @Option(name = "--max-repeats", metaVar = "N", usage = "largest number of retries of an operation without success")
     private int maxRetries = 0;
 
     @Option(name = "--seed", metaVar = "N", usage = "seed of keys and arrivals")
@@ -77,7 +80,7 @@
     @Option(name = "--ledgers", metaVar = "PATH,...", usage = "ledger files of the backend servers")
     private String ledgerFiles = "";
 
-    @Option(name = "--report", metaVar = "PATH", usage = "start of the names of the report files; empty: none")
+    @Option(name = "--report", metaVar = "PATH", usage = "path prefix of the report files; empty: none")
     private String reportPathPrefix = "";
 
     private final List<HostAddress> parsedTargets = new ArrayList<>();
@@ -118,18 +121,18 @@
         return direct;
     }
 
-    /** A line above the reports of a scenario. */
+    /** Returns the line printed above the reports of a scenario; empty without a scenario. */
     public Optional<String> scenarioHeading() {
         return parsedScenario.map(knownScenario ->
                 "scenario " + scenario + ", for servers with " + knownScenario.slotsPerServer() + " slots");
     }
 
-    /** The plans of the run, which start together: one, or one for each service of the scenario. */
+    /** Returns the plans of the measured run, which start together: one, or one per service of the scenario. */
     public List<LoadPlan> plans() {
         return plans(durationMs, seed);
     }
 
-    /** The plans of the run before the measured one; empty if there is none. */
+    /** Returns the plans of the warm-up run; empty if there is none. */
     public List<LoadPlan> warmupPlans() {
         return warmupMs == 0 ? List.of() : plans(warmupMs, seed + WARMUP_SEED_OFFSET);
     }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanResult.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/PlanResult.java
@@ -15,16 +15,17 @@
 import org.coriandercrank.load.LoadReport;
 
 /**
- * Calls of a finished plan. Immutable.
+ * Calls of a finished load plan. Immutable.
  *
- * @param service name of the service, or of the sum of several services
+ * @param service name of the service; {@code total} for the merged calls of several services
+ * @param startedNanos start of the run on the clock of the calls
  */
 public record PlanResult(String service, long startedNanos, List<CallRecord> calls) {
     public PlanResult {
         calls = List.copyOf(calls);
     }
 
-    /** Runs plans at the same time and waits for all. Blocks. */
+    /** Runs several plans concurrently. Blocks until all have ended. */
     public static List<PlanResult> runAll(
             EventLoopGroup eventLoopGroup,
             List<HostAddress> targets,
@@ -53,7 +54,7 @@
         }
     }
 
-    /** All calls of several runs with operation numbers that are unique among them. */
+    /** Merges several results and renumbers their operations, so that the operation numbers stay unique. */
     public static PlanResult merge(List<PlanResult> results) {
         List<CallRecord> mergedCalls = new ArrayList<>();
         long firstOperation = 0;
@@ -71,7 +72,7 @@
         return new PlanResult("total", startedNanos, mergedCalls);
     }
 
-    /** The executions of these calls. */
+    /** Returns those executions that belong to calls of this result. */
     public List<Execution> executionsOfCalls(List<Execution> executions) {
         Set<String> requestIds = new HashSet<>();
         calls.forEach(call -> requestIds.add(call.requestId()));
@@ -80,7 +81,7 @@
                 .toList();
     }
 
-    /** Figures of these calls. Without ledgers only what answers show on their own is checked. */
+    /** Creates a report. Without executions it contains only the checks that need no ledgers. */
     public LoadReport toReport(Optional<List<Execution>> executions) {
         return executions
                 .map(availableExecutions -> LoadReport.of(startedNanos, calls, availableExecutions))
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportWriter.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/ReportWriter.java
@@ -6,11 +6,11 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.load.LoadReport;
 
-/** Writes a report as text, JSON and SVG. Stateless. */
+/** Writes a report to files. Stateless. */
 public final class ReportWriter {
     private ReportWriter() {}
 
-    /** Writes {@code <start>.txt}, {@code <start>.json} and {@code <start>.svg}. */
+    /** Writes {@code <pathPrefix>.txt}, {@code <pathPrefix>.json} and {@code <pathPrefix>.svg}. */
     public static void write(String pathPrefix, LoadReport report) throws IOException {
         Files.write(Path.of(pathPrefix + ".txt"), report.toLines());
         Files.write(Path.of(pathPrefix + ".json"), JsonCodec.encode(report));
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/Scenario.java
@@ -2,20 +2,21 @@
 
 import java.util.List;
 
-/** The deployments of the design page as workloads. Immutable. */
+/** Workloads that model the deployments of the design page. Immutable. */
 enum Scenario {
-    /** Lookups of ticket status and job histories by key; claims and payments beside them. */
+    /** Lookups of ticket status and job histories by key, with unkeyed claims and payments. */
     AUTHORITY(18),
-    /** Lookups of formula cards by key; shade history and saved mixes beside them. */
+    /** Lookups of formula cards by key, with unkeyed shade history and saved mixes. */
     TINCTURIA(12);
 
     private final int slotsPerServer;
 
     /**
-     * The share of one service. Immutable.
+     * Share of one service in the workload. Immutable.
      *
-     * @param ratePercent share of the operations of the scenario
-     * @param writePercent share of writes among the operations of the service
+     * @param keyed whether requests have a key
+     * @param ratePercent share of the service in all operations
+     * @param writePercent share of writes in the operations of the service
      */
     record ServiceShare(String service, boolean keyed, int ratePercent, int writePercent) {}
 
@@ -23,7 +24,7 @@
         this.slotsPerServer = slotsPerServer;
     }
 
-    /** Slots of each backend server; the servers are started with them, the load does not depend on them. */
+    /** Returns the number of slots with which each backend server is to be started; the load does not depend on it. */
     int slotsPerServer() {
         return slotsPerServer;
     }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/package-info.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Workload, open-loop driver and reports. */
+/** Settings, workloads, the open-loop driver and report files of {@code crank-load}. */
 package org.coriandercrank.load.internal;
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/package-info.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load and measurement program {@code crank-load} and the checker of histories. */
+/** The load generator {@code crank-load}, its reports and the checker of request histories. */
 package org.coriandercrank.load;
