--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/CrankExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/CrankExperiment.java
@@ -8,7 +8,7 @@
 import org.coriandercrank.kernel.log.LogSetup;
 import org.coriandercrank.kernel.settings.CommandLine;
 
-/** The program {@code crank-experiment}: runs the experiment that a setting selects. */
+/** The program {@code crank-experiment}: runs the experiment selected by the settings and prints its results. */
 public final class CrankExperiment {
 
     private CrankExperiment() {}
@@ -22,7 +22,7 @@
 
     private static void run(ExperimentSettings settings) {
         switch (settings.experiment()) {
-            case "placement" -> new PlacementExperiment(settings, System.out::println).call();
+            case "placement" -> new PlacementExperiment(settings, System.out::println).run();
             case "overload" -> new OverloadExperiment(settings, System.out::println).run();
             default -> {
                 FleetExperiment experiment = new FleetExperiment(settings, System.out::println);
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Extent of changes of ownership. Immutable.
+ * Extent of ownership changes. Immutable.
  *
- * @param moves number of intervals that went from one owner to another
- * @param movedShare their share of the hash space; above 1 if the space moved more than once
+ * @param moves number of hash ranges that moved from one owner to another
+ * @param movedShare sum of their shares of the hash space; above 1 if the whole space moved more than once
  */
 record Churn(long moves, double movedShare) {
     static Churn of(List<OwnerChange> changes) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
@@ -20,10 +20,10 @@
     @Option(name = "--settle-ms", metaVar = "MS", usage = "time between the start of the fleet and the samples")
     private long settleMs = 15_000;
 
-    @Option(name = "--sample-ms", metaVar = "MS", usage = "time between the two samples of a fleet at rest")
+    @Option(name = "--sample-ms", metaVar = "MS", usage = "time between the two samples of an idle fleet")
     private long sampleMs = 20_000;
 
-    @Option(name = "--changes", metaVar = "N", usage = "configuration changes whose spreading is measured")
+    @Option(name = "--changes", metaVar = "N", usage = "number of configuration changes whose rollout is measured")
     private int changes = 5;
 
     @Option(name = "--policies", metaVar = "NAME,...", usage = "placement policies, measured one after the other")
@@ -56,10 +56,10 @@
     @Option(
             name = "--daemon-flags",
             metaVar = "FLAG=VALUE,...",
-            usage = "flags of the daemons of placement and overload sites")
+            usage = "flags of the daemons in the placement and overload experiments")
     private String daemonFlags = "--routing-log-lines-per-second=0";
 
-    @Option(name = "--report", metaVar = "PATH", usage = "file for the figures as JSON; empty: none")
+    @Option(name = "--report", metaVar = "PATH", usage = "file for the results as JSON; empty: none")
     private String report = "";
 
     private final List<Integer> parsedSizes = new ArrayList<>();
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -27,15 +27,25 @@
 import org.coriandercrank.testkit.LocalCluster;
 
 /**
- * Measures a fleet at rest and the spreading of configuration changes. Not thread safe.
+ * Measures the resource usage of an idle cluster and the rollout time of configuration changes. Not thread safe.
  *
- * <p>Daemons and the store are processes; the backend servers share this process, to save memory.
+ * <p>Daemons and the store are separate processes; the backend servers run in this process, to save memory.
  */
 public final class FleetExperiment {
     private static final String SERVICE = "counter-desk";
     private static final int FAILURE_DOMAINS = 6;
     private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MS = 1e6;
     private static final double BYTES_PER_MB = 1e6;
+    private static final int IO_THREADS = 2;
+    private static final long STORE_TIMEOUT_MS = 5_000;
+    private static final long NOTE_TIMEOUT_MS = 10_000;
+
+    /** Processor time of 10 ms per second is 1 % of a core. */
+    private static final int CPU_MS_PER_PERCENT_SECOND = 10;
+
+    /** Queue length from which each configuration change counts up, so that every change has an effect. */
+    private static final int BASE_QUEUE_LENGTH = 100;
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
@@ -45,15 +55,15 @@
         this.out = out;
     }
 
-    /** Measures one size; blocks. */
+    /** Starts a cluster with a number of daemons, measures it and stops it. Blocks. */
     public void run(int size) {
-        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
         List<CrankBackend> backends = new ArrayList<>();
         Path directory = ServiceCluster.createDirectory();
         try (LocalCluster cluster = new LocalCluster(directory, hostSpecs(size));
                 FleetSampler sampler = new FleetSampler(cluster, eventLoopGroup);
                 ObjectStore store =
-                        PluginRegistry.load().get(Kind.STORE, "http").open(cluster.storeAddress(), 5_000)) {
+                        PluginRegistry.load().get(Kind.STORE, "http").open(cluster.storeAddress(), STORE_TIMEOUT_MS)) {
             cluster.hosts().forEach(host -> host.startDaemon(List.of("--log-level", "WARNING")));
             cluster.hosts().forEach(host -> backends.add(startBackend(host)));
             Await.until(
@@ -101,14 +111,14 @@
         Await.sleep(settings.sampleMs());
         FleetSample after = sampler.sample();
         double seconds = (after.takenAtNanos() - before.takenAtNanos()) / NANOS_PER_SECOND;
-        double perDaemon = seconds * size;
+        double daemonSeconds = seconds * size;
         out.accept(String.format(
                 "size %d: cpu %.2f %% of a core, control %.0f bytes/s and %.1f messages/s, heap %.1f MB, resident %.1f MB"
                         + " per daemon; store reads %.2f/s, writes %.2f/s, watches %.2f/s in all",
                 size,
-                (after.cpuMs() - before.cpuMs()) / 10 / perDaemon,
-                (after.controlBytes() - before.controlBytes()) / perDaemon,
-                (after.controlMessages() - before.controlMessages()) / perDaemon,
+                (after.cpuMs() - before.cpuMs()) / CPU_MS_PER_PERCENT_SECOND / daemonSeconds,
+                (after.controlBytes() - before.controlBytes()) / daemonSeconds,
+                (after.controlMessages() - before.controlMessages()) / daemonSeconds,
                 after.heapBytes() / size / BYTES_PER_MB,
                 after.residentBytes() / size / BYTES_PER_MB,
                 (after.storeReads() - before.storeReads()) / seconds,
@@ -124,14 +134,14 @@
                     store,
                     "{\"id\":\"change-" + change + "\",\"basedOn\":" + base
                             + ",\"change\":{\"services\":[{\"name\":\"" + SERVICE + "\",\"maxQueueLength\":"
-                            + (100 + change)
+                            + (BASE_QUEUE_LENGTH + change)
                             + "}]}}");
             long acceptedNanos = System.nanoTime();
             Await.until(
-                    "the change is in force everywhere",
+                    "the change is in force on all daemons",
                     () -> cluster.hosts().stream()
                             .allMatch(clusterHost -> hasConfiguration(sampler, clusterHost, accepted)));
-            double rolloutMs = (System.nanoTime() - acceptedNanos) / 1e6;
+            double rolloutMs = (System.nanoTime() - acceptedNanos) / NANOS_PER_MS;
             FleetSample after = sampler.sample();
             out.accept(String.format(
                     "size %d: change in force everywhere after %.0f ms; store reads %d, writes %d, watches %d",
@@ -146,9 +156,9 @@
     private static Revision submitNote(ObjectStore store, String note) {
         NoteApplier.Environment environment =
                 new NoteApplier.Environment(Set.<ServiceName>of(), Set.of("availability"), Set.of("two-choices"));
-        SubmitResult result = new NoteSubmitter(store, () -> environment, 10_000).submit(note);
+        SubmitResult result = new NoteSubmitter(store, () -> environment, NOTE_TIMEOUT_MS).submit(note);
         if (!result.faults().isEmpty() || result.revision().equals(Revision.NONE)) {
-            throw new IllegalStateException("note refused: " + result);
+            throw new IllegalStateException("release note was rejected: " + result);
         }
         return result.revision();
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
@@ -1,12 +1,17 @@
 package org.coriandercrank.experiment.internal;
 
 /**
- * Counters of a fleet at one moment, summed over its daemons. Immutable.
+ * Counters and memory usage of a cluster at one time, summed over its daemons. Immutable.
  *
- * @param cpuMs processor time used by the daemons
- * @param controlBytes bytes of control messages sent and received between daemons
- * @param storeReads calls of get and list
- * @param storeWrites calls of put and delete
+ * @param takenAtNanos time of the sample on the monotonic clock
+ * @param cpuMs processor time used by the daemons since their start
+ * @param controlBytes bytes of control messages sent and received by daemons
+ * @param controlMessages number of these messages
+ * @param heapBytes used heap memory of the daemons
+ * @param residentBytes resident memory of the daemon processes
+ * @param storeReads number of get and list requests to the store
+ * @param storeWrites number of put and delete requests to the store
+ * @param storeWatches number of watch requests to the store
  */
 record FleetSample(
         long takenAtNanos,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSampler.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSampler.java
@@ -20,7 +20,7 @@
 import org.coriandercrank.testkit.ClusterHost;
 import org.coriandercrank.testkit.LocalCluster;
 
-/** Reads counters of the daemons and of the store of a site. Not thread safe. */
+/** Reads status and counters of the daemons and of the store of a cluster. Not thread safe. */
 final class FleetSampler implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MS = 5_000;
     private static final int PROC_STAT_USER_FIELD = 11;
@@ -37,11 +37,13 @@
         this.eventLoopGroup = eventLoopGroup;
     }
 
+    /** Returns the status of the daemon of a host; empty if it cannot be queried. */
     Optional<DaemonStatus> status(ClusterHost host) {
         return get(host.adminAddress(), "/v1/status")
                 .map(response -> JsonCodec.decode(response.body(), DaemonStatus.class));
     }
 
+    /** Reads all counters. Blocks. A daemon that cannot be queried adds nothing to the sums over daemon metrics. */
     FleetSample sample() {
         double cpuMs = 0;
         double controlBytes = 0;
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/JsonReport.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/JsonReport.java
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 import org.coriandercrank.kernel.store.JsonCodec;
 
-/** Writes figures as JSON. Stateless. */
+/** Writes results of an experiment as JSON. Stateless. */
 final class JsonReport {
     private JsonReport() {}
 
-    /** Replaces a file; an empty name writes nothing. */
+    /** Replaces a file with the JSON form of an object; does nothing if the file name is empty. */
     static void write(String file, Object results) {
         if (file.isEmpty()) {
             return;
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -14,23 +14,28 @@
 import org.coriandercrank.load.Execution;
 
 /**
- * Times for which callers of a key waited for its new owner, from the history of a run. Immutable.
+ * Computes for how long callers waited for the new owner of a key, from the history of a run. Immutable.
  *
- * <p>A key counts once per change of its owner, and only if a call of it was due before the new owner executed anything
- * of the interval, so that keys nobody called during the change do not lower the percentiles.
+ * <p>A key counts once per change of its owner, and only if a call for it was scheduled before the new owner first
+ * executed a request for the moved range. Keys without calls during the change would lower the percentiles.
  */
 public final class MoveGaps {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** The watch of the store shows a table a little after daemons may have seen it. */
+    /** Longest time by which the experiment observes a table in the store later than a daemon. */
     private static final long MAX_OBSERVATION_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** Calls of a key in due order, and its executions by the caller's request id, each list by start. */
+    /**
+     * Calls and executions of one key. Immutable.
+     *
+     * @param calls in the order of their scheduled start
+     * @param executions by request id of the caller, each list in the order of their start
+     */
     private record KeyHistory(KeyHash hash, List<CallRecord> calls, Map<String, List<Execution>> executions) {}
 
     private final List<KeyHistory> keys = new ArrayList<>();
 
-    /** Prepares the history of a run. */
+    /** Groups the history of a run by key. */
     public MoveGaps(List<CallRecord> calls, List<Execution> executions) {
         Map<String, List<Execution>> executionsOfKey =
                 executions.stream().collect(Collectors.groupingBy(Execution::key));
@@ -46,9 +51,9 @@
     }
 
     /**
-     * Gaps of all keys at planned moves, in milliseconds, sorted. A gap lasts from the due time of the first call that
-     * the previous owner did not execute to the start of its execution, or, if it failed, to the first execution of the
-     * interval.
+     * Returns the gaps of all keys at planned moves in milliseconds, in ascending order. A gap starts at the scheduled start
+     * of the first call that the previous owner did not execute. It ends at the start of the execution of that call or, if
+     * the call was not executed, at the first execution by the new owner for any key of the range.
      */
     public List<Double> plannedMoveGapsMs(List<OwnerChange> changes) {
         List<Double> gapsMs = new ArrayList<>();
@@ -57,7 +62,10 @@
         return gapsMs;
     }
 
-    /** Gaps of all keys of a lost owner in milliseconds, sorted, as above but for calls due after the loss. */
+    /**
+     * Returns the gaps of all keys of a lost owner in milliseconds, in ascending order. They are computed as for planned
+     * moves, but only from calls that were scheduled after the loss.
+     */
     public List<Double> takeoverGapsMs(List<OwnerChange> changes, long lostNanos) {
         List<Double> gapsMs = new ArrayList<>();
         changes.forEach(change -> addGaps(change, lostNanos, gapsMs));
@@ -65,7 +73,7 @@
         return gapsMs;
     }
 
-    private void addGaps(OwnerChange change, long earliestDueNanos, List<Double> gapsMs) {
+    private void addGaps(OwnerChange change, long earliestStartNanos, List<Double> gapsMs) {
         List<KeyHistory> movedKeys =
                 keys.stream().filter(key -> change.range().contains(key.hash())).toList();
         OptionalLong firstServedNanos = movedKeys.stream()
@@ -75,14 +83,14 @@
                 .mapToLong(Execution::startNanos)
                 .min();
         if (firstServedNanos.isPresent()) {
-            movedKeys.forEach(key -> addGap(change, key, earliestDueNanos, firstServedNanos.getAsLong(), gapsMs));
+            movedKeys.forEach(key -> addGap(change, key, earliestStartNanos, firstServedNanos.getAsLong(), gapsMs));
         }
     }
 
     private static void addGap(
-            OwnerChange change, KeyHistory key, long earliestDueNanos, long firstServedNanos, List<Double> gapsMs) {
+            OwnerChange change, KeyHistory key, long earliestStartNanos, long firstServedNanos, List<Double> gapsMs) {
         for (CallRecord call : key.calls()) {
-            if (call.intendedNanos() < earliestDueNanos) {
+            if (call.intendedNanos() < earliestStartNanos) {
                 continue;
             }
             if (call.intendedNanos() > firstServedNanos) {
@@ -103,7 +111,7 @@
         return execution.fence() >= change.generation().value();
     }
 
-    /** A percentile by the nearest rank; 0 of an empty list. */
+    /** Returns a percentile of a sorted list by the nearest-rank method; 0 for an empty list. */
     public static double percentile(List<Double> sorted, double percent) {
         return sorted.isEmpty() ? 0 : sorted.get((int) Math.max(Math.ceil(percent / 100 * sorted.size()) - 1, 0));
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
@@ -10,10 +10,11 @@
 import org.coriandercrank.testkit.HostSpec;
 
 /**
- * Measures one keyed service above the capacity of its server, and beside a key that gets half of all requests.
+ * Measures a keyed service under load above the capacity of its server, and with one hot key that receives half of all
+ * requests.
  *
- * <p>Not thread safe. One of three hosts has a backend server, so that four times its capacity fits on one machine;
- * callers use the other two, so that every call passes a link.
+ * <p>Not thread safe. Only one of three hosts has a backend server, so that one machine can generate four times its
+ * capacity. Callers use the other two hosts, so that every call passes a connection between daemons.
  */
 public final class OverloadExperiment {
     private static final int HOSTS = 3;
@@ -22,6 +23,7 @@
     private static final long DEADLINE_MS = 1_000;
     private static final int WRITE_PERCENT = 20;
     private static final long WARMUP_MS = 4_000;
+    private static final long WARMUP_SEED_OFFSET = 100;
     private static final List<Double> LOAD_FACTORS = List.of(1.0, 2.0, 4.0);
     private static final List<Double> HOT_KEY_LOAD_FACTORS = List.of(0.8, 2.0);
 
@@ -34,14 +36,14 @@
         this.out = out;
     }
 
-    /** Runs all loads with each seed on one site per seed. Blocks. */
+    /** Runs all loads with each seed, on a new cluster per seed. Blocks. */
     public void run() {
         int capacityPerSecond = (int) (SLOTS * MS_PER_SECOND / settings.serviceMs());
         out.accept("capacity " + capacityPerSecond + "/s\n" + OverloadResult.TABLE_HEADING);
         for (long seed : settings.seeds()) {
             try (ServiceCluster cluster = new ServiceCluster(hostSpecs(), settings.daemonFlags())) {
                 startCluster(cluster);
-                startLoad(cluster, capacityPerSecond / 2, WARMUP_MS, settings.keys(), seed + 100)
+                startLoad(cluster, capacityPerSecond / 2, WARMUP_MS, settings.keys(), seed + WARMUP_SEED_OFFSET)
                         .join();
                 for (double factor : LOAD_FACTORS) {
                     int ratePerSecond = (int) (capacityPerSecond * factor);
@@ -98,7 +100,7 @@
         Await.sleep(settings.settleMs());
     }
 
-    /** Even load on a number of keys; the future ends with the last answer. */
+    /** Starts a load with uniformly distributed keys; the future completes when the last call has ended. */
     private static CompletableFuture<List<CallRecord>> startLoad(
             ServiceCluster cluster, int ratePerSecond, long durationMs, int keys, long seed) {
         LoadPlan plan = new LoadPlan(
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadResult.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadResult.java
@@ -12,11 +12,13 @@
 import org.coriandercrank.load.CallRecord;
 
 /**
- * Goodput and latency of one group of calls of an overload run. Immutable. Latency counts from the due time.
+ * Goodput and latency of one group of calls of an overload run. Immutable. Latency counts from the scheduled start.
  *
- * @param goodputPerSecond successes per second of the schedule
- * @param outcomes calls by result code; {@code NO_ANSWER} for none
- * @param refusedP99Ms 99th percentile of the latency of calls that were answered as not run; 0 without any
+ * @param goodputPerSecond number of successful calls per second of the schedule
+ * @param p50Ms median latency of successful calls
+ * @param p99Ms 99th percentile of the latency of successful calls
+ * @param refusedP99Ms 99th percentile of the latency of calls that were answered as not run; 0 if there are none
+ * @param outcomes number of calls by result code; {@code NO_ANSWER} for calls without a result code
  */
 record OverloadResult(
         String name,
@@ -27,6 +29,7 @@
         double refusedP99Ms,
         Map<String, Long> outcomes) {
     private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(2);
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 3;
     private static final double MS_PER_SECOND = 1e3;
     private static final double US_PER_MS = 1e3;
 
@@ -39,8 +42,8 @@
     }
 
     static OverloadResult of(String name, long durationMs, List<CallRecord> calls) {
-        Histogram successLatencyUs = new Histogram(MAX_LATENCY_US, 3);
-        Histogram refusedLatencyUs = new Histogram(MAX_LATENCY_US, 3);
+        Histogram successLatencyUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_SIGNIFICANT_DIGITS);
+        Histogram refusedLatencyUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_SIGNIFICANT_DIGITS);
         Map<String, Long> outcomes = new TreeMap<>();
         for (CallRecord call : calls) {
             long latencyUs = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
@@ -63,7 +66,7 @@
                 outcomes);
     }
 
-    /** A line of the table. */
+    /** Returns the row of the Markdown table for this result. */
     String toTableRow() {
         return String.format(
                 Locale.ROOT,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -10,17 +10,18 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * An interval of hashes that went from one owner to another. Immutable.
+ * A range of hashes that moved from one owner to another. Immutable.
  *
- * @param generation generation of the table that made the change; the executions of the new owner have this fence or a
- *     newer one
+ * @param from previous owner
+ * @param generation generation of the table that made the change; the executions of the new owner have this fencing token
+ *     or a newer one
  * @param observedNanos when the table was seen in the store
  */
 public record OwnerChange(KeyRange range, MemberId from, Generation generation, long observedNanos) {
     /** A table and when it was seen in the store. Immutable. */
     public record ObservedTable(long observedNanos, AssignmentTable table) {}
 
-    /** Compares each table with the one before it; hashes without an owner do not count. */
+    /** Returns the differences between consecutive tables. Hashes without an owner in either table do not count. */
     public static List<OwnerChange> of(List<ObservedTable> tables) {
         List<OwnerChange> changes = new ArrayList<>();
         for (int i = 1; i < tables.size(); i++) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -19,20 +19,27 @@
 import org.coriandercrank.testkit.HostSpec;
 
 /**
- * Measures placement policies under moving hot keys while a server joins, one is drained and one host is killed.
+ * Measures placement policies under changing hot keys while one host joins, one server is drained and one host is killed.
  *
- * <p>Not thread safe. Callers use the two hosts that stay, so that every failed call is due to placement and not to a
- * lost ingress.
+ * <p>Not thread safe. Callers use the two hosts that stay, so that a call fails only because of placement and not because
+ * its ingress was lost.
  */
 public final class PlacementExperiment {
+    /** Number of hosts at the start; one more joins during the run. */
     private static final int HOSTS = 4;
+
     private static final int CALLER_HOSTS = 2;
     private static final int DRAINED_HOST = 2;
     private static final int KILLED_HOST = 3;
+
+    /** Times of the events as fractions of the run. */
     private static final double JOIN_AT_FRACTION = 0.2;
+
     private static final double DRAIN_AT_FRACTION = 0.55;
     private static final double KILL_AT_FRACTION = 0.75;
+
     private static final int WRITE_PERCENT = 20;
+    private static final int MAX_PRINTED_VIOLATIONS = 3;
     private static final long DEADLINE_MS = 2_000;
 
     private final ExperimentSettings settings;
@@ -44,22 +51,24 @@
         this.out = out;
     }
 
-    /** Runs each policy with each seed, one run after the other. Blocks. */
-    public void call() {
+    /** Measures each policy with each seed, one after the other. Blocks. */
+    public void run() {
         out.accept(PlacementResult.TABLE_HEADING);
         for (long seed : settings.seeds()) {
             for (String policy : settings.policies()) {
-                PlacementResult result = run(policy, seed);
+                PlacementResult result = measurePolicy(policy, seed);
                 results.add(result);
                 out.accept(result.toTableRow());
                 result.failedByCode().forEach((code, count) -> out.accept("  " + code + " " + count));
-                result.violations().stream().limit(3).forEach(v -> out.accept("  violation " + v));
+                result.violations().stream()
+                        .limit(MAX_PRINTED_VIOLATIONS)
+                        .forEach(violation -> out.accept("  violation " + violation));
                 JsonReport.write(settings.report(), results);
             }
         }
     }
 
-    private PlacementResult run(String policy, long seed) {
+    private PlacementResult measurePolicy(String policy, long seed) {
         try (ServiceCluster cluster = new ServiceCluster(hostSpecs(), settings.daemonFlags());
                 TableRecorder tables = new TableRecorder(cluster.store())) {
             startCluster(cluster, policy);
@@ -86,7 +95,8 @@
                 List<CallRecord> calls = pendingCalls.join();
                 List<OwnerChange> changes = OwnerChange.of(
                         tables.tables().subList(firstTableIndex, tables.tables().size()));
-                return results(policy, seed, eventTimes, driver.startedNanos(), calls, cluster.executions(), changes);
+                return createResult(
+                        policy, seed, eventTimes, driver.startedNanos(), calls, cluster.executions(), changes);
             }
         }
     }
@@ -120,7 +130,7 @@
         return List.of("--service-ms=" + settings.serviceMs());
     }
 
-    /** When the events of a run happened, by the monotonic clock. Immutable. */
+    /** Times of the events of a run on the monotonic clock. Immutable. */
     private record EventTimes(long joinNanos, long drainNanos, long killNanos) {}
 
     private EventTimes triggerEvents(ServiceCluster cluster, long startNanos) {
@@ -145,7 +155,7 @@
         Await.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
     }
 
-    private PlacementResult results(
+    private PlacementResult createResult(
             String policy,
             long seed,
             EventTimes eventTimes,
@@ -163,7 +173,7 @@
         activePeriods.put("h" + HOSTS, new ActivePeriod(sinceMs(startedNanos, eventTimes.joinNanos()), Long.MAX_VALUE));
         MoveGaps gaps = new MoveGaps(calls, executions);
         Map<Boolean, List<OwnerChange>> changesByCause =
-                changes.stream().collect(Collectors.partitioningBy(c -> isCausedByKill(c, eventTimes)));
+                changes.stream().collect(Collectors.partitioningBy(change -> isCausedByKill(change, eventTimes)));
         Map<String, Long> failedByCode = new HashMap<>(report.resultCodes());
         failedByCode.remove("OK");
         return new PlacementResult(
@@ -186,7 +196,7 @@
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
     }
 
-    /** Member ids start with the name of the host. */
+    /** Returns whether an owner change is due to the killed host. Member ids start with the name of their host. */
     private static boolean isCausedByKill(OwnerChange change, EventTimes eventTimes) {
         return change.observedNanos() > eventTimes.killNanos()
                 && change.from().value().startsWith("h" + KILLED_HOST + "-");
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
@@ -5,11 +5,17 @@
 import java.util.Map;
 
 /**
- * Result of one run of the placement experiment. Immutable. Times are milliseconds.
+ * Result of one run of the placement experiment. Immutable.
  *
- * @param failedByCode failed calls by result code
- * @param failedPerSecond failed calls by the second in which they were due
- * @param loadAverage load average of the machine at the end of the run, which other programs share
+ * @param failedByCode number of failed calls by result code
+ * @param loads load imbalance of the servers
+ * @param churn extent of ownership changes
+ * @param unavailableKeySeconds total time over all keys in which a key was not served
+ * @param planned waiting times of callers at planned moves
+ * @param takeover waiting times of callers after the kill of a host
+ * @param violations violated guarantees
+ * @param failedPerSecond number of failed calls by the second in which they were scheduled to start
+ * @param loadAverage load average of the whole machine at the end of the run, other programs included
  */
 record PlacementResult(
         String policy,
@@ -29,7 +35,11 @@
         List<String> violations,
         List<Long> failedPerSecond,
         double loadAverage) {
-    /** Gaps of keys. Immutable. */
+    /**
+     * Percentiles of the times for which callers waited for the new owner of a key. Immutable.
+     *
+     * @param keys number of waiting times
+     */
     record Gaps(int keys, double p50Ms, double p99Ms, double maxMs) {
         static Gaps of(List<Double> sortedMs) {
             return new Gaps(
@@ -56,7 +66,7 @@
         failedPerSecond = List.copyOf(failedPerSecond);
     }
 
-    /** A line of the table. */
+    /** Returns the row of the Markdown table for this result. */
     String toTableRow() {
         return String.format(
                 Locale.ROOT,
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -9,20 +9,21 @@
 import org.coriandercrank.load.Execution;
 
 /**
- * Load imbalance of servers of equal capacity over the seconds of a run. Immutable.
+ * Load imbalance of servers of equal capacity over the seconds of a run. Immutable. The imbalance of a second is the number
+ * of executions of the busiest server divided by the mean of the active servers.
  *
- * @param meanImbalance mean over seconds of the busiest server's executions over the mean of the servers in force
- * @param p95Imbalance 95th percentile over seconds
- * @param perSecond the value of each second
+ * @param meanImbalance mean over all seconds
+ * @param p95Imbalance 95th percentile over all seconds
+ * @param perSecond imbalance of each second
  */
 public record ServerLoads(double meanImbalance, double p95Imbalance, List<Double> perSecond) {
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final double PERCENTILE = 0.95;
 
     /**
-     * The time in which a server should get work, relative to the start of the run. Immutable.
+     * Period in which a server is expected to receive requests, relative to the start of the run. Immutable.
      *
-     * @param untilMs {@link Long#MAX_VALUE} if it stays
+     * @param untilMs end of the period, exclusive; {@link Long#MAX_VALUE} if the server stays active
      */
     public record ActivePeriod(long fromMs, long untilMs) {
         boolean contains(long ms) {
@@ -35,9 +36,9 @@
     }
 
     /**
-     * Imbalance of every whole second of a run. A server counts from the moment at which it is started or until the
-     * moment at which it is withdrawn or lost; executions of others count as load of the site and as candidates for the
-     * busiest server. A second without executions counts as 0.
+     * Computes the imbalance of every whole second of a run. A server counts as active if its period contains the start of
+     * the second. Executions of inactive servers still count towards the total load, and an inactive server can be the
+     * busiest one. The imbalance of a second without executions is 0.
      */
     public static ServerLoads of(
             long startedNanos, long durationMs, List<Execution> executions, Map<String, ActivePeriod> activePeriods) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
@@ -34,10 +34,10 @@
 import org.coriandercrank.testkit.LocalCluster;
 
 /**
- * A site with one service under load. Not thread safe.
+ * A local cluster with one service under load. Not thread safe.
  *
- * <p>Daemons and the store are processes; the backend servers share this process. Executions are read from ledger files
- * of a temporary directory, which is kept for inspection.
+ * <p>Daemons and the store are separate processes; the backend servers run in this process. They log executions to ledger
+ * files in a temporary directory, which is kept for inspection.
  */
 final class ServiceCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
@@ -58,7 +58,7 @@
     private final FleetSampler sampler;
     private final ObjectStore store;
 
-    /** Starts the store; hosts are started by {@link #startHost} and {@link #startDaemon}. */
+    /** Starts only the store; {@link #startHost} and {@link #startDaemon} start the hosts. */
     ServiceCluster(List<HostSpec> specs, List<String> daemonFlags) {
         this.daemonFlags = List.copyOf(daemonFlags);
         cluster = new LocalCluster(createDirectory(), specs);
@@ -78,6 +78,7 @@
         return cluster.host(index);
     }
 
+    /** Returns the addresses at which the daemons of the first hosts accept requests of callers. */
     List<HostAddress> callerAddresses(int hostCount) {
         return cluster.hosts().subList(0, hostCount).stream()
                 .map(ClusterHost::callerAddress)
@@ -88,7 +89,7 @@
         host.startDaemon(daemonFlags);
     }
 
-    /** Starts the daemon and the backend server of a host without waiting for them. */
+    /** Starts the daemon and the backend server of a host; does not wait until they are connected. */
     void startHost(ClusterHost host, List<String> backendFlags) {
         startDaemon(host);
         List<String> flags = new ArrayList<>(List.of(
@@ -102,27 +103,33 @@
         backends.put(host.spec().name(), CrankBackend.start(settings));
     }
 
+    /** Waits until the daemon of a host knows its backend server. */
     void awaitBackend(ClusterHost host) {
         Await.until(
-                "backend server of " + host.spec().name(),
+                "backend server of host " + host.spec().name(),
                 () -> sampler.status(host).flatMap(DaemonStatus::backendName).isPresent());
     }
 
+    /** Waits until a host serves at least one range. */
     void awaitServing(ClusterHost host) {
         Await.until(
-                "ranges of " + host.spec().name(),
+                "served ranges of host " + host.spec().name(),
                 () -> sampler.status(host)
                         .map(status -> !status.serving().isEmpty())
                         .orElse(false));
     }
 
-    /** Ends daemon and backend server of a host at once. */
+    /** Kills the daemon of a host and closes its backend server. */
     void killHost(ClusterHost host) {
         host.daemon().kill();
         backends.get(host.spec().name()).close();
     }
 
-    /** Submits a note whose content follows the id and the base revision, as {@code "add":{...}}. */
+    /**
+     * Submits a release note based on the current revision.
+     *
+     * @param content JSON fields after the id and the base revision, such as {@code "add":{...}}
+     */
     void submitNote(String id, String content) {
         Revision base = store.get(ObjectNames.CONFIGURATION)
                 .join()
@@ -131,16 +138,17 @@
         SubmitResult result = new NoteSubmitter(store, () -> ENVIRONMENT, NOTE_TIMEOUT_MS)
                 .submit("{\"id\":\"" + id + "\",\"basedOn\":" + base + "," + content + "}");
         if (!result.faults().isEmpty() || result.revision().equals(Revision.NONE)) {
-            throw new IllegalStateException("note refused: " + result);
+            throw new IllegalStateException("release note was rejected: " + result);
         }
     }
 
+    /** Returns the executions of all hosts from their ledger files. */
     List<Execution> executions() {
         return LedgerReader.read(
                 cluster.hosts().stream().map(ClusterHost::ledgerFile).toList());
     }
 
-    /** A new directory for logs and ledgers; it is kept after the run. */
+    /** Creates a directory for logs and ledgers, which is kept after the run. */
     static Path createDirectory() {
         try {
             return Files.createTempDirectory("crank-experiment");
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
@@ -12,9 +12,9 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Records the tables of a site's one service from a watch of the store.
+ * Records the assignment tables of a cluster with one service by watching the store.
  *
- * <p>Thread safe. Two tables that are written between two watches appear as one.
+ * <p>Thread safe. Of several tables written between two watch requests, only the last one is recorded.
  */
 final class TableRecorder implements AutoCloseable {
     private static final long WATCH_WAIT_MS = 1_000;
@@ -49,7 +49,7 @@
         tables.add(new ObservedTable(System.nanoTime(), TableCodec.decode(object.value())));
     }
 
-    /** All tables seen so far, by ascending generation. */
+    /** Returns all tables recorded so far, by ascending generation. */
     synchronized List<ObservedTable> tables() {
         return List.copyOf(tables);
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/package-info.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments, sampling of daemons and of the store, and figures from tables and histories. */
+/** Experiments, sampling of daemons and of the store, and results computed from assignment tables and histories. */
 package org.coriandercrank.experiment.internal;
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/package-info.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** The program {@code crank-experiment}: measures fleets, placement and overload of real daemon processes on one machine. */
+/** The program {@code crank-experiment}, which measures clusters of daemon processes on one machine. */
 package org.coriandercrank.experiment;
