--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CommandNameTest.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CommandNameTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against a mistyped command that reaches the store or ends without naming the commands. */
+/** Guards against a mistyped command that accesses the store, or whose error message does not list the commands. */
 class CommandNameTest {
     @ParameterizedTest
     @CsvSource({
@@ -23,13 +23,13 @@
         "status --help, 0, 'commands: explain, members, note check, note diff, note list, note show, note status, "
                 + "note submit, owners, status'"
     })
-    void commandLineIsCheckedBeforeTheStoreIsAsked(String arguments, int exitCode, String line) {
+    void commandLineIsCheckedBeforeTheStoreIsAccessed(String arguments, int exitCode, String expectedLine) {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        PrintStream print = new PrintStream(output, true, StandardCharsets.UTF_8);
-        List<String> words = arguments.isEmpty() ? List.of() : List.of(arguments.split(" "));
+        PrintStream printStream = new PrintStream(output, true, StandardCharsets.UTF_8);
+        List<String> commandLineWords = arguments.isEmpty() ? List.of() : List.of(arguments.split(" "));
 
-        assertThat(CrankCtl.run(words, Map.of("CRANK_STORE", "127.0.0.1:1"), print, print))
+        assertThat(CrankCtl.run(commandLineWords, Map.of("CRANK_STORE", "127.0.0.1:1"), printStream, printStream))
                 .isEqualTo(exitCode);
-        assertThat(output.toString(StandardCharsets.UTF_8).lines()).contains(line);
+        assertThat(output.toString(StandardCharsets.UTF_8).lines()).contains(expectedLine);
     }
 }
--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.ctl.CtlSite.Run;
+import org.coriandercrank.ctl.CtlTestCluster.CommandResult;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.Key;
 import org.coriandercrank.kernel.id.KeyHash;
@@ -22,34 +22,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Guards against exit codes, JSON fields and lists of faults on which scripts of operators cannot rely. */
+/** Guards against changes of exit codes and JSON fields that break scripts, and against incomplete lists of errors. */
 class CrankCtlTest {
-    private static final String FIRST = """
+    private static final String FIRST_NOTE = """
             {"id":"first","basedOn":0,"add":{"services":[{"name":"counter-desk","keyed":true}]}}""";
-    private static final int EXIT_NOTE_REFUSED = 3;
+    private static final int EXIT_NOTE_REJECTED = 3;
     private static final int EXIT_NOT_IN_FORCE = 5;
 
     @TempDir
     Path directory;
 
-    private CtlSite site;
+    private CtlTestCluster cluster;
     private long revision;
 
     @BeforeEach
     void start() {
-        site = new CtlSite(directory);
-        Run run = site.run("note submit --json=true --wait-ms=0", FIRST);
-        revision = run.json().path("result").path("revision").asLong();
-        site.daemonShows(revision, 900, List.of(new ServingRange(CtlSite.OWNED, CtlSite.FENCE)));
+        cluster = new CtlTestCluster(directory);
+        CommandResult result = cluster.run("note submit --json=true --wait-ms=0", FIRST_NOTE);
+        revision = result.json().path("result").path("revision").asLong();
+        cluster.setDaemonStatus(
+                revision, 900, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
     }
 
     @AfterEach
     void stop() {
-        site.close();
+        cluster.close();
     }
 
-    /** A note based on the present revision that adds a backend rule. */
-    private String note(String id, long basedOn) {
+    /** Returns a note that is based on a revision and adds a backend rule with its id as the backend name. */
+    private String noteText(String id, long basedOn) {
         return "{\"id\":\"" + id + "\",\"basedOn\":" + basedOn + ",\"add\":{\"backends\":[{\"backendName\":\"" + id
                 + "\"}]}}";
     }
@@ -80,8 +81,8 @@
             status --store=127.0.0.1:1                      | 6
             note list --store=127.0.0.1:1                   | 6
             """)
-    void exitCodes(String line, int expected) {
-        assertThat(site.run(line).exitCode()).isEqualTo(expected);
+    void exitCodes(String commandLine, int expected) {
+        assertThat(cluster.run(commandLine).exitCode()).isEqualTo(expected);
     }
 
     @ParameterizedTest
@@ -99,12 +100,13 @@
             note submit         | {"id":"n","basedOn":R,"withdraw":{"backends":["b"]}}             | 3 | NOTE_INVALID
             note submit         | {"id":"first","basedOn":R,"add":{"backends":[{"backendName":"b"}]}} | 3 | NOTE_ID_REUSED
             """)
-    void exitCodesOfNotes(String line, String text, int exitCode, String name) {
+    void exitCodesOfNotes(String commandLine, String text, int exitCode, String name) {
         String note = text.replace(":R", ":" + revision);
-        Run run = site.run(line + (line.contains("wait") ? "" : " --wait-ms=250") + " --json=true", note);
+        CommandResult result = cluster.run(
+                commandLine + (commandLine.contains("wait") ? "" : " --wait-ms=250") + " --json=true", note);
 
-        assertThat(run.exitCode()).isEqualTo(exitCode);
-        assertThat(run.json().path("name").asText()).isEqualTo(name);
+        assertThat(result.exitCode()).isEqualTo(exitCode);
+        assertThat(result.json().path("name").asText()).isEqualTo(name);
     }
 
     @ParameterizedTest
@@ -119,12 +121,12 @@
             status --store=127.0.0.1:1              | message
             note show --note=absent                 | found
             """)
-    void jsonHasStableFields(String line, String fields) {
-        JsonNode json = site.run(line + " --json=true").json();
+    void jsonHasStableFields(String commandLine, String fields) {
+        JsonNode json = cluster.run(commandLine + " --json=true").json();
 
-        assertThat(names(json)).containsExactly("code", "name", "result");
+        assertThat(fieldNames(json)).containsExactly("code", "name", "result");
         JsonNode result = json.path("result");
-        assertThat(names(result.isArray() ? result.path(0) : result)).containsExactly(fields.split(" "));
+        assertThat(fieldNames(result.isArray() ? result.path(0) : result)).containsExactly(fields.split(" "));
     }
 
     @ParameterizedTest
@@ -135,36 +137,37 @@
             note submit --wait-ms=0     | R | code revision faults newerNotes
             note submit --wait-ms=150   | R | revision inForce live missing unreachable
             """)
-    void jsonOfNotesHasStableFields(String line, String basedOn, String fields) {
-        Run run = site.run(line + " --json=true", note("n", "R".equals(basedOn) ? revision : 0));
+    void jsonOfNotesHasStableFields(String commandLine, String basedOn, String fields) {
+        CommandResult result =
+                cluster.run(commandLine + " --json=true", noteText("n", "R".equals(basedOn) ? revision : 0));
 
-        assertThat(names(run.json().path("result"))).containsExactly(fields.split(" "));
+        assertThat(fieldNames(result.json().path("result"))).containsExactly(fields.split(" "));
     }
 
-    private static List<String> names(JsonNode object) {
+    private static List<String> fieldNames(JsonNode object) {
         List<String> names = new ArrayList<>();
         object.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
     @Test
-    void reportsAllFaultsOfSettingsAtOnce() {
-        Run run = site.run("status --store=here --timeout-ms=0 --wait-ms=-1 --service=a/b --surplus=1");
+    void reportsAllSettingErrorsTogether() {
+        CommandResult result = cluster.run("status --store=here --timeout-ms=0 --wait-ms=-1 --service=a/b --surplus=1");
 
-        assertThat(run.err()).contains("--store:", "--timeout-ms:", "--wait-ms:", "--service:", "--surplus");
+        assertThat(result.err()).contains("--store:", "--timeout-ms:", "--wait-ms:", "--service:", "--surplus");
     }
 
     @ParameterizedTest
     @CsvSource({"note check", "note submit", "note diff"})
-    void reportsAllFaultsOfANoteAtOnce(String line) {
-        Run run = site.run(
-                line,
+    void reportsAllErrorsOfANoteTogether(String commandLine) {
+        CommandResult result = cluster.run(
+                commandLine,
                 "{\"id\":\"n\",\"basedOn\":" + revision + ",\"change\":{\"services\":[{\"name\":\"counter-desk\","
                         + "\"maxBodyBytes\":-1,\"locality\":\"near\"},{\"name\":\"absent\"}]},"
                         + "\"withdraw\":{\"services\":[\"counter-desk\"],\"backends\":[\"absent\"]}}");
 
-        assertThat(run.exitCode()).isEqualTo(EXIT_NOTE_REFUSED);
-        assertThat(run.out().lines())
+        assertThat(result.exitCode()).isEqualTo(EXIT_NOTE_REJECTED);
+        assertThat(result.out().lines())
                 .extracting(text -> text.substring(0, text.indexOf(": ")))
                 .containsExactlyInAnyOrder(
                         "change.services[0].maxBodyBytes",
@@ -175,65 +178,68 @@
                         "withdraw.backends[0]");
     }
 
-    /** What the daemon of the owner shows, and what is explained. */
-    enum Owner {
+    /** States of the owner of a key, each with the line that {@code explain} prints. */
+    enum OwnerState {
         SERVES("served now: the owner serves the range and its lease is valid"),
-        LEASE_LAPSED("not served now: the lease of the owner is not valid") {
+        LEASE_EXPIRED("not served now: the lease of the owner is not valid") {
             @Override
-            void set(CtlSite site) {
-                site.daemonShows(1, -5, List.of(new ServingRange(CtlSite.OWNED, CtlSite.FENCE)));
+            void applyTo(CtlTestCluster cluster) {
+                cluster.setDaemonStatus(
+                        1, -5, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
             }
         },
         OTHER_FENCE("not served now: the owner does not serve the range yet") {
             @Override
-            void set(CtlSite site) {
-                site.daemonShows(1, 900, List.of(new ServingRange(CtlSite.OWNED, new Generation(2))));
+            void applyTo(CtlTestCluster cluster) {
+                cluster.setDaemonStatus(
+                        1, 900, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, new Generation(2))));
             }
         },
         OTHER_RANGE("not served now: the owner does not serve the range yet") {
             @Override
-            void set(CtlSite site) {
-                KeyRange top = new KeyRange(KeyHash.MAX, KeyHash.MAX);
-                site.daemonShows(1, 900, List.of(new ServingRange(top, CtlSite.FENCE)));
+            void applyTo(CtlTestCluster cluster) {
+                KeyRange lastHashOnly = new KeyRange(KeyHash.MAX, KeyHash.MAX);
+                cluster.setDaemonStatus(1, 900, List.of(new ServingRange(lastHashOnly, CtlTestCluster.OWNER_FENCE)));
             }
         },
-        SILENT("not served now: the daemon of the owner does not answer") {
+        DAEMON_UNAVAILABLE("not served now: the daemon of the owner does not answer") {
             @Override
-            void set(CtlSite site) {
-                site.daemonDown();
+            void applyTo(CtlTestCluster cluster) {
+                cluster.makeDaemonUnavailable();
             }
         };
 
-        private final String line;
+        private final String expectedLine;
 
-        Owner(String line) {
-            this.line = line;
+        OwnerState(String expectedLine) {
+            this.expectedLine = expectedLine;
         }
 
-        void set(CtlSite site) {}
+        void applyTo(CtlTestCluster cluster) {}
     }
 
     @ParameterizedTest
     @EnumSource
-    void explainsWhetherAKeyIsServed(Owner owner) {
-        owner.set(site);
+    void explainsWhetherAKeyIsServed(OwnerState ownerState) {
+        ownerState.applyTo(cluster);
 
-        assertThat(site.run("explain --service=counter-desk --key=" + key(true)).out())
-                .contains("owner desk-1.a since fence 3", owner.line);
+        assertThat(cluster.run("explain --service=counter-desk --key=" + key(true))
+                        .out())
+                .contains("owner desk-1.a since fence 3", ownerState.expectedLine);
     }
 
     @ParameterizedTest
     @CsvSource({"counter-desk,false", "absent,true"})
     void explainsAKeyWithoutOwner(String service, boolean inOwnedHalf) {
-        assertThat(site.run("explain --service=" + service + " --key=" + key(inOwnedHalf))
+        assertThat(cluster.run("explain --service=" + service + " --key=" + key(inOwnedHalf))
                         .out())
                 .contains("has no owner");
     }
 
-    /** A key whose hash is in the half of the hash space that has an owner, or in the other one. */
+    /** Returns a key whose hash is in the half of the hash space that has an owner, or in the other half. */
     private static String key(boolean inOwnedHalf) {
         int number = 0;
-        while (CtlSite.OWNED.contains(new Key("k" + number).hash()) != inOwnedHalf) {
+        while (CtlTestCluster.OWNED_RANGE.contains(new Key("k" + number).hash()) != inOwnedHalf) {
             number++;
         }
         return "k" + number;
@@ -241,57 +247,60 @@
 
     @Test
     void ownersAndMembersShowTheStoredState() {
-        assertThat(site.run("owners --service=counter-desk").out())
+        assertThat(cluster.run("owners --service=counter-desk").out())
                 .contains("service counter-desk generation 4", "owner=desk-1.a fence=3");
-        assertThat(site.run("owners --service=absent").out()).isEmpty();
-        assertThat(site.run("members").out().lines())
+        assertThat(cluster.run("owners --service=absent").out()).isEmpty();
+        assertThat(cluster.run("members").out().lines())
                 .anySatisfy(line -> assertThat(line).startsWith("desk-1.a ACTIVE cornwall/montego"))
                 .anySatisfy(line -> assertThat(line).startsWith("desk-1.former SEALED"));
     }
 
     @Test
-    void noteCommandsShowAcceptedAndRefusedNotes() {
-        site.run("note submit --wait-ms=0", note("n-2", revision));
-        site.run("note submit --wait-ms=0", note("n-3", revision));
+    void noteCommandsShowOnlyAcceptedNotes() {
+        cluster.run("note submit --wait-ms=0", noteText("n-2", revision));
+        cluster.run("note submit --wait-ms=0", noteText("n-3", revision));
 
-        assertThat(site.run("note list").out().lines())
+        assertThat(cluster.run("note list").out().lines())
                 .containsExactly(
                         "first ACCEPTED at " + revision + " based on 0",
                         "n-2 ACCEPTED at " + (revision + 3) + " based on " + revision);
-        assertThat(site.run("note show --note=n-2").out()).contains("n-2 ACCEPTED", note("n-2", revision));
-        assertThat(site.run("note diff", note("n-4", revision)).out())
+        assertThat(cluster.run("note show --note=n-2").out()).contains("n-2 ACCEPTED", noteText("n-2", revision));
+        assertThat(cluster.run("note diff", noteText("n-4", revision)).out())
                 .isEqualTo("+ {\"backendName\":\"n-4\",\"weightPercent\":100,\"drain\":false}\n");
-        assertThat(site.run("note status --note=first").out()).contains("in force on 1 of 1 daemons");
-        assertThat(site.run("note status --note=n-2").out()).contains("in force on 0 of 1 daemons, missing [desk-1.a]");
+        assertThat(cluster.run("note status --note=first").out()).contains("in force on 1 of 1 daemons");
+        assertThat(cluster.run("note status --note=n-2").out())
+                .contains("in force on 0 of 1 daemons, missing [desk-1.a]");
     }
 
     @Test
-    void acceptedNoteIsNotInForceWhileTheDaemonIsSilent() {
-        site.daemonDown();
-        Run run = site.run("note submit --wait-ms=150", note("n", revision));
+    void acceptedNoteIsNotInForceWhileTheDaemonIsUnavailable() {
+        cluster.makeDaemonUnavailable();
+        CommandResult result = cluster.run("note submit --wait-ms=150", noteText("n", revision));
 
-        assertThat(run.exitCode()).isEqualTo(EXIT_NOT_IN_FORCE);
-        assertThat(run.out()).contains("in force on 0 of 1 daemons, unreachable [desk-1.a]");
-        assertThat(run.err()).contains("accepted at revision " + (revision + 3));
+        assertThat(result.exitCode()).isEqualTo(EXIT_NOT_IN_FORCE);
+        assertThat(result.out()).contains("in force on 0 of 1 daemons, unreachable [desk-1.a]");
+        assertThat(result.err()).contains("accepted at revision " + (revision + 3));
     }
 
-    /** Guards against an accepted note that is reported as not run because the store failed afterwards. */
+    /** Guards against reporting an accepted note as not run because the store failed after the acceptance. */
     @Test
     void outageAfterAcceptanceIsReportedAsNotInForce() {
-        site.daemonDown();
-        CompletableFuture.runAsync(site::storeDown, CompletableFuture.delayedExecutor(500, TimeUnit.MILLISECONDS));
-        Run run = site.run("note submit --wait-ms=1500 --json=true", note("n", revision));
+        cluster.makeDaemonUnavailable();
+        CompletableFuture.runAsync(cluster::stopStore, CompletableFuture.delayedExecutor(500, TimeUnit.MILLISECONDS));
+        CommandResult result = cluster.run("note submit --wait-ms=1500 --json=true", noteText("n", revision));
 
-        assertThat(run.exitCode()).isEqualTo(EXIT_NOT_IN_FORCE);
-        assertThat(run.json().path("result").path("revision").asLong()).isEqualTo(revision + 3);
-        assertThat(run.err()).contains("members not known: STORE_UNAVAILABLE");
+        assertThat(result.exitCode()).isEqualTo(EXIT_NOT_IN_FORCE);
+        assertThat(result.json().path("result").path("revision").asLong()).isEqualTo(revision + 3);
+        assertThat(result.err()).contains("members not known: STORE_UNAVAILABLE");
     }
 
     @Test
-    void storeThatIsDownEndsInItsOwnExitCode() {
-        site.storeDown();
+    void unavailableStoreHasItsOwnExitCode() {
+        cluster.stopStore();
 
-        assertThat(site.run("note submit", note("n", revision)).exitCode()).isEqualTo(6);
-        assertThat(site.run("status --json=true").json().path("name").asText()).isEqualTo("STORE_UNAVAILABLE");
+        assertThat(cluster.run("note submit", noteText("n", revision)).exitCode())
+                .isEqualTo(6);
+        assertThat(cluster.run("status --json=true").json().path("name").asText())
+                .isEqualTo("STORE_UNAVAILABLE");
     }
 }
--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CtlSite.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CtlTestCluster.java
@@ -48,56 +48,60 @@
 import org.coriandercrank.standin.StoreSettings;
 
 /**
- * A store in this process with one live member, one that is sealed, and a table whose lower half has an owner. The
- * status endpoint of the live member answers what the test sets. Not thread safe.
+ * A cluster for tests of {@code crankctl}. Not thread safe.
+ *
+ * <p>A store in this process holds an active member, a sealed member and an assignment table in which only the lower
+ * half of the hash space has an owner, the active member. An HTTP server stands in for the daemon of that member and
+ * answers with the status that the test sets.
  */
-final class CtlSite implements AutoCloseable {
-    static final ServiceName DESK = new ServiceName("counter-desk");
+final class CtlTestCluster implements AutoCloseable {
+    static final ServiceName SERVICE = new ServiceName("counter-desk");
     static final MemberId OWNER = new MemberId("desk-1.a");
-    static final KeyRange OWNED = new KeyRange(KeyHash.MIN, KeyHash.parse("7fffffffffffffff"));
-    static final Generation FENCE = new Generation(3);
+    static final KeyRange OWNED_RANGE = new KeyRange(KeyHash.MIN, KeyHash.parse("7fffffffffffffff"));
+    static final Generation OWNER_FENCE = new Generation(3);
 
-    private static final long TIMEOUT_MS = 5_000;
-    private static final int UNAVAILABLE = 503;
+    private static final long STORE_TIMEOUT_MS = 5_000;
+    private static final int STATUS_UNAVAILABLE = 503;
 
-    /** What a run printed and returned. Immutable. */
-    record Run(int exitCode, String out, String err) {
+    /** Exit code and output of a command. Immutable. */
+    record CommandResult(int exitCode, String out, String err) {
         JsonNode json() {
             try {
                 return JsonCodec.mapper().readTree(out);
             } catch (JsonProcessingException e) {
-                throw new AssertionError("no JSON: " + out, e);
+                throw new AssertionError("output is not JSON: " + out, e);
             }
         }
     }
 
     private final Path directory;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final CrankStore store =
             CrankStore.start(SettingsLoader.load(new StoreSettings(), List.of("--listen", "127.0.0.1:0"), Map.of()));
     private final HttpServer daemon;
-    private volatile Optional<DaemonStatus> status = Optional.empty();
+    private volatile Optional<DaemonStatus> daemonStatus = Optional.empty();
 
-    CtlSite(Path directory) {
+    CtlTestCluster(Path directory) {
         this.directory = directory;
         daemon = HttpServer.listen(
-                group,
+                eventLoopGroup,
                 HostAddress.parse("127.0.0.1:0"),
                 HttpServerOptions.DEFAULTS,
-                (call, closed) ->
-                        CompletableFuture.completedFuture(status.map(s -> HttpResponse.json(200, JsonCodec.encode(s)))
-                                .orElseGet(() -> HttpResponse.text(UNAVAILABLE, "down"))));
+                (request, closed) -> CompletableFuture.completedFuture(daemonStatus
+                        .map(status -> HttpResponse.json(200, JsonCodec.encode(status)))
+                        .orElseGet(() -> HttpResponse.text(STATUS_UNAVAILABLE, "down"))));
         try (ObjectStore client = PluginRegistry.load()
                 .get(PluginRegistry.Kind.STORE, HttpAdapterPlugin.NAME)
-                .open(store.address(), TIMEOUT_MS)) {
+                .open(store.address(), STORE_TIMEOUT_MS)) {
             put(client, ObjectNames.member(OWNER), JsonCodec.encode(member(OWNER, MemberState.ACTIVE)));
-            MemberId former = new MemberId("desk-1.former");
-            put(client, ObjectNames.member(former), JsonCodec.encode(member(former, MemberState.SEALED)));
-            RangeAssignment assignment = new RangeAssignment(OWNED, OWNER, FENCE, List.of());
+            MemberId sealedMember = new MemberId("desk-1.former");
+            put(client, ObjectNames.member(sealedMember), JsonCodec.encode(member(sealedMember, MemberState.SEALED)));
+            RangeAssignment assignment = new RangeAssignment(OWNED_RANGE, OWNER, OWNER_FENCE, List.of());
             put(
                     client,
-                    ObjectNames.assignments(DESK),
-                    TableCodec.encode(new AssignmentTable(DESK, new Generation(4), List.of(assignment))));
+                    ObjectNames.assignments(SERVICE),
+                    TableCodec.encode(new AssignmentTable(SERVICE, new Generation(4), List.of(assignment))));
         }
     }
 
@@ -106,7 +110,7 @@
     }
 
     private Member member(MemberId id, MemberState state) {
-        BackendInfo backend = new BackendInfo("desk-1", DESK, HostAddress.parse("127.0.0.1:1"), 18, 110, Set.of());
+        BackendInfo backend = new BackendInfo("desk-1", SERVICE, HostAddress.parse("127.0.0.1:1"), 18, 110, Set.of());
         return new Member(
                 id,
                 HostAddress.parse("127.0.0.1:1"),
@@ -119,15 +123,15 @@
                 List.of());
     }
 
-    /** Lets the daemon of the live member answer. */
-    void daemonShows(long configurationRevision, long leaseRemainingMs, List<ServingRange> serving) {
-        status = Optional.of(new DaemonStatus(
+    /** Sets the status with which the daemon of the active member answers. */
+    void setDaemonStatus(long configurationRevision, long leaseRemainingMs, List<ServingRange> serving) {
+        daemonStatus = Optional.of(new DaemonStatus(
                 OWNER,
                 new Region("cornwall"),
                 new FailureDomain("montego"),
                 MemberState.ACTIVE,
                 new Revision(configurationRevision),
-                Map.of(DESK, new Generation(4)),
+                Map.of(SERVICE, new Generation(4)),
                 leaseRemainingMs,
                 false,
                 false,
@@ -137,36 +141,37 @@
                 serving));
     }
 
-    void daemonDown() {
-        status = Optional.empty();
+    /** Makes the daemon of the active member answer with status 503. */
+    void makeDaemonUnavailable() {
+        daemonStatus = Optional.empty();
     }
 
-    void storeDown() {
+    void stopStore() {
         store.close();
     }
 
-    /** Runs a command line with flags of the form {@code --name=value}. */
-    Run run(String line) {
-        List<String> arguments = new ArrayList<>(line.isEmpty() ? List.of() : List.of(line.split(" ")));
+    /** Runs a command line, whose words are separated by single spaces. */
+    CommandResult run(String commandLine) {
+        List<String> arguments = new ArrayList<>(commandLine.isEmpty() ? List.of() : List.of(commandLine.split(" ")));
         Map<String, String> environment = Map.of("CRANK_STORE", store.address().toString(), "CRANK_TIMEOUT_MS", "300");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int exitCode = CrankCtl.run(arguments, environment, print(out), print(err));
-        return new Run(exitCode, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+        int exitCode = CrankCtl.run(arguments, environment, printStream(out), printStream(err));
+        return new CommandResult(exitCode, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
-    /** Runs a command with a release note in a file. */
-    Run run(String line, String note) {
+    /** Writes a release note to a file and runs a command line with that file. */
+    CommandResult run(String commandLine, String note) {
         try {
             Path file = Files.createTempFile(directory, "note", ".json");
             Files.writeString(file, note);
-            return run(line + " --file=" + file);
+            return run(commandLine + " --file=" + file);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static PrintStream print(ByteArrayOutputStream out) {
+    private static PrintStream printStream(ByteArrayOutputStream out) {
         return new PrintStream(out, true, StandardCharsets.UTF_8);
     }
 
@@ -174,6 +179,6 @@
     public void close() {
         daemon.close();
         store.close();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -33,7 +33,9 @@
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectStore;
 
-/** The command line client {@code crankctl}. Prints results to standard output, progress and errors to standard error. */
+/**
+ * The command line client {@code crankctl}. Prints results to standard output, progress and errors to standard error.
+ */
 public final class CrankCtl {
     /** The command groups of one run. Immutable. */
     private record Commands(NoteCommands notes, StatusCommands status) {}
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -34,7 +34,9 @@
     /** Result of {@link #check} for a valid note. Immutable. */
     private record ValidNote(boolean valid, Revision revision) {}
 
-    /** The current revision, and the notes accepted since the revision on which the checked note is based. Immutable. */
+    /**
+     * The current revision, and the notes accepted since the revision on which the checked note is based. Immutable.
+     */
     private record Conflict(Revision revision, List<AcceptedNote> newerNotes) {}
 
     private final CtlSettings settings;
@@ -117,7 +119,9 @@
         return new CtlResult(code, rollout, List.of(rollout.summaryLine()));
     }
 
-    /** Lists the recorded notes by the revision at which they were accepted; notes that were not accepted come first. */
+    /**
+     * Lists the recorded notes by the revision at which they were accepted; notes that were not accepted come first.
+     */
     public CtlResult list() {
         AcceptanceHistory history = acceptanceHistory(cluster.currentConfiguration());
         List<NoteRecord> records = cluster.notes().stream()
@@ -142,8 +146,8 @@
     }
 
     /**
-     * Returns the revision at which a note was accepted. The configuration is authoritative; the record of the note counts
-     * only if the configuration no longer lists the note because it is too old.
+     * Returns the revision at which a note was accepted. The configuration is authoritative; the record of the note
+     * counts only if the configuration no longer lists the note because it is too old.
      */
     private static Optional<Revision> acceptanceRevision(
             AcceptanceHistory history, NoteId id, Optional<NoteRecord> record) {
@@ -193,8 +197,8 @@
     }
 
     /**
-     * Waits until a revision is in force on all daemons. The note is already accepted, so an error of the store is reported
-     * as "not in force" and not as a failure.
+     * Waits until a revision is in force on all daemons. The note is already accepted, so an error of the store is
+     * reported as "not in force" and not as a failure.
      */
     private CtlResult waitUntilInForce(Revision revision) {
         long deadlineNanos = System.nanoTime() + settings.waitInForceMs() * NANOS_PER_MS;
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
@@ -75,7 +75,9 @@
         return CtlResult.ok(tables, lines);
     }
 
-    /** Shows the owner of a key, the fencing token since which it owns the key, and whether the key can be served now. */
+    /**
+     * Shows the owner of a key, the fencing token since which it owns the key, and whether the key can be served now.
+     */
     public CtlResult explain() {
         if (settings.service().isEmpty() || settings.key().isEmpty()) {
             return new CtlResult(
--- a/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementResultTest.java
+++ b/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/PlacementResultTest.java
@@ -22,7 +22,7 @@
 import org.coriandercrank.load.Execution;
 import org.junit.jupiter.api.Test;
 
-/** Guards against figures that hide moves, gaps or bad seconds. */
+/** Guards against results that hide moves, waiting times of callers or seconds of high imbalance. */
 class PlacementResultTest {
     private static final KeyHash QUARTER = new KeyHash(1L << 62);
     private static final KeyHash BELOW_QUARTER = new KeyHash((1L << 62) - 1);
@@ -30,26 +30,28 @@
     private static final MemberId B = new MemberId("b-1");
 
     @Test
-    void splitThatKeepsTheOwnerIsNoMove() {
+    void splitWithoutOwnerChangeIsNoMove() {
         List<OwnerChange> changes = OwnerChange.of(List.of(
-                seen(1, range(KeyHash.MIN, KeyHash.MAX, A, 1)),
-                seen(2, range(KeyHash.MIN, BELOW_QUARTER, A, 1), range(QUARTER, KeyHash.MAX, A, 1))));
+                observedTable(1, assignment(KeyHash.MIN, KeyHash.MAX, A, 1)),
+                observedTable(
+                        2, assignment(KeyHash.MIN, BELOW_QUARTER, A, 1), assignment(QUARTER, KeyHash.MAX, A, 1))));
 
         assertThat(changes).isEmpty();
     }
 
     @Test
-    void moveOfAPartCountsWithItsShare() {
+    void partialMoveCountsWithItsShare() {
         Churn churn = Churn.of(OwnerChange.of(List.of(
-                seen(1, range(KeyHash.MIN, KeyHash.MAX, A, 1)),
-                seen(2, range(KeyHash.MIN, BELOW_QUARTER, B, 2), range(QUARTER, KeyHash.MAX, A, 1)))));
+                observedTable(1, assignment(KeyHash.MIN, KeyHash.MAX, A, 1)),
+                observedTable(
+                        2, assignment(KeyHash.MIN, BELOW_QUARTER, B, 2), assignment(QUARTER, KeyHash.MAX, A, 1)))));
 
         assertThat(churn.moves()).isEqualTo(1);
         assertThat(churn.movedShare()).isCloseTo(0.25, within(1e-9));
     }
 
     @Test
-    void imbalanceCountsEverySecondAndOnlyServersInForce() {
+    void imbalanceCountsEverySecondAndOnlyActiveServers() {
         List<Execution> executions = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             executions.add(execution("a", "s" + i, i, 1));
@@ -74,7 +76,7 @@
     }
 
     @Test
-    void serverThatWorksAfterItsWithdrawalStillCountsAsBusiest() {
+    void inactiveServerCanBeTheBusiest() {
         List<Execution> executions = List.of(execution("a", "1", 10, 1), execution("b", "2", 20, 1));
 
         ServerLoads loads = ServerLoads.of(
@@ -84,31 +86,31 @@
     }
 
     @Test
-    void gapLastsFromTheFirstHeldCallToItsExecution() {
+    void gapEndsWithTheExecutionOfTheFirstWaitingCall() {
         MoveGaps gaps = new MoveGaps(
                 List.of(call("1", 0, 5, true), call("2", 110, 260, true), call("3", 120, 261, true)),
                 List.of(execution("a", "1", 1, 1), execution("b", "2", 250, 2), execution("b", "3", 251, 2)));
 
-        assertThat(gaps.plannedMoveGapsMs(List.of(change(100)))).containsExactly(140.0);
+        assertThat(gaps.plannedMoveGapsMs(List.of(ownerChange(100)))).containsExactly(140.0);
     }
 
     @Test
-    void gapOfAFailedCallEndsWithTheNextExecutionOfTheInterval() {
+    void gapOfAFailedCallEndsWithTheNextExecutionOfTheRange() {
         MoveGaps gaps = new MoveGaps(
                 List.of(call("1", 100, 1_100, false), call("2", 2_000, 2_010, true)),
                 List.of(execution("b", "2", 2_005, 2)));
 
-        assertThat(gaps.takeoverGapsMs(List.of(change(1_500)), TimeUnit.MILLISECONDS.toNanos(50)))
+        assertThat(gaps.takeoverGapsMs(List.of(ownerChange(1_500)), TimeUnit.MILLISECONDS.toNanos(50)))
                 .containsExactly(1_905.0);
     }
 
     @Test
-    void callAfterTheNewOwnerBeganIsNoGap() {
+    void callAfterTheFirstExecutionByTheNewOwnerIsNoGap() {
         MoveGaps gaps = new MoveGaps(
                 List.of(call("1", 500, 510, true)),
                 List.of(execution("b", "other", 200, 2), execution("b", "1", 505, 2)));
 
-        assertThat(gaps.plannedMoveGapsMs(List.of(change(100)))).isEmpty();
+        assertThat(gaps.plannedMoveGapsMs(List.of(ownerChange(100)))).isEmpty();
     }
 
     @Test
@@ -118,17 +120,17 @@
         assertThat(MoveGaps.percentile(List.of(), 99)).isZero();
     }
 
-    private static ObservedTable seen(long generation, RangeAssignment... ranges) {
+    private static ObservedTable observedTable(long generation, RangeAssignment... ranges) {
         return new ObservedTable(
                 0, new AssignmentTable(new ServiceName("desk"), new Generation(generation), List.of(ranges)));
     }
 
-    private static RangeAssignment range(KeyHash first, KeyHash last, MemberId owner, long fence) {
+    private static RangeAssignment assignment(KeyHash first, KeyHash last, MemberId owner, long fence) {
         return new RangeAssignment(new KeyRange(first, last), owner, new Generation(fence), List.of());
     }
 
-    private static OwnerChange change(long seenMs) {
-        return new OwnerChange(KeyRange.ALL, A, new Generation(2), TimeUnit.MILLISECONDS.toNanos(seenMs));
+    private static OwnerChange ownerChange(long observedMs) {
+        return new OwnerChange(KeyRange.ALL, A, new Generation(2), TimeUnit.MILLISECONDS.toNanos(observedMs));
     }
 
     private static Execution execution(String server, String id, long startMs, long fence) {
@@ -136,7 +138,7 @@
         return new Execution(server, id, "key", "GET", fence, startNanos, startNanos + 1);
     }
 
-    private static CallRecord call(String id, long dueMs, long endedMs, boolean succeeded) {
+    private static CallRecord call(String id, long intendedMs, long endedMs, boolean succeeded) {
         return new CallRecord(
                 1,
                 id,
@@ -144,7 +146,7 @@
                 "key",
                 "GET",
                 true,
-                TimeUnit.MILLISECONDS.toNanos(dueMs),
+                TimeUnit.MILLISECONDS.toNanos(intendedMs),
                 TimeUnit.MILLISECONDS.toNanos(endedMs),
                 succeeded ? 0 : 1,
                 Optional.of(succeeded ? Outcome.RUN : Outcome.NOT_RUN),
--- a/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/package-info.java
+++ b/org.coriandercrank.experiment.test/src/test/java/org/coriandercrank/experiment/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the figures of experiments. */
+/** Tests of the results computed by experiments. */
 package org.coriandercrank.experiment.internal;
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Returns the gaps of all keys at planned moves in milliseconds, in ascending order. A gap starts at the scheduled start
-     * of the first call that the previous owner did not execute. It ends at the start of the execution of that call or, if
-     * the call was not executed, at the first execution by the new owner for any key of the range.
+     * Returns the gaps of all keys at planned moves in milliseconds, in ascending order. A gap starts at the scheduled
+     * start of the first call that the previous owner did not execute. It ends at the start of the execution of that
+     * call or, if the call was not executed, at the first execution by the new owner for any key of the range.
      */
     public List<Double> plannedMoveGapsMs(List<OwnerChange> changes) {
         List<Double> gapsMs = new ArrayList<>();
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Returns the gaps of all keys of a lost owner in milliseconds, in ascending order. They are computed as for planned
-     * moves, but only from calls that were scheduled after the loss.
+     * Returns the gaps of all keys of a lost owner in milliseconds, in ascending order. They are computed as for
+     * planned moves, but only from calls that were scheduled after the loss.
      */
     public List<Double> takeoverGapsMs(List<OwnerChange> changes, long lostNanos) {
         List<Double> gapsMs = new ArrayList<>();
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -13,8 +13,8 @@
  * A range of hashes that moved from one owner to another. Immutable.
  *
  * @param from previous owner
- * @param generation generation of the table that made the change; the executions of the new owner have this fencing token
- *     or a newer one
+ * @param generation generation of the table that made the change; the executions of the new owner have this fencing
+ *     token or a newer one
  * @param observedNanos when the table was seen in the store
  */
 public record OwnerChange(KeyRange range, MemberId from, Generation generation, long observedNanos) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -19,10 +19,11 @@
 import org.coriandercrank.testkit.HostSpec;
 
 /**
- * Measures placement policies under changing hot keys while one host joins, one server is drained and one host is killed.
+ * Measures placement policies under changing hot keys while one host joins, one server is drained and one host is
+ * killed.
  *
- * <p>Not thread safe. Callers use the two hosts that stay, so that a call fails only because of placement and not because
- * its ingress was lost.
+ * <p>Not thread safe. Callers use the two hosts that stay, so that a call fails only because of placement and not
+ * because its ingress was lost.
  */
 public final class PlacementExperiment {
     /** Number of hosts at the start; one more joins during the run. */
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -9,8 +9,8 @@
 import org.coriandercrank.load.Execution;
 
 /**
- * Load imbalance of servers of equal capacity over the seconds of a run. Immutable. The imbalance of a second is the number
- * of executions of the busiest server divided by the mean of the active servers.
+ * Load imbalance of servers of equal capacity over the seconds of a run. Immutable. The imbalance of a second is the
+ * number of executions of the busiest server divided by the mean of the active servers.
  *
  * @param meanImbalance mean over all seconds
  * @param p95Imbalance 95th percentile over all seconds
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Computes the imbalance of every whole second of a run. A server counts as active if its period contains the start of
-     * the second. Executions of inactive servers still count towards the total load, and an inactive server can be the
-     * busiest one. The imbalance of a second without executions is 0.
+     * Computes the imbalance of every whole second of a run. A server counts as active if its period contains the start
+     * of the second. Executions of inactive servers still count towards the total load, and an inactive server can be
+     * the busiest one. The imbalance of a second without executions is 0.
      */
     public static ServerLoads of(
             long startedNanos, long durationMs, List<Execution> executions, Map<String, ActivePeriod> activePeriods) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
@@ -36,8 +36,8 @@
 /**
  * A local cluster with one service under load. Not thread safe.
  *
- * <p>Daemons and the store are separate processes; the backend servers run in this process. They log executions to ledger
- * files in a temporary directory, which is kept for inspection.
+ * <p>Daemons and the store are separate processes; the backend servers run in this process. They log executions to
+ * ledger files in a temporary directory, which is kept for inspection.
  */
 final class ServiceCluster implements AutoCloseable {
     static final String SERVICE = "counter-desk";
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/Histories.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/Histories.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.kernel.code.Outcome;
 
-/** Short forms of calls and executions for tests. Stateless; times are in milliseconds. */
+/** Creates calls and executions for tests. Stateless; all times are passed in milliseconds. */
 final class Histories {
-    private static final int OK = 0;
-    private static final int REFUSED = 200;
-    private static final int LOST = 300;
+    private static final int OK_CODE = 0;
+    private static final int NOT_RUN_CODE = 200;
+    private static final int UNKNOWN_OUTCOME_CODE = 300;
 
     private Histories() {}
 
@@ -16,23 +16,23 @@
         return call(operation, requestId, "k", "PUT", 0, 10, Optional.of(outcome), false);
     }
 
-    static CallRecord timed(String requestId, String key, long intendedMs, long endedMs, Outcome outcome) {
+    static CallRecord read(String requestId, String key, long intendedMs, long endedMs, Outcome outcome) {
         return call(requestId.hashCode(), requestId, key, "GET", intendedMs, endedMs, Optional.of(outcome), false);
     }
 
-    static CallRecord foreign(long operation, String requestId) {
+    static CallRecord readWithForeignResponse(long operation, String requestId) {
         return call(operation, requestId, "k", "GET", 0, 10, Optional.of(Outcome.RUN), true);
     }
 
-    static CallRecord unanswered(long operation, String requestId) {
+    static CallRecord writeWithoutResponse(long operation, String requestId) {
         return call(operation, requestId, "k", "PUT", 0, 10, Optional.empty(), false);
     }
 
-    private static int code(Outcome outcome) {
+    private static int resultCode(Outcome outcome) {
         return switch (outcome) {
-            case RUN -> OK;
-            case NOT_RUN -> REFUSED;
-            case UNKNOWN -> LOST;
+            case RUN -> OK_CODE;
+            case NOT_RUN -> NOT_RUN_CODE;
+            case UNKNOWN -> UNKNOWN_OUTCOME_CODE;
         };
     }
 
@@ -44,7 +44,7 @@
             long intendedMs,
             long endedMs,
             Optional<Outcome> outcome,
-            boolean foreign) {
+            boolean foreignAnswer) {
         return new CallRecord(
                 operation,
                 requestId,
@@ -54,9 +54,9 @@
                 "GET".equals(method),
                 nanos(intendedMs),
                 nanos(endedMs),
-                outcome.map(Histories::code).orElse(CallRecord.NO_ANSWER),
+                outcome.map(Histories::resultCode).orElse(CallRecord.NO_ANSWER),
                 outcome,
-                foreign);
+                foreignAnswer);
     }
 
     static Execution execution(String server, String requestId, long fence, long startMs, long endMs) {
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/LoadReportTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/LoadReportTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 import static org.coriandercrank.load.Histories.execution;
-import static org.coriandercrank.load.Histories.timed;
+import static org.coriandercrank.load.Histories.read;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,23 +16,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against wrong figures in reports and against ledgers that are read incompletely. */
+/** Guards against wrong measurements in reports and against incompletely read ledgers. */
 class LoadReportTest {
-    private static final String LINE = "{\"order\":1,\"server\":\"s1\",\"requestId\":\"a\",\"key\":\"k\","
+    private static final String LEDGER_LINE = "{\"order\":1,\"server\":\"s1\",\"requestId\":\"a\",\"key\":\"k\","
             + "\"method\":\"PUT\",\"fence\":5,\"startNanos\":1,\"endNanos\":2,\"startWallMs\":3,\"endWallMs\":4}\n";
 
     @Test
-    void gapsCountFromTheFirstFailureToTheNextSuccessOfTheKey() {
+    void keyIsUnavailableFromTheFirstFailureToItsNextSuccess() {
         LoadReport report = LoadReport.of(
                 0,
                 List.of(
-                        timed("a1", "a", 0, 10, Outcome.RUN),
-                        timed("a2", "a", 100, 110, Outcome.NOT_RUN),
-                        timed("a3", "a", 200, 250, Outcome.UNKNOWN),
-                        timed("b1", "b", 300, 320, Outcome.RUN),
-                        timed("a4", "a", 500, 600, Outcome.RUN),
-                        timed("b2", "b", 700, 710, Outcome.NOT_RUN),
-                        timed("b3", "b", 800, 1000, Outcome.NOT_RUN)),
+                        read("a1", "a", 0, 10, Outcome.RUN),
+                        read("a2", "a", 100, 110, Outcome.NOT_RUN),
+                        read("a3", "a", 200, 250, Outcome.UNKNOWN),
+                        read("b1", "b", 300, 320, Outcome.RUN),
+                        read("a4", "a", 500, 600, Outcome.RUN),
+                        read("b2", "b", 700, 710, Outcome.NOT_RUN),
+                        read("b3", "b", 800, 1000, Outcome.NOT_RUN)),
                 List.of());
 
         assertThat(report.calls()).isEqualTo(7);
@@ -51,10 +51,10 @@
     }
 
     @Test
-    void percentilesCountFromTheSchedule() {
+    void latencyCountsFromTheScheduledStart() {
         List<CallRecord> calls = new ArrayList<>();
         for (int ms = 1; ms <= 100; ms++) {
-            calls.add(timed("r" + ms, "k", 10, 10 + ms, Outcome.RUN));
+            calls.add(read("r" + ms, "k", 10, 10 + ms, Outcome.RUN));
         }
         LoadReport report = LoadReport.of(0, calls, List.of());
 
@@ -63,12 +63,15 @@
         assertThat(report.latencyMaxMs()).isCloseTo(100, within(0.1));
     }
 
-    /** Second 0: 3 and 1 executions, 1.5; second 1: 2 and 0, 2.0; the mean of both is 1.75. */
+    /**
+     * In second 0 the servers execute 3 and 1 requests, imbalance 1.5; in second 1 they execute 2 and 0, imbalance 2.0.
+     * The mean is 1.75.
+     */
     @Test
     void imbalanceIsTheMeanOverSecondsAndCountsIdleServers() {
         LoadReport report = LoadReport.of(
                 0,
-                List.of(timed("x", "k", 100, 110, Outcome.NOT_RUN), timed("y", "k", 1_100, 1_110, Outcome.NOT_RUN)),
+                List.of(read("x", "k", 100, 110, Outcome.NOT_RUN), read("y", "k", 1_100, 1_110, Outcome.NOT_RUN)),
                 List.of(
                         execution("s1", "a", 1, 0, 10),
                         execution("s1", "b", 1, 0, 20),
@@ -84,18 +87,20 @@
     }
 
     @Test
-    void ledgerWithACutLastLineIsReadUpToIt(@TempDir Path directory) throws IOException {
-        Path cut = Files.writeString(directory.resolve("cut"), LINE + LINE.substring(0, 40));
-        Path only = Files.writeString(directory.resolve("only"), LINE.substring(0, 40));
+    void incompleteLastLedgerLineIsIgnored(@TempDir Path directory) throws IOException {
+        Path incompleteLastLine =
+                Files.writeString(directory.resolve("cut"), LEDGER_LINE + LEDGER_LINE.substring(0, 40));
+        Path onlyIncompleteLine = Files.writeString(directory.resolve("only"), LEDGER_LINE.substring(0, 40));
 
-        assertThat(LedgerReader.read(List.of(cut, only, directory.resolve("missing"))))
+        assertThat(LedgerReader.read(List.of(incompleteLastLine, onlyIncompleteLine, directory.resolve("missing"))))
                 .containsExactly(new Execution("s1", "a", "k", "PUT", 5, 1, 2));
     }
 
     @Test
-    void ledgerWithAnUnreadableLineInTheMiddleIsRefused(@TempDir Path directory) throws IOException {
-        Path broken = Files.writeString(directory.resolve("broken"), LINE + "{\"server\":\n" + LINE);
+    void malformedLedgerLineInTheMiddleIsAnError(@TempDir Path directory) throws IOException {
+        Path malformedLine =
+                Files.writeString(directory.resolve("broken"), LEDGER_LINE + "{\"server\":\n" + LEDGER_LINE);
 
-        assertThatThrownBy(() -> LedgerReader.read(List.of(broken))).isInstanceOf(CrankException.class);
+        assertThatThrownBy(() -> LedgerReader.read(List.of(malformedLine))).isInstanceOf(CrankException.class);
     }
 }
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
@@ -17,16 +17,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against workloads that cannot be repeated and against scenarios that lose load or mix up operations. */
+/**
+ * Guards against workloads that a seed does not reproduce, and against scenarios that lose load or mix up operations.
+ */
 class LoadPlanTest {
     private static final int HOT_KEYS = 3;
-    private static final int DRAWS = 4_000;
+    private static final int DRAWN_KEYS = 4_000;
 
     private static LoadPlan plan(long seed) {
         return new LoadPlan("counter-desk", true, 100, 1_000, 1_000, 1.2, HOT_KEYS, 1_000, 20, 0, 500, 0, seed);
     }
 
-    private static List<String> draw(LoadPlan plan) {
+    private static List<String> drawKeys(LoadPlan plan) {
         KeyChooser chooser = new KeyChooser(plan);
         List<String> keys = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -37,23 +39,24 @@
 
     @Test
     void sameSeedGivesTheSameKeys() {
-        assertThat(draw(plan(5))).isEqualTo(draw(plan(5))).isNotEqualTo(draw(plan(6)));
+        assertThat(drawKeys(plan(5))).isEqualTo(drawKeys(plan(5))).isNotEqualTo(drawKeys(plan(6)));
     }
 
     @Test
-    void hottestKeyStaysWithinAPeriodAndChangesWithIt() {
+    void mostFrequentKeyChangesOnlyWithThePeriod() {
         KeyChooser chooser = new KeyChooser(plan(5));
-        List<String> hottest = new ArrayList<>();
+        List<String> mostFrequentKeys = new ArrayList<>();
         for (long startMs : new long[] {0, 500, 1_000, 2_000}) {
-            hottest.add(hottest(chooser, startMs));
+            mostFrequentKeys.add(mostFrequentKey(chooser, startMs));
         }
-        assertThat(hottest.get(0)).isEqualTo(hottest.get(1));
-        assertThat(List.of(hottest.get(1), hottest.get(2), hottest.get(3))).doesNotHaveDuplicates();
+        assertThat(mostFrequentKeys.get(0)).isEqualTo(mostFrequentKeys.get(1));
+        assertThat(List.of(mostFrequentKeys.get(1), mostFrequentKeys.get(2), mostFrequentKeys.get(3)))
+                .doesNotHaveDuplicates();
     }
 
-    private static String hottest(KeyChooser chooser, long elapsedMs) {
+    private static String mostFrequentKey(KeyChooser chooser, long elapsedMs) {
         List<String> keys = new ArrayList<>();
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < DRAWN_KEYS; i++) {
             keys.add(chooser.nextKey(elapsedMs));
         }
         return keys.stream()
@@ -77,7 +80,7 @@
     }
 
     @Test
-    void unknownScenarioIsReportedWithOtherFaults() {
+    void unknownScenarioIsReportedWithOtherErrors() {
         assertThatThrownBy(() -> settings("--scenario=bakery", "--rate=0"))
                 .isInstanceOf(CrankException.class)
                 .hasMessageContaining("--scenario: must be authority or tincturia")
@@ -90,12 +93,12 @@
         return SettingsLoader.load(new LoadSettings(), arguments, Map.of());
     }
 
-    /** Equal numbers would make the checker count writes of two services as one operation executed twice. */
+    /** With equal operation numbers the checker would take writes to two services for one operation executed twice. */
     @Test
-    void totalKeepsOperationsOfServicesApart() {
-        PlanResult one = new PlanResult("one", 20, List.of(call(0, "a"), call(2, "b"), call(2, "b-r2")));
-        PlanResult two = new PlanResult("two", 10, List.of(call(0, "c"), call(2, "d")));
-        PlanResult total = PlanResult.merge(List.of(one, two));
+    void mergeKeepsOperationNumbersUnique() {
+        PlanResult firstResult = new PlanResult("one", 20, List.of(call(0, "a"), call(2, "b"), call(2, "b-r2")));
+        PlanResult secondResult = new PlanResult("two", 10, List.of(call(0, "c"), call(2, "d")));
+        PlanResult total = PlanResult.merge(List.of(firstResult, secondResult));
 
         assertThat(total.startedNanos()).isEqualTo(10);
         assertThat(total.calls()).extracting(CallRecord::operation).containsExactly(0L, 2L, 2L, 3L, 5L);
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/Execution.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/Execution.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.load;
 
 /**
- * One execution from the ledger of a backend server. Immutable. Times are in nanoseconds of the machine's monotonic clock,
- * which all processes on the machine share.
+ * One execution from the ledger of a backend server. Immutable. Times are in nanoseconds of the machine's monotonic
+ * clock, which all processes on the machine share.
  *
  * @param server name of the backend server
  * @param requestId id of the attempt; the router adds a suffix to the caller's id when it retries a request
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LedgerReader.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LedgerReader.java
@@ -15,8 +15,8 @@
     private LedgerReader() {}
 
     /**
-     * Returns all executions of the files. A missing file counts as empty. An incomplete last line, which a killed server
-     * may leave, is ignored.
+     * Returns all executions of the files. A missing file counts as empty. An incomplete last line, which a killed
+     * server may leave, is ignored.
      *
      * @throws CrankException if any other line is not an execution
      */
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -45,8 +45,8 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /**
-     * A key counts as not served if a call for it succeeds later than this after its scheduled start. This is the target for
-     * the unavailable time of a planned move.
+     * A key counts as not served if a call for it succeeds later than this after its scheduled start. This is the
+     * target for the unavailable time of a planned move.
      */
     private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Adds the periods in which a key was not served: from the scheduled start of a failed or late call to the next success
-     * of the key. Overlapping periods are merged.
+     * Adds the periods in which a key was not served: from the scheduled start of a failed or late call to the next
+     * success of the key. Overlapping periods are merged.
      */
     private static void addUnavailableNanos(List<CallRecord> callsOfKey, List<Long> unavailableNanos) {
         TreeSet<Long> successEndNanos = callsOfKey.stream()
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/KeyChooser.java
@@ -6,8 +6,8 @@
 /**
  * Chooses random keys with a Zipf distribution whose most frequent keys change after each period. Not thread safe.
  *
- * <p>The distribution over ranks stays the same. The first ranks belong to the hot set, whose keys depend on the seed and
- * the period.
+ * <p>The distribution over ranks stays the same. The first ranks belong to the hot set, whose keys depend on the seed
+ * and the period.
  */
 final class KeyChooser {
     private final double[] cumulativeWeights;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -21,9 +21,11 @@
  *
  * <p>Invariants: at most {@code slots} requests run at a time. A request takes effect in one step at the end of its
  * service time, directly after its grant, fencing token, deadline and cancellation were checked. Each effect has one
- * ledger entry, which is written before the response is sent. A request that was answered as not run never takes effect.
+ * ledger entry, which is written before the response is sent. A request that was answered as not run never takes
+ * effect.
  *
- * <p>A request id that arrives again is executed again, so that the ledger shows it if the router sends a request twice.
+ * <p>A request id that arrives again is executed again, so that the ledger shows it if the router sends a request
+ * twice.
  */
 final class BackendEngine {
     private static final int STATUS_REJECTED = 409;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -11,7 +11,9 @@
 import org.coriandercrank.kernel.id.RequestId;
 import org.coriandercrank.kernel.time.TimerService.Subscription;
 
-/** A request at the backend server, from arrival to response. Not thread safe; confined to the executor of the server. */
+/**
+ * A request at the backend server, from arrival to response. Not thread safe; confined to the executor of the server.
+ */
 final class BackendRequest {
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long MAX_DEADLINE_MS = 86_400_000;
@@ -54,7 +56,9 @@
         return URLDecoder.decode(text.replace("+", "%2B"), StandardCharsets.UTF_8);
     }
 
-    /** Returns the name under which the value is stored: the key, or the path without query for a request without key. */
+    /**
+     * Returns the name under which the value is stored: the key, or the path without query for a request without key.
+     */
     String valueName() {
         return key.map(Key::value).orElseGet(httpRequest::path);
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
@@ -30,7 +30,9 @@
         activeFaults.put(fault.kind(), new ActiveFault(fault, endsAtMs, fault.count()));
     }
 
-    /** Returns the fault of a kind if it affects the current request; decrements the remaining count of a counted fault. */
+    /**
+     * Returns the fault of a kind if it affects the current request; decrements the remaining count of a counted fault.
+     */
     public Optional<Fault> trigger(FaultKind kind) {
         ActiveFault activeFault = activeFaults.get(kind);
         if (activeFault == null) {
@@ -53,7 +55,9 @@
         return Optional.of(activeFault.fault);
     }
 
-    /** Returns whether a fault of a kind affects the current request; decrements the remaining count of a counted fault. */
+    /**
+     * Returns whether a fault of a kind affects the current request; decrements the remaining count of a counted fault.
+     */
     public boolean isTriggered(FaultKind kind) {
         return trigger(kind).isPresent();
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Returns why a request must not be executed at a given time, or empty if it may be: {@code validity}, {@code range}
-     * or {@code fence}.
+     * Returns why a request must not be executed at a given time, or empty if it may be: {@code validity},
+     * {@code range} or {@code fence}.
      */
     Optional<String> rejectionReason(BackendRequest request, long nowNanos) {
         if (request.key.isEmpty()) {
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Deletes an object and returns the revision of the deletion; returns empty if the object does not exist or does not
-     * have the expected revision.
+     * Deletes an object and returns the revision of the deletion; returns empty if the object does not exist or does
+     * not have the expected revision.
      */
     public Optional<Revision> delete(String name, Revision expected) {
         if (expected.equals(Revision.NONE) || !revisionOf(name).equals(expected)) {
