--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementDependencies.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlacementDependencies.java
@@ -11,8 +11,8 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Collaborators of {@link Planner} and {@link RangeOwnership}, which do not close them. Immutable; all collaborators are
- * thread safe.
+ * Collaborators of {@link Planner} and {@link RangeOwnership}, which do not close them. Immutable; all collaborators
+ * are thread safe.
  *
  * @param self member id of this daemon
  * @param routingView current configuration, members and assignment tables
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Placement decisions and state machines, free of I/O where possible; internal to this module. */
+/** Decisions and state machines of placement, and their access to the store; internal to this module. */
 package org.coriandercrank.placement.internal;
