--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/GateModel.java
@@ -36,7 +36,7 @@
     private static final int FIRST_POST_ID = 6;
 
     /** Index of the first request id with an idempotency key, which it shares with others. */
-    private static final int FIRST_KEYED_ID = 18;
+    private static final int FIRST_ID_WITH_IDEMPOTENCY_KEY = 18;
 
     private static final int ADVANCE_TIME_ACTION = 22;
     private static final long DEADLINE_MS = 400;
@@ -147,8 +147,8 @@
 
     private CallerRequest request(int index) {
         String method = index < FIRST_POST_ID ? "GET" : "POST";
-        String idempotencyKey = index < FIRST_KEYED_ID ? null : "x" + index % 4;
-        String key = index < FIRST_KEYED_ID ? "key" + index % 5 : "shared" + index % 4;
+        String idempotencyKey = index < FIRST_ID_WITH_IDEMPOTENCY_KEY ? null : "x" + index % 4;
+        String key = index < FIRST_ID_WITH_IDEMPOTENCY_KEY ? "key" + index % 5 : "shared" + index % 4;
         OptionalLong ageMs = OptionalLong.empty();
         if (idempotencyKey != null) {
             Long firstNanos = firstAttemptNanos.get(idempotencyKey);
@@ -211,7 +211,7 @@
             return unansweredById.getOrDefault(request.id(), 0);
         }
         int count = 0;
-        for (int i = FIRST_KEYED_ID; i < ID_COUNT; i++) {
+        for (int i = FIRST_ID_WITH_IDEMPOTENCY_KEY; i < ID_COUNT; i++) {
             CallerRequest other = request(i);
             count += other.idempotencyKey().equals(request.idempotencyKey())
                     ? unansweredById.getOrDefault(other.id(), 0)
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GateCore.java
@@ -55,7 +55,7 @@
         this.context = context;
         startedAtNanos = context.nowNanos();
         loadsUpdatedAtNanos = startedAtNanos;
-        recordTable = new RecordTable(context.options(), this::onKeyedRecordRemoved);
+        recordTable = new RecordTable(context.options(), this::onIdempotencyRecordRemoved);
         barredIds = new BarredRequestIds(context.options().maxBarredIds());
         executedIds = new ExecutedIdFilter(startedAtNanos);
         requestTable = new RequestTable(recordTable, barredIds, executedIds);
@@ -249,7 +249,7 @@
         }
     }
 
-    private void onKeyedRecordRemoved(KeyHash hash, long createdAtNanos) {
+    private void onIdempotencyRecordRemoved(KeyHash hash, long createdAtNanos) {
         rangeTable.advanceHorizons(hash, createdAtNanos);
         requestService.advanceUnkeyedHorizons(createdAtNanos);
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/GrantManager.java
@@ -38,7 +38,7 @@
 
     private final GateContext context;
     private final RangeTable ranges;
-    private final Runnable onChange;
+    private final Runnable grantAnswerListener;
     private AttachedBackend backend;
     private SentGrant outstandingGrant;
 
@@ -61,10 +61,15 @@
 
     private long nextSendAtNanos;
 
-    GrantManager(GateContext context, RangeTable ranges, Runnable onChange) {
+    /**
+     * Creates a manager without a backend server.
+     *
+     * @param grantAnswerListener called after the answer to a grant was handled
+     */
+    GrantManager(GateContext context, RangeTable ranges, Runnable grantAnswerListener) {
         this.context = context;
         this.ranges = ranges;
-        this.onChange = onChange;
+        this.grantAnswerListener = grantAnswerListener;
     }
 
     /** Uses another backend server and schedules a grant of the ranges that exist already. */
@@ -179,7 +184,7 @@
         grantOutdated = false;
         context.call(() -> sent.backend().server().grant(sent.grant()), (answered, failure) -> {
             onAnswer(sent, answered, failure);
-            onChange.run();
+            grantAnswerListener.run();
         });
     }
 
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RecordTable.java
@@ -73,23 +73,23 @@
     private final long retentionNanos;
     private final int maxRecords;
     private final long maxBytes;
-    private final BiConsumer<KeyHash, Long> keyedRecordRemoved;
+    private final BiConsumer<KeyHash, Long> removalListener;
     private final LinkedHashMap<RequestId, StoredRecord> recordsById = new LinkedHashMap<>();
-    private final Map<ScopedKey, StoredRecord> recordsByKey = new HashMap<>();
+    private final Map<ScopedKey, StoredRecord> recordsByIdempotencyKey = new HashMap<>();
     private final LinkedHashMap<RequestId, Long> evictedIds = new LinkedHashMap<>();
     private long totalBytes;
 
     /**
      * Creates an empty table.
      *
-     * @param keyedRecordRemoved called with the key hash and creation time of each removed record that has an
+     * @param removalListener called with the key hash and creation time of each removed record that has an
      *     idempotency key
      */
-    public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> keyedRecordRemoved) {
+    public RecordTable(GateOptions options, BiConsumer<KeyHash, Long> removalListener) {
         retentionNanos = TimeUnit.MILLISECONDS.toNanos(options.recordRetentionMs());
         maxRecords = options.maxRecords();
         maxBytes = options.maxRecordBytes();
-        this.keyedRecordRemoved = keyedRecordRemoved;
+        this.removalListener = removalListener;
     }
 
     /** Adds a record, in place of an earlier one with the same id, and evicts old records if a limit is exceeded. */
@@ -100,7 +100,8 @@
         }
         recordsById.put(stored.id(), stored);
         totalBytes += stored.sizeBytes();
-        stored.idempotencyKey().ifPresent(key -> recordsByKey.put(new ScopedKey(stored.hash(), key), stored));
+        stored.idempotencyKey()
+                .ifPresent(key -> recordsByIdempotencyKey.put(new ScopedKey(stored.hash(), key), stored));
         while (recordsById.size() > maxRecords || totalBytes > maxBytes) {
             StoredRecord evicted = removeOldest();
             evictedIds.put(evicted.id(), nowNanos);
@@ -136,7 +137,7 @@
     }
 
     public Optional<StoredRecord> find(KeyHash hash, IdempotencyKey key) {
-        return Optional.ofNullable(recordsByKey.get(new ScopedKey(hash, key)));
+        return Optional.ofNullable(recordsByIdempotencyKey.get(new ScopedKey(hash, key)));
     }
 
     /** Whether a request was executed but its record was evicted. */
@@ -202,8 +203,8 @@
         iterator.remove();
         totalBytes -= removed.sizeBytes();
         removed.idempotencyKey().ifPresent(key -> {
-            recordsByKey.remove(new ScopedKey(removed.hash(), key), removed);
-            keyedRecordRemoved.accept(removed.hash(), removed.createdAtNanos());
+            recordsByIdempotencyKey.remove(new ScopedKey(removed.hash(), key), removed);
+            removalListener.accept(removed.hash(), removed.createdAtNanos());
         });
         return removed;
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestTable.java
@@ -33,7 +33,7 @@
     private final BarredRequestIds barredIds;
     private final ExecutedIdFilter executedIds;
     private final Map<RequestId, Execution> activeById = new HashMap<>();
-    private final Map<ScopedKey, Execution> activeByKey = new HashMap<>();
+    private final Map<ScopedKey, Execution> activeByIdempotencyKey = new HashMap<>();
     private final Set<Execution> active = new LinkedHashSet<>();
 
     public RequestTable(RecordTable records, BarredRequestIds barredIds, ExecutedIdFilter executedIds) {
@@ -89,13 +89,13 @@
                     ResultCode.OUTCOME_UNKNOWN, "the request was executed, but its answer is not available any more");
         }
         return request.idempotencyKey()
-                .map(key -> lookupByKey(request, key, hash, requestDigest, nowNanos))
+                .map(key -> lookupByIdempotencyKey(request, key, hash, requestDigest, nowNanos))
                 .orElse(Lookup.NEW);
     }
 
-    private Lookup lookupByKey(
+    private Lookup lookupByIdempotencyKey(
             CallerRequest request, IdempotencyKey key, KeyHash hash, long requestDigest, long nowNanos) {
-        Execution activeExecution = activeByKey.get(new ScopedKey(hash, key));
+        Execution activeExecution = activeByIdempotencyKey.get(new ScopedKey(hash, key));
         if (activeExecution != null) {
             return activeExecution.requestDigest() == requestDigest
                     ? Lookup.of(activeExecution)
@@ -137,7 +137,7 @@
         execution
                 .request()
                 .idempotencyKey()
-                .ifPresent(key -> activeByKey.put(new ScopedKey(execution.hash(), key), execution));
+                .ifPresent(key -> activeByIdempotencyKey.put(new ScopedKey(execution.hash(), key), execution));
     }
 
     /** Adds a waiter to an execution and registers the waiter's request id. */
@@ -161,7 +161,7 @@
         active.remove(execution);
         execution.requestIds().forEach(activeById::remove);
         Optional<IdempotencyKey> key = execution.request().idempotencyKey();
-        key.ifPresent(k -> activeByKey.remove(new ScopedKey(execution.hash(), k)));
+        key.ifPresent(k -> activeByIdempotencyKey.remove(new ScopedKey(execution.hash(), k)));
         if (answer.outcome() == Outcome.NOT_RUN) {
             return;
         }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -54,7 +54,10 @@
     private boolean readAttempted;
     private Optional<PlannerRecord> record = Optional.empty();
     private Revision revision = Revision.NONE;
+
+    /** Time at which a read last returned a changed record; each renewal changes the counter of the record. */
     private long unchangedSinceMs;
+
     private long lastReadAtMs;
     private long writeStartedAtMs;
     private long renewedAtMs;
