--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -88,10 +88,10 @@
         PluginRegistry plugins = PluginRegistry.load();
         try (ObjectStore store = plugins.get(Kind.STORE, settings.storeAdapterName())
                 .open(settings.storeHostAddress(), settings.storeTimeoutMs())) {
-            ClusterReader fleet = new ClusterReader(store, eventLoopGroup, plugins);
+            ClusterReader cluster = new ClusterReader(store, eventLoopGroup, plugins);
             Commands commands = new Commands(
-                    new NoteCommands(settings, fleet, () -> readNote(settings.noteFile()), err::println),
-                    new StatusCommands(settings, fleet));
+                    new NoteCommands(settings, cluster, () -> readNote(settings.noteFile()), err::println),
+                    new StatusCommands(settings, cluster));
             return printResult(COMMANDS.get(name).apply(commands).execute(), settings, out);
         } catch (CrankException e) {
             return printResult(reportFailure(e, err), settings, out);
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/StatusCommands.java
@@ -53,7 +53,8 @@
                 .map(member -> member.id() + " " + member.state() + " " + member.region() + "/" + member.failureDomain()
                         + " callers="
                         + member.callerAddress() + " backend="
-                        + member.backend().map(b -> b.name()).orElse("-") + " witnesses=" + member.witnesses())
+                        + member.backend().map(backend -> backend.name()).orElse("-") + " witnesses="
+                        + member.witnesses())
                 .toList();
         return CtlResult.ok(members, lines);
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSampler.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSampler.java
@@ -23,8 +23,12 @@
 /** Reads status and counters of the daemons and of the store of a cluster. Not thread safe. */
 final class FleetSampler implements AutoCloseable {
     private static final long REQUEST_TIMEOUT_MS = 5_000;
+
+    /** Indexes in the fields of {@code /proc/PID/stat} that follow the process name. */
     private static final int PROC_STAT_USER_FIELD = 11;
+
     private static final int PROC_STAT_SYSTEM_FIELD = 12;
+
     private static final double MS_PER_CLOCK_TICK = 10;
     private static final double BYTES_PER_KB = 1_024;
 
@@ -62,7 +66,7 @@
             controlMessages += sumMetric(metrics, "crank_peer_messages_total", "kind=\"control\"");
             heapBytes += sumMetric(metrics, "jvm_memory_used_bytes", "area=\"heap\"");
         }
-        JsonNode calls = storeCalls();
+        JsonNode storeRequestCounts = storeRequestCounts();
         return new FleetSample(
                 nowNanos,
                 cpuMs,
@@ -70,12 +74,14 @@
                 controlMessages,
                 heapBytes,
                 residentBytes,
-                calls.path("get").asLong() + calls.path("list").asLong(),
-                calls.path("put").asLong() + calls.path("delete").asLong(),
-                calls.path("watch").asLong());
+                storeRequestCounts.path("get").asLong()
+                        + storeRequestCounts.path("list").asLong(),
+                storeRequestCounts.path("put").asLong()
+                        + storeRequestCounts.path("delete").asLong(),
+                storeRequestCounts.path("watch").asLong());
     }
 
-    private JsonNode storeCalls() {
+    private JsonNode storeRequestCounts() {
         HttpResponse response = get(cluster.storeAddress(), "/admin/stats").orElseThrow();
         try {
             return JsonCodec.mapper().readTree(response.body()).get("calls");
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OverloadExperiment.java
@@ -105,17 +105,17 @@
             ServiceCluster cluster, int ratePerSecond, long durationMs, int keys, long seed) {
         LoadPlan plan = new LoadPlan(
                 ServiceCluster.SERVICE,
-                true,
+                /* keyed= */ true,
                 ratePerSecond,
                 durationMs,
                 keys,
-                0,
-                0,
-                durationMs,
+                /* zipfExponent= */ 0,
+                /* hotKeys= */ 0,
+                /* hotChangeMs= */ durationMs,
                 WRITE_PERCENT,
-                0,
+                /* bodyBytes= */ 0,
                 DEADLINE_MS,
-                0,
+                /* maxRetries= */ 0,
                 seed);
         return CompletableFuture.supplyAsync(() -> {
             try (LoadDriver driver = new LoadDriver(
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -15,10 +15,10 @@
  * @param from previous owner
  * @param generation generation of the table that made the change; the executions of the new owner have this fencing
  *     token or a newer one
- * @param observedNanos when the table was seen in the store
+ * @param observedNanos time at which that table was read from the store, on the monotonic clock
  */
 public record OwnerChange(KeyRange range, MemberId from, Generation generation, long observedNanos) {
-    /** A table and when it was seen in the store. Immutable. */
+    /** A table and the time at which it was read from the store. Immutable. */
     public record ObservedTable(long observedNanos, AssignmentTable table) {}
 
     /** Returns the differences between consecutive tables. Hashes without an owner in either table do not count. */
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -75,7 +75,7 @@
             startCluster(cluster, policy);
             LoadPlan plan = new LoadPlan(
                     ServiceCluster.SERVICE,
-                    true,
+                    /* keyed= */ true,
                     settings.ratePerSecond(),
                     settings.durationMs(),
                     settings.keys(),
@@ -83,9 +83,9 @@
                     settings.hotKeys(),
                     settings.hotChangeMs(),
                     WRITE_PERCENT,
-                    0,
+                    /* bodyBytes= */ 0,
                     DEADLINE_MS,
-                    0,
+                    /* maxRetries= */ 0,
                     seed);
             int firstTableIndex = Math.max(tables.tables().size() - 1, 0);
             try (LoadDriver driver = new LoadDriver(
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
@@ -32,13 +32,13 @@
     }
 
     private void recordTables() {
-        Revision after = Revision.NONE;
+        Revision afterRevision = Revision.NONE;
         while (!closed) {
             try {
-                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, after, WATCH_WAIT_MS)
+                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, afterRevision, WATCH_WAIT_MS)
                         .join();
                 batch.changes().forEach(this::addTable);
-                after = batch.upTo();
+                afterRevision = batch.upTo();
             } catch (CompletionException e) {
                 Await.sleep(RETRY_DELAY_MS);
             }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
@@ -13,7 +13,7 @@
  * @param repeatable whether the operation is idempotent, so that executing it more than once is allowed
  * @param intendedNanos time at which the call was scheduled to start
  * @param endedNanos time at which the response arrived or the call failed
- * @param resultCode number of the result code; {@link #NO_ANSWER} if the call failed without one
+ * @param resultCode number of the result code; {@link #NO_ANSWER}, -1, if the call failed without one
  * @param outcome outcome stated by the response; empty if there was no response or it stated none
  * @param foreignAnswer whether the response belongs to another request
  */
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -104,7 +104,7 @@
                 unavailableNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
                 seconds.stream()
                         .mapToDouble(SecondStats::imbalance)
-                        .filter(v -> v > 0)
+                        .filter(imbalance -> imbalance > 0)
                         .average()
                         .orElse(0),
                 seconds,
@@ -152,20 +152,22 @@
 
     private static List<SecondStats> perSecondStats(
             long startedNanos, List<CallRecord> calls, List<Execution> executions) {
-        Map<Long, long[]> counts = new TreeMap<>();
+        Map<Long, long[]> callCountsBySecond = new TreeMap<>();
         for (CallRecord call : calls) {
             long second = (call.intendedNanos() - startedNanos) / (long) NANOS_PER_SECOND;
-            counts.computeIfAbsent(second, s -> new long[2])[call.succeeded() ? 0 : 1]++;
+            callCountsBySecond.computeIfAbsent(second, s -> new long[2])[call.succeeded() ? 0 : 1]++;
         }
-        Map<Long, Map<String, Long>> perServer = new HashMap<>();
+        Map<Long, Map<String, Long>> executionsBySecondAndServer = new HashMap<>();
         long servers = executions.stream().map(Execution::server).distinct().count();
         for (Execution execution : executions) {
             long second = Math.floorDiv(execution.endNanos() - startedNanos, (long) NANOS_PER_SECOND);
-            perServer.computeIfAbsent(second, s -> new HashMap<>()).merge(execution.server(), 1L, Long::sum);
+            executionsBySecondAndServer
+                    .computeIfAbsent(second, s -> new HashMap<>())
+                    .merge(execution.server(), 1L, Long::sum);
         }
         List<SecondStats> seconds = new ArrayList<>();
-        counts.forEach((second, count) ->
-                seconds.add(new SecondStats(second, count[0], count[1], imbalance(perServer.get(second), servers))));
+        callCountsBySecond.forEach((second, callCounts) -> seconds.add(new SecondStats(
+                second, callCounts[0], callCounts[1], imbalance(executionsBySecondAndServer.get(second), servers))));
         return seconds;
     }
 
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -30,12 +30,21 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_RESPONSE_BODY_BYTES = 16_777_216;
     private static final long IDLE_TIMEOUT_MS = 60_000;
+
+    /** Time after the deadline of a request for which the client still waits for the response. */
     private static final long CLIENT_TIMEOUT_MARGIN_MS = 1_000;
+
     private static final long DEFAULT_RETRY_AFTER_MS = 100;
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final int STATUS_OK = 200;
     private static final int STATUS_SERVER_ERROR = 500;
+
+    /** Range of the result codes that report an error of the request itself. */
     private static final int FIRST_REQUEST_ERROR_CODE = 100;
+
     private static final int LAST_REQUEST_ERROR_CODE = 199;
+
+    /** For the last part of a wait the driver spins instead of parking. */
     private static final long SPIN_THRESHOLD_NANOS = 100_000;
 
     /** Creates the HTTP request of an attempt. */
@@ -78,7 +87,7 @@
         this.runId = "l" + Long.toString(System.nanoTime(), Character.MAX_RADIX) + "-" + plan.seed();
         HttpClientOptions options = new HttpClientOptions(
                 MAX_CONNECTIONS_PER_TARGET,
-                MAX_CONNECTIONS_PER_TARGET,
+                /* maxQueuedRequests= */ MAX_CONNECTIONS_PER_TARGET,
                 CONNECT_TIMEOUT_MS,
                 MAX_RESPONSE_BODY_BYTES,
                 IDLE_TIMEOUT_MS);
@@ -92,7 +101,7 @@
         startedNanos = System.nanoTime();
         long intendedNanos = startedNanos;
         long endNanos = startedNanos + TimeUnit.MILLISECONDS.toNanos(plan.durationMs());
-        double meanIntervalNanos = 1e9 / plan.ratePerSecond();
+        double meanIntervalNanos = NANOS_PER_SECOND / plan.ratePerSecond();
         for (long operation = 0; intendedNanos < endNanos; operation++) {
             waitUntil(intendedNanos);
             startOperation(operation, intendedNanos, keyChooser, random);
@@ -102,6 +111,7 @@
         return List.copyOf(callRecords);
     }
 
+    /** Returns the start of the run on the monotonic clock; valid after {@link #run} has started. */
     public long startedNanos() {
         return startedNanos;
     }
@@ -132,8 +142,8 @@
     }
 
     /**
-     * Returns whether a retry cannot change the result: after a success, an invalid request, or a lost outcome record,
-     * because the age of an idempotency key only increases.
+     * Returns whether a retry cannot change the result. This is so after a success, after an error of the request itself,
+     * and after a lost outcome record: the age of an idempotency key only increases, so its record stays lost.
      */
     private static boolean isFinal(CallRecord call) {
         int code = call.resultCode();
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadPlan.java
@@ -12,7 +12,7 @@
  * @param writePercent share of PUT requests, which the service treats as not idempotent; the others are GET requests
  * @param bodyBytes number of bytes added to the value of a PUT request
  * @param maxRetries largest number of retries of an operation that was not run or whose outcome is unknown
- * @param seed seed of keys, arrival times and methods
+ * @param seed seed of keys, arrival times, methods and targets
  */
 public record LoadPlan(
         String service,
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -77,7 +77,7 @@
     /** Queues a request, or rejects it immediately. */
     void submit(HttpRequest httpRequest, CompletableFuture<HttpResponse> response) {
         BackendRequest request = new BackendRequest(httpRequest, timers.clock().nowNanos(), response);
-        if (faults.isTriggered(FaultKind.CLOSED)) {
+        if (faults.triggers(FaultKind.CLOSED)) {
             response.completeExceptionally(HttpAbortException.withoutResponse());
             return;
         }
@@ -100,10 +100,10 @@
         if (draining) {
             return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "draining"));
         }
-        if (faults.isTriggered(FaultKind.DOWN)) {
+        if (faults.triggers(FaultKind.DOWN)) {
             return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "down"));
         }
-        if (faults.isTriggered(FaultKind.SHED) || queue.size() >= options.queueLimit()) {
+        if (faults.triggers(FaultKind.SHED) || queue.size() >= options.queueLimit()) {
             return Optional.of(Responses.notRun(STATUS_UNAVAILABLE, "overload"));
         }
         if (earlyCancellations.remove(request.id) != null) {
@@ -176,9 +176,9 @@
                 request.startWallMs,
                 System.currentTimeMillis()));
         removeRequest(request);
-        if (faults.isTriggered(FaultKind.UNANSWERED)) {
+        if (faults.triggers(FaultKind.UNANSWERED)) {
             request.response.completeExceptionally(HttpAbortException.withoutResponse());
-        } else if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
+        } else if (faults.triggers(FaultKind.CUT_ANSWER)) {
             request.response.completeExceptionally(HttpAbortException.midResponse(response));
         } else {
             request.response.complete(response);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -23,13 +23,17 @@
     final Generation fence;
     final HttpRequest httpRequest;
     final CompletableFuture<HttpResponse> response;
-    /** Empty if the request has no deadline. */
+    /** Time from arrival to the deadline; empty if the request has no deadline. */
     final Optional<Long> deadlineMs;
 
+    /** Deadline on the clock of the server; {@link Long#MAX_VALUE} if the request has none. */
     final long deadlineNanos;
 
+    /** Whether the request has taken effect or was rejected. */
     boolean done;
+    /** Whether the request occupies or has occupied a slot. */
     boolean running;
+
     long startOrder;
     long startNanos;
     long startWallMs;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendService.java
@@ -79,7 +79,7 @@
             } else if (request.path().startsWith("/control/")) {
                 response.complete(withClock(handleControl(request)));
             } else {
-                response.complete(withClock(handleReport(request)));
+                response.complete(withClock(handleStatusOrAdmin(request)));
             }
         } catch (IllegalArgumentException | CrankException e) {
             response.complete(Responses.notRun(400, "malformed"));
@@ -126,7 +126,8 @@
         return Responses.json(accepted ? 200 : 409, Map.of("sequence", engine.grantSequence()));
     }
 
-    private HttpResponse handleReport(HttpRequest request) {
+    /** Handles the health, load and ledger endpoints and the admin endpoints. */
+    private HttpResponse handleStatusOrAdmin(HttpRequest request) {
         return switch (request.method() + " " + request.path()) {
             case "GET /health" -> Responses.json(200, healthReporter.reportedHealth());
             case "GET /load" ->
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/FaultInjector.java
@@ -58,10 +58,11 @@
     /**
      * Returns whether a fault of a kind affects the current request; decrements the remaining count of a counted fault.
      */
-    public boolean isTriggered(FaultKind kind) {
+    public boolean triggers(FaultKind kind) {
         return trigger(kind).isPresent();
     }
 
+    /** Returns the active faults and removes expired ones. */
     public List<Fault> activeFaults() {
         activeFaults.values().removeIf(activeFault -> clock.nowMs() >= activeFault.endsAtMs);
         return activeFaults.values().stream().map(ActiveFault::fault).toList();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/GrantTable.java
@@ -28,6 +28,7 @@
         this.capabilities = capabilities.isEmpty() ? EnumSet.noneOf(Capability.class) : EnumSet.copyOf(capabilities);
     }
 
+    /** Returns the sequence number of the current grant; 0 before the first grant. */
     long sequence() {
         return sequence;
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/HealthReporter.java
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Sets a fixed state to report; empty to report the actual state again. */
+    /** Sets a fixed state to report, or with an empty argument reports the actual state again. */
     void setFixedHealth(Optional<BackendHealth> health) {
         fixedHealth = health;
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Ledger.java
@@ -16,6 +16,7 @@
  */
 public final class Ledger implements AutoCloseable {
     private static final int MAX_ENTRIES_IN_MEMORY = 100_000;
+    private static final int INITIAL_LINE_BYTES = 256;
 
     private final Deque<byte[]> recentLines = new ArrayDeque<>();
     private final OutputStream fileOutput;
@@ -31,7 +32,7 @@
     }
 
     public void append(LedgerEntry entry) {
-        ByteArrayOutputStream line = new ByteArrayOutputStream(256);
+        ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
         line.writeBytes(JsonCodec.encode(entry));
         line.write('\n');
         byte[] bytes = line.toByteArray();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreService.java
@@ -112,6 +112,7 @@
         }
     }
 
+    /** Handles a request for objects; injected faults apply only to these requests. */
     private void handleData(
             HttpRequest request,
             QueryStringDecoder target,
@@ -128,10 +129,10 @@
             default -> write(operation, request, objectName(target), response);
         };
         requestCounts.merge(operation, 1L, Long::sum);
-        if (faults.isTriggered(FaultKind.DOWN) || faults.isTriggered(FaultKind.SHED)) {
+        if (faults.triggers(FaultKind.DOWN) || faults.triggers(FaultKind.SHED)) {
             refusedRequests++;
             response.complete(Responses.notRun(503, "down"));
-        } else if (faults.isTriggered(FaultKind.CLOSED)) {
+        } else if (faults.triggers(FaultKind.CLOSED)) {
             refusedRequests++;
             response.completeExceptionally(HttpAbortException.withoutResponse());
         } else {
@@ -198,7 +199,7 @@
                 return;
             }
             HttpResponse writeResponse = apply(name, write);
-            if (faults.isTriggered(FaultKind.UNANSWERED)) {
+            if (faults.triggers(FaultKind.UNANSWERED)) {
                 response.completeExceptionally(HttpAbortException.withoutResponse());
             } else {
                 respond(response, writeResponse);
@@ -207,7 +208,7 @@
     }
 
     private void respond(CompletableFuture<HttpResponse> response, HttpResponse content) {
-        if (faults.isTriggered(FaultKind.CUT_ANSWER)) {
+        if (faults.triggers(FaultKind.CUT_ANSWER)) {
             response.completeExceptionally(HttpAbortException.midResponse(content));
         } else {
             response.complete(content);
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/ValueMap.java
@@ -49,7 +49,7 @@
     private static byte[] append(byte[] existing, byte[] added) {
         byte[] combined = Arrays.copyOf(existing, existing.length + added.length);
         System.arraycopy(added, 0, combined, existing.length, added.length);
-        int surplus = combined.length - MAX_APPENDED_BYTES;
-        return surplus <= 0 ? combined : Arrays.copyOfRange(combined, surplus, combined.length);
+        int excessBytes = combined.length - MAX_APPENDED_BYTES;
+        return excessBytes <= 0 ? combined : Arrays.copyOfRange(combined, excessBytes, combined.length);
     }
 }
