--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
@@ -28,6 +28,9 @@
             {"id":"first","basedOn":0,"add":{"services":[{"name":"counter-desk","keyed":true}]}}""";
     private static final int EXIT_NOTE_REJECTED = 3;
     private static final int EXIT_NOT_IN_FORCE = 5;
+    private static final int EXIT_STORE_UNAVAILABLE = 6;
+    private static final long VALID_LEASE_MS = 900;
+    private static final long EXPIRED_LEASE_MS = -5;
 
     @TempDir
     Path directory;
@@ -41,7 +44,9 @@
         CommandResult result = cluster.run("note submit --json=true --wait-ms=0", FIRST_NOTE);
         revision = result.json().path("result").path("revision").asLong();
         cluster.setDaemonStatus(
-                revision, 900, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
+                revision,
+                VALID_LEASE_MS,
+                List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
     }
 
     @AfterEach
@@ -185,21 +190,24 @@
             @Override
             void applyTo(CtlTestCluster cluster) {
                 cluster.setDaemonStatus(
-                        1, -5, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
+                        1,
+                        EXPIRED_LEASE_MS,
+                        List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, CtlTestCluster.OWNER_FENCE)));
             }
         },
         OTHER_FENCE("not served now: the owner does not serve the range yet") {
             @Override
             void applyTo(CtlTestCluster cluster) {
                 cluster.setDaemonStatus(
-                        1, 900, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, new Generation(2))));
+                        1, VALID_LEASE_MS, List.of(new ServingRange(CtlTestCluster.OWNED_RANGE, new Generation(2))));
             }
         },
         OTHER_RANGE("not served now: the owner does not serve the range yet") {
             @Override
             void applyTo(CtlTestCluster cluster) {
                 KeyRange lastHashOnly = new KeyRange(KeyHash.MAX, KeyHash.MAX);
-                cluster.setDaemonStatus(1, 900, List.of(new ServingRange(lastHashOnly, CtlTestCluster.OWNER_FENCE)));
+                cluster.setDaemonStatus(
+                        1, VALID_LEASE_MS, List.of(new ServingRange(lastHashOnly, CtlTestCluster.OWNER_FENCE)));
             }
         },
         DAEMON_UNAVAILABLE("not served now: the daemon of the owner does not answer") {
--- a/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
+++ b/org.coriandercrank.load.test/src/test/java/org/coriandercrank/load/internal/LoadPlanTest.java
@@ -25,7 +25,20 @@
     private static final int DRAWN_KEYS = 4_000;
 
     private static LoadPlan plan(long seed) {
-        return new LoadPlan("counter-desk", true, 100, 1_000, 1_000, 1.2, HOT_KEYS, 1_000, 20, 0, 500, 0, seed);
+        return new LoadPlan(
+                "counter-desk",
+                /* keyed= */ true,
+                /* ratePerSecond= */ 100,
+                /* durationMs= */ 1_000,
+                /* keys= */ 1_000,
+                /* zipfExponent= */ 1.2,
+                HOT_KEYS,
+                /* hotChangeMs= */ 1_000,
+                /* writePercent= */ 20,
+                /* bodyBytes= */ 0,
+                /* deadlineMs= */ 500,
+                /* maxRetries= */ 0,
+                seed);
     }
 
     private static List<String> drawKeys(LoadPlan plan) {
