--- a/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
+++ b/org.coriandercrank.ctl.test/src/test/java/org/coriandercrank/ctl/CrankCtlTest.java
@@ -307,7 +307,7 @@
         cluster.stopStore();
 
         assertThat(cluster.run("note submit", noteText("n", revision)).exitCode())
-                .isEqualTo(6);
+                .isEqualTo(EXIT_STORE_UNAVAILABLE);
         assertThat(cluster.run("status --json=true").json().path("name").asText())
                 .isEqualTo("STORE_UNAVAILABLE");
     }
