--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/CtlSettings.java
@@ -34,7 +34,7 @@
             usage = "time after which submitting a note ends although its outcome is unknown")
     private long submitTimeoutMs = 15_000;
 
-    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "timeout of a store request")
+    @Option(name = "--store-timeout-ms", metaVar = "MS", usage = "timeout of a call to the store")
     private long storeTimeoutMs = 2_000;
 
     @Option(name = "--note", metaVar = "ID", usage = "id of a release note")
