--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlStatus.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlStatus.java
@@ -11,7 +11,7 @@
  * Status of the control plane, as shown to operators. Immutable.
  *
  * @param joined whether the record of this incarnation is known to be in the store
- * @param leaseRemainingMs 0 if the lease is not valid
+ * @param leaseRemainingMs time in milliseconds until the lease expires; 0 if the lease is not valid
  * @param relay whether this daemon considers itself the relay of its region
  * @param watching whether this daemon watches the store, as relay or as fallback
  * @param configurationRevision revision of the configuration in force on this daemon
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ClusterView.java
@@ -138,10 +138,10 @@
     }
 
     /** Applies a member record that this daemon has just written or read. */
-    public void applyMember(VersionedMember known) {
-        Member member = known.member();
+    public void applyMember(VersionedMember versionedMember) {
+        Member member = versionedMember.member();
         StoredObject object =
-                StoredObject.of(ObjectNames.member(member.id()), known.revision(), JsonCodec.encode(member));
+                StoredObject.of(ObjectNames.member(member.id()), versionedMember.revision(), JsonCodec.encode(member));
         if (caches.get(FetchObject.Kind.MEMBERS).applySingle(object)) {
             decode(FetchObject.Kind.MEMBERS, object);
             publish(snapshot.self());
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -194,25 +194,25 @@
     }
 
     private void tick() {
-        long now = context.nowNanos();
-        long gapNanos = now - lastTickNanos;
-        lastTickNanos = now;
+        long nowNanos = context.nowNanos();
+        long gapNanos = nowNanos - lastTickNanos;
+        lastTickNanos = nowNanos;
         if (gapNanos > MIN_PAUSE_NANOS) {
             context.log(() ->
                     "event=control-pause gapMs=" + gapNanos / NANOS_PER_MS + " leaseRemainingMs=" + leaseRemainingMs());
             membership.processResumed(context.leaseNowNanos());
-            takeovers.processResumed(now);
+            takeovers.processResumed(nowNanos);
         }
         if (joinRequested) {
             membership.tick(context.leaseNowNanos());
         }
         if (dissemination.isListed()) {
-            takeovers.tick(now);
+            takeovers.tick(nowNanos);
             if (membership.isJoined() && membership.mayResume()) {
                 predecessors.tick(membership.id());
             }
         }
-        dissemination.tick(membership.desired(), membership.suspects(), now);
+        dissemination.tick(membership.desired(), membership.suspects(), nowNanos);
         status = buildStatus();
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -89,12 +89,12 @@
         this.view = view;
         this.metrics = metrics;
         this.fallbackRankOffset = context.random().nextInt(MAX_FALLBACK_RANK);
-        long now = context.nowNanos();
-        lastAdvanceNanos = now;
-        lastPeerAdvanceNanos = now;
-        startedNanos = now;
+        long nowNanos = context.nowNanos();
+        lastAdvanceNanos = nowNanos;
+        lastPeerAdvanceNanos = nowNanos;
+        startedNanos = nowNanos;
         for (FetchObject.Kind kind : FetchObject.Kind.values()) {
-            syncStates.put(kind, new SyncState(kind, now));
+            syncStates.put(kind, new SyncState(kind, nowNanos));
         }
     }
 
@@ -246,11 +246,11 @@
 
     private void storeAnswered(SyncState sync, WatchBatch batch) {
         sync.retryMs = INITIAL_RETRY_MS;
-        long now = context.nowNanos();
-        sync.retryAtNanos = now;
+        long nowNanos = context.nowNanos();
+        sync.retryAtNanos = nowNanos;
         ObjectData data = new ObjectData(sync.kind, batch.upTo(), batch.reset(), batch.changes());
-        if (!apply(sync.kind, data, now) && isWatching()) {
-            storeUnchanged(now);
+        if (!apply(sync.kind, data, nowNanos) && isWatching()) {
+            storeUnchanged(nowNanos);
         }
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -85,12 +85,12 @@
         this.dissemination = dissemination;
         this.metrics = metrics;
         this.incarnationListener = incarnationListener;
-        long now = context.leaseNowNanos();
-        this.startedNanos = now;
-        this.validUntilNanos = now;
-        this.observedSinceNanos = now;
-        this.lastReviewNanos = now;
-        this.nextRebalanceNanos = now + rebalanceDelayNanos();
+        long nowNanos = context.leaseNowNanos();
+        this.startedNanos = nowNanos;
+        this.validUntilNanos = nowNanos;
+        this.observedSinceNanos = nowNanos;
+        this.lastReviewNanos = nowNanos;
+        this.nextRebalanceNanos = nowNanos + rebalanceDelayNanos();
         this.desired = new Member(
                 id,
                 context.identity().peerAddress(),
@@ -289,16 +289,16 @@
      * the start of the observation.
      */
     private long lastContactNanos(MemberId witness) {
-        long latest = observedSinceNanos;
-        Long selected = selectedAtNanos.get(witness);
-        if (selected != null && selected - latest > 0) {
-            latest = selected;
+        long latestNanos = observedSinceNanos;
+        Long selectedNanos = selectedAtNanos.get(witness);
+        if (selectedNanos != null && selectedNanos - latestNanos > 0) {
+            latestNanos = selectedNanos;
         }
-        OptionalLong voted = lastVoteNanos(witness);
-        if (voted.isPresent() && voted.getAsLong() - latest > 0) {
-            latest = voted.getAsLong();
+        OptionalLong votedNanos = lastVoteNanos(witness);
+        if (votedNanos.isPresent() && votedNanos.getAsLong() - latestNanos > 0) {
+            latestNanos = votedNanos.getAsLong();
         }
-        return latest;
+        return latestNanos;
     }
 
     private void updateSelectionTimes(long nowNanos) {
@@ -372,27 +372,27 @@
                         .put(ObjectNames.member(id), JsonCodec.encode(write.record()), write.expected()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
-                    long now = context.leaseNowNanos();
+                    long nowNanos = context.leaseNowNanos();
                     if (failure == null) {
-                        perform(lease.writeSucceeded(write.operation(), revision, now));
+                        perform(lease.writeSucceeded(write.operation(), revision, nowNanos));
                         view.applyMember(new VersionedMember(write.record(), revision));
                         recordConfirmed();
                     } else {
-                        writeFailed(lease, write, failure, now);
+                        writeFailed(lease, write, failure, nowNanos);
                     }
                 });
     }
 
-    private void writeFailed(LeaseHolder lease, HolderAction.WriteRecord write, CrankException failure, long now) {
+    private void writeFailed(LeaseHolder lease, HolderAction.WriteRecord write, CrankException failure, long nowNanos) {
         context.log(() ->
                 "event=record-write-failed member=" + id + " expected=" + write.expected() + " code=" + failure.code());
         if (failure.code() == ResultCode.STORE_UNAVAILABLE) {
-            lease.writeFailed(write.operation(), now);
+            lease.writeFailed(write.operation(), nowNanos);
             perform(List.of());
         } else if (failure.code() == ResultCode.REVISION_CONFLICT) {
-            perform(lease.writeConflicted(write.operation(), now));
+            perform(lease.writeConflicted(write.operation(), nowNanos));
         } else {
-            perform(lease.writeUnanswered(write.operation(), now));
+            perform(lease.writeUnanswered(write.operation(), nowNanos));
         }
     }
 
@@ -405,13 +405,13 @@
                         .thenApply(object -> object.map(Membership::decode)),
                 context.options().storeTimeoutMs(),
                 (found, failure) -> {
-                    long now = context.leaseNowNanos();
+                    long nowNanos = context.leaseNowNanos();
                     if (failure != null) {
-                        lease.readFailed(read.operation(), now);
+                        lease.readFailed(read.operation(), nowNanos);
                         return;
                     }
                     found.ifPresent(view::applyMember);
-                    perform(lease.readSucceeded(read.operation(), found, now));
+                    perform(lease.readSucceeded(read.operation(), found, nowNanos));
                     recordConfirmed();
                 });
     }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -113,14 +113,14 @@
 
     /** Passes newer records to the running takeovers and drops those that this daemon may no longer carry out. */
     public void viewChanged(RoutingSnapshot snapshot) {
-        long now = context.nowNanos();
+        long nowNanos = context.nowNanos();
         for (Takeover takeover : List.copyOf(running.values())) {
             MemberId member = takeover.target().member().id();
             VersionedMember memberRecord = snapshot.members().get(member);
             if (memberRecord == null || !mayTakeOver(memberRecord.member())) {
                 running.remove(member);
             } else {
-                takeover.recordUpdated(memberRecord, now);
+                takeover.recordUpdated(memberRecord, nowNanos);
                 removeIfDone(takeover);
             }
         }
@@ -159,13 +159,13 @@
      * the only one for a member without witnesses.
      */
     private long lastContactNanos(MemberId member) {
-        long latest = observedSinceNanos;
+        long latestNanos = observedSinceNanos;
         for (OptionalLong candidate : List.of(view.revisionSeenNanos(member), witnessService.lastAckNanos(member))) {
-            if (candidate.isPresent() && candidate.getAsLong() - latest > 0) {
-                latest = candidate.getAsLong();
+            if (candidate.isPresent() && candidate.getAsLong() - latestNanos > 0) {
+                latestNanos = candidate.getAsLong();
             }
         }
-        return latest;
+        return latestNanos;
     }
 
     private void start(VersionedMember memberRecord, long nowNanos) {
@@ -275,11 +275,11 @@
                         .thenApply(object -> object.map(Membership::decode)),
                 context.options().storeTimeoutMs(),
                 (found, failure) -> {
-                    long now = context.nowNanos();
+                    long nowNanos = context.nowNanos();
                     if (failure != null) {
-                        takeover.storeFailed(read.operation(), now);
+                        takeover.storeFailed(read.operation(), nowNanos);
                     } else {
-                        takeover.readSucceeded(read.operation(), found, now);
+                        takeover.readSucceeded(read.operation(), found, nowNanos);
                         found.ifPresent(view::applyMember);
                     }
                     removeIfDone(takeover);
--- a/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
+++ b/org.coriandercrank.ingress.test/src/test/java/org/coriandercrank/ingress/OutcomeFaultTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests the outcome that a caller is told after each failure of a forwarded request, for repeatable and non-repeatable
- * methods and each result of the outcome query.
+ * Tests the outcome that is reported to the caller after each failure of a forwarded request, for repeatable and
+ * non-repeatable methods and each result of the outcome query.
  */
 class OutcomeFaultTest {
     /** Results of the outcome queries of one request. {@code NONE} stands for a case without queries. */
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/Balancer.java
@@ -164,8 +164,8 @@
 
     private static List<EligibleServer> findEligible(RoutingSnapshot snapshot, ServiceName service) {
         List<EligibleServer> result = new ArrayList<>();
-        for (VersionedMember known : snapshot.members().values()) {
-            Member member = known.member();
+        for (VersionedMember versionedMember : snapshot.members().values()) {
+            Member member = versionedMember.member();
             Optional<BackendInfo> backend =
                     member.backend().filter(b -> b.service().equals(service));
             if (member.state() != MemberState.ACTIVE || backend.isEmpty()) {
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/backend/BackendServer.java
@@ -46,7 +46,7 @@
         return false;
     }
 
-    /** Tells the server that it will receive no new requests. */
+    /** Notifies the server that it will receive no new requests. */
     CompletableFuture<Void> drain();
 
     /** Asks the server for its health. */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/MemberId.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/id/MemberId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Identifies one incarnation of a daemon; a restarted daemon gets a new id.
+ * Identifies one incarnation of a daemon; a restarted daemon gets a new id, unless it resumes its previous incarnation.
  *
  * <p>Immutable. The value has 1 to 96 characters of {@code [A-Za-z0-9._-]}.
  */
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeAnswer.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/OutcomeAnswer.java
@@ -17,7 +17,7 @@
         RUNNING,
         /** The request was never admitted, and from now on the gate rejects its id. */
         BARRED,
-        /** The records of the gate do not go back far enough to tell. */
+        /** The records of the gate do not go back far enough to determine the state. */
         UNKNOWN
     }
 
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/package-info.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/table/package-info.java
@@ -1,2 +1,2 @@
-/** Members of the fleet and assignment tables of services. */
+/** Members of the cluster and assignment tables of services. */
 package org.coriandercrank.kernel.table;
--- a/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
+++ b/org.coriandercrank.lease.test/src/test/java/org/coriandercrank/lease/test/LeaseSimulation.java
@@ -85,7 +85,7 @@
         holderPartitions = randomIntervals(3, MAX_PARTITION_MS);
         holder = new LeaseHolder(TIMING, member(randomWitnesses(witnessCount)), holderProcess.localNanos(0));
         schedulePauses();
-        schedulePeriodically(holderProcess, () -> performHolder(holder.tick(holderNow())));
+        schedulePeriodically(holderProcess, () -> performHolder(holder.tick(holderNowNanos())));
         for (int i = 0; i < TAKERS; i++) {
             int taker = i;
             takeovers.add(Optional.empty());
@@ -129,7 +129,7 @@
         }
     }
 
-    private long holderNow() {
+    private long holderNowNanos() {
         return holderProcess.localNanos(nowNanos);
     }
 
@@ -143,16 +143,16 @@
                         holderProcess,
                         write.record(),
                         write.expected(),
-                        revision -> performHolder(holder.writeSucceeded(operation, revision, holderNow())),
-                        () -> performHolder(holder.writeConflicted(operation, holderNow())),
-                        () -> holder.writeFailed(operation, holderNow()),
-                        () -> performHolder(holder.writeUnanswered(operation, holderNow())));
+                        revision -> performHolder(holder.writeSucceeded(operation, revision, holderNowNanos())),
+                        () -> performHolder(holder.writeConflicted(operation, holderNowNanos())),
+                        () -> holder.writeFailed(operation, holderNowNanos()),
+                        () -> performHolder(holder.writeUnanswered(operation, holderNowNanos())));
             } else if (action instanceof HolderAction.ReadRecord read) {
                 long operation = read.operation();
                 storeRead(
                         holderProcess,
-                        found -> performHolder(holder.readSucceeded(operation, found, holderNow())),
-                        () -> holder.readFailed(operation, holderNow()));
+                        found -> performHolder(holder.readSucceeded(operation, found, holderNowNanos())),
+                        () -> holder.readFailed(operation, holderNowNanos()));
             }
         }
     }
@@ -166,8 +166,8 @@
                     .acceptHeartbeat(holder.desired().id(), heartbeat.recordRevision(), process.localNanos(nowNanos));
             sendMessage(
                     holderProcess,
-                    () -> performHolder(
-                            holder.heartbeatAnswered(heartbeat.witness(), heartbeat.sequence(), granted, holderNow())));
+                    () -> performHolder(holder.heartbeatAnswered(
+                            heartbeat.witness(), heartbeat.sequence(), granted, holderNowNanos())));
         });
     }
 
@@ -176,7 +176,7 @@
             store.read().ifPresent(found -> deliverRecordLater(taker, found));
             return;
         }
-        performTakeover(taker, takeovers.get(taker).get().tick(takerNow(taker)));
+        performTakeover(taker, takeovers.get(taker).get().tick(takerNowNanos(taker)));
     }
 
     /** Delivers the record to the taker after a delay, so that the taker may work with an outdated record. */
@@ -184,14 +184,14 @@
         if (random.nextInt(20) == 0) {
             schedule(nowNanos + messageDelayNanos(), processes.get(taker), () -> {
                 if (takeovers.get(taker).isEmpty()) {
-                    long now = takerNow(taker);
-                    takeovers.set(taker, Optional.of(new Takeover(TIMING, found, now, now)));
+                    long nowLocalNanos = takerNowNanos(taker);
+                    takeovers.set(taker, Optional.of(new Takeover(TIMING, found, nowLocalNanos, nowLocalNanos)));
                 }
             });
         }
     }
 
-    private long takerNow(int taker) {
+    private long takerNowNanos(int taker) {
         return processes.get(taker).localNanos(nowNanos);
     }
 
@@ -207,16 +207,16 @@
                         process,
                         seal.sealed(),
                         seal.expected(),
-                        revision -> takeover.sealSucceeded(operation, revision, takerNow(taker)),
-                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNow(taker))),
-                        () -> takeover.storeFailed(operation, takerNow(taker)),
-                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNow(taker))));
+                        revision -> takeover.sealSucceeded(operation, revision, takerNowNanos(taker)),
+                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNowNanos(taker))),
+                        () -> takeover.storeFailed(operation, takerNowNanos(taker)),
+                        () -> performTakeover(taker, takeover.sealNotConfirmed(operation, takerNowNanos(taker))));
             } else if (action instanceof TakeoverAction.ReadRecord read) {
                 long operation = read.operation();
                 storeRead(
                         process,
-                        found -> takeover.readSucceeded(operation, found, takerNow(taker)),
-                        () -> takeover.storeFailed(operation, takerNow(taker)));
+                        found -> takeover.readSucceeded(operation, found, takerNowNanos(taker)),
+                        () -> takeover.storeFailed(operation, takerNowNanos(taker)));
             }
         }
     }
@@ -228,14 +228,18 @@
             Witness.RefusalDecision decision =
                     witnesses.get(index).requestRefusal(holder.desired().id(), revision, process.localNanos(nowNanos));
             if (decision.granted()) {
-                sendMessage(holderProcess, () -> performHolder(holder.refusalReceived(revision, holderNow())));
+                sendMessage(holderProcess, () -> performHolder(holder.refusalReceived(revision, holderNowNanos())));
             }
             sendMessage(processes.get(taker), () -> {
                 Takeover takeover = takeovers.get(taker).orElseThrow();
                 performTakeover(
                         taker,
                         takeover.refusalAnswered(
-                                witness, revision, decision.granted(), decision.retryAfterNanos(), takerNow(taker)));
+                                witness,
+                                revision,
+                                decision.granted(),
+                                decision.retryAfterNanos(),
+                                takerNowNanos(taker)));
             });
         });
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -88,11 +88,12 @@
         if (ended || confirmed.isEmpty() || desired.state() == MemberState.SEALED) {
             return startNanos;
         }
-        long until = votes.validUntilNanos(confirmed.get().member().witnesses());
+        long untilNanos = votes.validUntilNanos(confirmed.get().member().witnesses());
         for (PendingWrite write : pendingWrites) {
-            until = Nanos.earlier(until, votes.validUntilNanos(write.record().witnesses()));
+            untilNanos = Nanos.earlier(
+                    untilNanos, votes.validUntilNanos(write.record().witnesses()));
         }
-        return until;
+        return untilNanos;
     }
 
     /** Returns the latest record that the store is known to have held; empty before the first confirmed write. */
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/VoteTable.java
@@ -71,8 +71,8 @@
 
     /** Returns when the heartbeat was sent that the witness acknowledged last. */
     OptionalLong lastVoteNanos(MemberId witness) {
-        Long voted = voteSentNanos.get(witness);
-        return voted == null ? OptionalLong.empty() : OptionalLong.of(voted);
+        Long sentNanos = voteSentNanos.get(witness);
+        return sentNanos == null ? OptionalLong.empty() : OptionalLong.of(sentNanos);
     }
 
     /** Discards the votes of all members that are not in the set. */
@@ -94,8 +94,8 @@
         long[] untilNanos = new long[witnesses.size() + 1];
         untilNanos[0] = storeUntilNanos;
         for (int i = 0; i < witnesses.size(); i++) {
-            Long voted = voteSentNanos.get(witnesses.get(i));
-            untilNanos[i + 1] = voted == null ? startNanos : voted + timing.ttlNanos();
+            Long sentNanos = voteSentNanos.get(witnesses.get(i));
+            untilNanos[i + 1] = sentNanos == null ? startNanos : sentNanos + timing.ttlNanos();
         }
         return kthLatest(untilNanos, Quorum.majority(witnesses.size()));
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -118,9 +118,9 @@
         Entry entry = oldest.next().getValue();
         oldest.remove();
         if (entry.lastAckNanos.isPresent()) {
-            long ack = entry.lastAckNanos.getAsLong();
-            evictedAckNanos =
-                    OptionalLong.of(evictedAckNanos.isPresent() ? Nanos.later(ack, evictedAckNanos.getAsLong()) : ack);
+            long ackNanos = entry.lastAckNanos.getAsLong();
+            evictedAckNanos = OptionalLong.of(
+                    evictedAckNanos.isPresent() ? Nanos.later(ackNanos, evictedAckNanos.getAsLong()) : ackNanos);
         }
         if (entry.refusedUpTo.isNewerThan(evictedRefusal)) {
             evictedRefusal = entry.refusedUpTo;
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerNetwork.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerNetwork.java
@@ -26,18 +26,18 @@
     /**
      * Starts listening. Blocks until the port is bound.
      *
-     * @param listen address to listen on; port 0 selects a free port
+     * @param listenAddress address to listen on; port 0 selects a free port
      * @param self member id of this daemon, read for each new connection
      */
     public PeerNetwork(
             EventLoopGroup group,
-            HostAddress listen,
+            HostAddress listenAddress,
             Supplier<MemberId> self,
             PeerHandlers handlers,
             PeerOptions options,
             MeterRegistry metrics) {
-        listener = new PeerListener(group, listen, self, handlers, metrics);
-        links = new LinkTable(group, self, listen.ip(), options, metrics);
+        listener = new PeerListener(group, listenAddress, self, handlers, metrics);
+        links = new LinkTable(group, self, listenAddress.ip(), options, metrics);
     }
 
     /** The bound address, with the selected port. */
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerListener.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/internal/PeerListener.java
@@ -20,16 +20,16 @@
 /** Accepts connections from other daemons. Thread safe. */
 public final class PeerListener implements AutoCloseable {
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final Channel listener;
+    private final Channel listenChannel;
 
     public PeerListener(
             EventLoopGroup group,
-            HostAddress listen,
+            HostAddress listenAddress,
             Supplier<MemberId> self,
             PeerHandlers handlers,
             MeterRegistry metrics) {
         TrafficMeter meter = new TrafficMeter(metrics);
-        listener = new ServerBootstrap()
+        listenChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -43,20 +43,20 @@
                                 .addLast(new InboundConnection(self.get(), handlers));
                     }
                 })
-                .bind(listen.ip(), listen.port())
+                .bind(listenAddress.ip(), listenAddress.port())
                 .syncUninterruptibly()
                 .channel();
     }
 
     /** The bound address. */
     public HostAddress address() {
-        InetSocketAddress bound = (InetSocketAddress) listener.localAddress();
+        InetSocketAddress bound = (InetSocketAddress) listenChannel.localAddress();
         return new HostAddress(bound.getAddress().getHostAddress(), bound.getPort());
     }
 
     @Override
     public void close() {
-        listener.close().syncUninterruptibly();
+        listenChannel.close().syncUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 }
