--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientOptions.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpClientOptions.java
@@ -7,7 +7,8 @@
  * @param maxQueuedRequests largest number of requests in that queue; one more fails immediately
  * @param connectTimeoutMs time allowed for opening a connection
  * @param maxBodyBytes largest accepted response body; a larger one closes the connection
- * @param idleTimeoutMs time after which an unused connection is closed
+ * @param idleTimeoutMs time after its last response after which an unused connection is closed; a connection that has
+ *     only been opened in advance stays open
  * @param responseMatcher checks whether a response belongs to the request in progress
  */
 public record HttpClientOptions(
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/balancing/OutlierDetector.java
@@ -74,7 +74,7 @@
         return health != null && health.excluded;
     }
 
-    /** Allows one probe of an excluded server if the probe interval since the previous probe has passed. */
+    /** Allows one probe of an excluded server if the probe interval since its exclusion or previous probe has passed. */
     public boolean tryProbe(MemberId member, long nowNanos) {
         ServerHealth health = servers.get(member);
         if (health == null || !health.excluded || nowNanos - health.nextProbeNanos < 0) {
--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
@@ -5,7 +5,8 @@
  *
  * @param connectTimeoutMs maximum time until a connection is established
  * @param pingAfterSilenceMs a connection with outstanding calls is pinged after receiving nothing for this time
- * @param silenceTimeoutMs a connection with outstanding calls is closed after receiving nothing for this time
+ * @param silenceTimeoutMs a connection with outstanding calls or an incomplete handshake is closed after receiving
+ *     nothing for this time
  * @param idleTimeoutMs a connection without outstanding calls is closed after sending nothing for this time
  * @param maxOutstandingCalls maximum number of outstanding calls for each connection; further calls fail immediately
  */
