--- a/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
+++ b/org.coriandercrank.peer/src/main/java/org/coriandercrank/peer/PeerOptions.java
@@ -17,16 +17,16 @@
         long idleTimeoutMs,
         int maxOutstandingCalls) {
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 500;
-    private static final long DEFAULT_PING_AFTER_MS = 250;
-    private static final long DEFAULT_CLOSE_AFTER_MS = 750;
-    private static final long DEFAULT_IDLE_CLOSE_MS = 60_000;
+    private static final long DEFAULT_PING_AFTER_SILENCE_MS = 250;
+    private static final long DEFAULT_SILENCE_TIMEOUT_MS = 750;
+    private static final long DEFAULT_IDLE_TIMEOUT_MS = 60_000;
     private static final int DEFAULT_MAX_OUTSTANDING_CALLS = 10_000;
 
     public static final PeerOptions DEFAULTS = new PeerOptions(
             DEFAULT_CONNECT_TIMEOUT_MS,
-            DEFAULT_PING_AFTER_MS,
-            DEFAULT_CLOSE_AFTER_MS,
-            DEFAULT_IDLE_CLOSE_MS,
+            DEFAULT_PING_AFTER_SILENCE_MS,
+            DEFAULT_SILENCE_TIMEOUT_MS,
+            DEFAULT_IDLE_TIMEOUT_MS,
             DEFAULT_MAX_OUTSTANDING_CALLS);
 
     public PeerOptions {
