--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -68,20 +68,20 @@
         List<RangeEntry> active = activeOverlapping(range);
         for (RangeEntry entry : active) {
             if (entry.fence().equals(fence) && entry.range().contains(range)) {
-                context.logDecision(() -> logLine("acquire-repeated", range, fence));
+                context.logDecision(() -> line("acquire-repeated", range, fence));
                 return entry.acquired();
             }
         }
         CrankException refusal = refusal(range, fence, active);
         if (refusal != null) {
-            context.logDecision(() -> logLine("acquire-refused", range, fence) + " code=" + refusal.code());
+            context.logDecision(() -> line("acquire-refused", range, fence) + " code=" + refusal.code());
             return CompletableFuture.failedFuture(refusal);
         }
         RangeEntry entry = createEntry(range, fence, transferred);
         ranges.add(entry);
         fenceHistory.onAcquire(range, fence);
         grants.requestGrant();
-        context.logDecision(() -> logLine("acquire", range, fence));
+        context.logDecision(() -> line("acquire", range, fence));
         return entry.acquired();
     }
 
@@ -272,7 +272,7 @@
         for (RangeEntry entry : ranges.inState(State.SERVING)) {
             if (!entry.acquired().isDone()) {
                 records.importRecords(entry.transferred(), nowNanos);
-                context.logDecision(() -> logLine("serving", entry.range(), entry.fence()));
+                context.logDecision(() -> line("serving", entry.range(), entry.fence()));
                 entry.acquired().complete(null);
             }
         }
@@ -330,7 +330,7 @@
                 .toList();
     }
 
-    private static String logLine(String event, KeyRange range, Generation fence) {
+    private static String line(String event, KeyRange range, Generation fence) {
         return "event=" + event + " range=" + range + " fence=" + fence;
     }
 }
