--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/ClusterReader.java
@@ -94,7 +94,7 @@
         return pending.stream().map(CompletableFuture::join).toList();
     }
 
-    /** Returns the services in use and the policy names for the validation of notes. */
+    /** Returns what notes are checked against: the services in use and the names of the available policies. */
     NoteApplier.Environment noteEnvironment() {
         Configuration configuration = currentConfiguration().configuration();
         Set<ServiceName> servicesInUse = members().stream()
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/internal/NoteCommands.java
@@ -35,7 +35,10 @@
     private record ValidNote(boolean valid, Revision revision) {}
 
     /**
-     * The current revision, and the notes accepted since the revision on which the checked note is based. Immutable.
+     * Result for a note that is not based on the current revision. Immutable.
+     *
+     * @param revision the current revision
+     * @param newerNotes the notes accepted since the revision on which the note is based; empty for {@link #check}
      */
     private record Conflict(Revision revision, List<AcceptedNote> newerNotes) {}
 
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/Churn.java
@@ -6,7 +6,7 @@
  * Extent of ownership changes. Immutable.
  *
  * @param moves number of hash ranges that moved from one owner to another
- * @param movedShare sum of their shares of the hash space; above 1 if the whole space moved more than once
+ * @param movedShare sum of their shares of the hash space; it can exceed 1, because a range can move more than once
  */
 record Churn(long moves, double movedShare) {
     static Churn of(List<OwnerChange> changes) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetExperiment.java
@@ -44,7 +44,7 @@
     /** Processor time of 10 ms per second is 1 % of a core. */
     private static final int CPU_MS_PER_PERCENT_SECOND = 10;
 
-    /** Queue length from which each configuration change counts up, so that every change has an effect. */
+    /** Change number n sets the queue length limit to this value plus n, so that every change has an effect. */
     private static final int BASE_QUEUE_LENGTH = 100;
 
     private final ExperimentSettings settings;
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/FleetSample.java
@@ -5,8 +5,8 @@
  *
  * @param takenAtNanos time of the sample on the monotonic clock
  * @param cpuMs processor time used by the daemons since their start
- * @param controlBytes bytes of control messages sent and received by daemons
- * @param controlMessages number of these messages
+ * @param controlBytes bytes of control messages between daemons, counted both when sent and when received
+ * @param controlMessages number of these messages, counted likewise
  * @param heapBytes used heap memory of the daemons
  * @param residentBytes resident memory of the daemon processes
  * @param storeReads number of get and list requests to the store
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -14,17 +14,17 @@
 import org.coriandercrank.load.Execution;
 
 /**
- * Computes the gaps at ownership changes, that is, for how long callers waited for the new owner of a key, from the
- * history of a run. Immutable.
+ * Computes the gaps at ownership changes from the history of a run. A gap is the time for which callers waited for the
+ * new owner of a key. Immutable.
  *
  * <p>A key counts once per change of its owner, and only if a call for it was scheduled before the new owner first
- * executed a request for the moved range. Keys without calls during the change are
- * left out, because they would lower the percentiles.
+ * executed a request for the moved range. Keys without calls during the change are left out, because they would lower
+ * the percentiles.
  */
 public final class MoveGaps {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** Longest time by which the experiment observes a table in the store later than a daemon. */
+    /** Time by which a daemon may receive a table earlier than the experiment reads it from the store. */
     private static final long MAX_OBSERVATION_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     /**
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
@@ -38,7 +38,7 @@
     /**
      * Percentiles of the times for which callers waited for the new owner of a key. Immutable.
      *
-     * @param keys number of waiting times
+     * @param keys number of these times; a key counts once per change of its owner
      */
     record Gaps(int keys, double p50Ms, double p99Ms, double maxMs) {
         static Gaps of(List<Double> sortedMs) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -10,7 +10,7 @@
 
 /**
  * Load imbalance of servers of equal capacity over the seconds of a run. Immutable. The imbalance of a second is the
- * number of executions of the busiest server divided by the mean of the active servers.
+ * number of executions of the busiest server divided by the mean number of executions per active server.
  *
  * @param meanImbalance mean over all seconds
  * @param p95Imbalance 95th percentile over all seconds
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
@@ -45,6 +45,8 @@
     private static final int IO_THREADS = 3;
     private static final long STORE_TIMEOUT_MS = 5_000;
     private static final long NOTE_TIMEOUT_MS = 10_000;
+
+    /** Policies that the submitted notes may select. No service counts as in use. */
     private static final NoteApplier.Environment ENVIRONMENT = new NoteApplier.Environment(
             Set.<ServiceName>of(),
             Set.of("availability", "low-churn", "static", "greedy"),
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/package-info.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/package-info.java
@@ -1,2 +1,5 @@
-/** The program {@code crank-experiment}, which measures clusters of daemon processes on one machine. */
+/**
+ * The program {@code crank-experiment}, which measures idle clusters, placement and overload with real daemon processes
+ * on one machine.
+ */
 package org.coriandercrank.experiment;
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CallRecord.java
@@ -4,8 +4,8 @@
 import org.coriandercrank.kernel.code.Outcome;
 
 /**
- * One call: a request of a caller and its response. Immutable. Times are in nanoseconds of the machine's monotonic
- * clock.
+ * One call of a caller, which is an attempt of an operation, and its response. Immutable. Times are in nanoseconds of
+ * the machine's monotonic clock.
  *
  * @param operation number of the operation; all attempts of one operation share it
  * @param requestId id of this attempt
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/HistoryChecker.java
@@ -14,8 +14,8 @@
 /**
  * Compares the responses that callers received with the executions in the ledgers of the backend servers. Stateless.
  *
- * <p>The ledgers must be complete. The ownership checks apply only to servers that check the fencing token and the
- * validity of grants.
+ * <p>The ledgers must be complete. The ownership checks are meaningful only for servers that check the fencing token
+ * and the validity of grants.
  */
 public final class HistoryChecker {
     private HistoryChecker() {}
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -16,9 +16,9 @@
  * Measurements of one run. Immutable. Latency counts from the scheduled start of a call.
  *
  * @param outcomes number of calls by stated outcome; {@code no-answer} for calls without an outcome
- * @param resultCodes number of calls by result code; {@code NO_ANSWER} for calls without response
+ * @param resultCodes number of calls by result code; {@code NO_ANSWER} for calls that failed without one
  * @param unavailableKeySeconds total time over all keys in which a key was not served: from the scheduled start of a
- *     failed or late call to the next success of its key
+ *     failed or late call to the next success of its key, or to the end of the last call for its key if none succeeds
  * @param longestGapMs longest such time of one key
  * @param imbalance number of executions of the busiest server divided by the mean of all servers, averaged over the
  *     seconds with executions; 0 without ledgers
@@ -45,8 +45,8 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /**
-     * A key counts as not served if a call for it succeeds later than this after its scheduled start. This is the
-     * target for the unavailable time of a planned move.
+     * A key counts as not served if no call for it succeeds within this time after the scheduled start of one of its
+     * calls. This is the target for the unavailable time of a planned move.
      */
     private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -127,7 +127,7 @@
 
     /**
      * Adds the periods in which a key was not served: from the scheduled start of a failed or late call to the next
-     * success of the key. Overlapping periods are merged.
+     * success of the key, or to the end of its last call if none succeeds. Overlapping periods are merged.
      */
     private static void addUnavailableNanos(List<CallRecord> callsOfKey, List<Long> unavailableNanos) {
         TreeSet<Long> successEndNanos = callsOfKey.stream()
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadDriver.java
@@ -39,12 +39,12 @@
     private static final int STATUS_OK = 200;
     private static final int STATUS_SERVER_ERROR = 500;
 
-    /** Range of the result codes that report an error of the request itself. */
+    /** First result code that reports an error of the request itself; the last is {@link #LAST_REQUEST_ERROR_CODE}. */
     private static final int FIRST_REQUEST_ERROR_CODE = 100;
 
     private static final int LAST_REQUEST_ERROR_CODE = 199;
 
-    /** For the last part of a wait the driver spins instead of parking. */
+    /** Remaining time until the next scheduled start below which the driver spins instead of parking its thread. */
     private static final long SPIN_THRESHOLD_NANOS = 100_000;
 
     /** Creates the HTTP request of an attempt. */
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Returns whether a retry cannot change the result. This is so after a success, after an error of the request itself,
-     * and after a lost outcome record: the age of an idempotency key only increases, so its record stays lost.
+     * Returns whether a retry cannot change the result. This is so after a success, after an error of the request
+     * itself, and after a lost outcome record: the age of an idempotency key only increases, so its record stays lost.
      */
     private static boolean isFinal(CallRecord call) {
         int code = call.resultCode();
@@ -265,7 +265,10 @@
         return new HttpRequest(attempt.method(), path, headers, attempt.value().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Creates a request to a backend server without checks, as the baseline for the cost of the router. */
+    /**
+     * Creates a request that goes directly to a backend server without ownership checks, as the baseline for the cost
+     * of the router.
+     */
     public static HttpRequest directRequest(LoadPlan plan, Attempt attempt) {
         List<Header> headers = List.of(
                 new Header("crank-request-id", attempt.requestId()),
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendOptions.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendOptions.java
@@ -12,7 +12,7 @@
  * @param coldStartFactor factor on the service time at the start; it decreases linearly to 1
  * @param healthLagMs age of the state that the health and load endpoints report
  * @param faultSeed seed of the faults that occur with a probability
- * @param ledgerFile file for executions; empty for none
+ * @param ledgerFile file to which each execution is appended as a JSON line; empty for none
  */
 public record BackendOptions(
         BackendInfo info,
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/LedgerEntry.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/LedgerEntry.java
@@ -3,7 +3,7 @@
 /**
  * An execution that took effect; one line of the ledger. Immutable.
  *
- * @param order sequence number of the execution by start in this process, from 1
+ * @param order position of the execution in the order in which executions of this process started, from 1
  * @param server name of the backend server
  * @param key key of the request; empty for a request without key
  * @param fence fencing token of the request
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreState.java
@@ -21,7 +21,7 @@
  * executor of the store.
  *
  * <p>Invariants: the counter grows by one with each successful put or delete. The history holds every change after
- * {@code historyStartRevision}. It has no values, so its memory does not depend on the size of objects.
+ * {@code historyStartRevision}, but no values, so its memory does not depend on the size of objects.
  */
 public final class StoreState {
     private record Change(String name, long revision) {}
@@ -53,7 +53,7 @@
         return get(name).map(StoredObject::revision).orElse(Revision.NONE);
     }
 
-    /** Writes an object and returns its revision; returns empty if it does not have the expected revision. */
+    /** Writes an object and returns its new revision; returns empty if the object did not have the expected one. */
     public Optional<Revision> put(String name, byte[] value, Revision expected) {
         if (!revisionOf(name).equals(expected)) {
             return Optional.empty();
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreStats.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/StoreStats.java
@@ -8,7 +8,8 @@
  * @param revision current value of the revision counter
  * @param objects number of stored objects
  * @param calls number of requests since the start by operation: get, list, put, delete, watch
- * @param conflicts number of writes since the start that did not have the expected revision
+ * @param conflicts number of writes since the start that had no effect because the object did not have the expected
+ *     revision
  * @param refused number of requests since the start that had no effect because of an injected fault
  * @param waitingWatches number of watch requests that wait for a change
  */
