--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendFaultTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against a faulty backend server, beside a daemon that works, that leads to wrong outcomes, affects the keys of
- * other servers, or serves no keys after its recovery. The faults are injected one after the other into one cluster.
+ * Guards against faults of a backend server that, while its daemon works, lead to wrong outcomes, affect the keys of
+ * other servers, or leave the server without keys after its recovery. The faults are injected one after the other into
+ * one cluster.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BackendFaultTest {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackendLossTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against keys that stay assigned to a failed backend server, and against a planner that assigns it further keys,
- * while its daemon and the store work.
+ * Guards against keys that stay assigned to a failed backend server, and against a planner that assigns further keys to
+ * that server, while its daemon and the store work.
  */
 class BackendLossTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackgroundTraffic.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/BackgroundTraffic.java
@@ -23,7 +23,7 @@
     private static final int WRITE_PERCENT = 50;
     private static final long SEED = 7;
 
-    /** Exceeds the pauses of a busy machine, so that they do not count as failures of the system. */
+    /** This deadline exceeds the pauses of a busy machine, so that they do not count as failures of the system. */
     private static final long DEADLINE_MS = 3_000;
 
     private static final long FINISH_TIMEOUT_SECONDS = 180;
@@ -62,15 +62,15 @@
             int keys) {
         LoadPlan plan = new LoadPlan(
                 TestCluster.SERVICE,
-                true,
+                /* keyed= */ true,
                 ratePerSecond,
                 durationMs,
                 keys,
-                0,
-                0,
-                durationMs,
+                /* zipfExponent= */ 0,
+                /* hotKeys= */ 0,
+                /* hotChangeMs= */ durationMs,
                 WRITE_PERCENT,
-                0,
+                /* bodyBytes= */ 0,
                 DEADLINE_MS,
                 maxRetries,
                 SEED);
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/DoubleFaultTest.java
@@ -23,8 +23,8 @@
     private static final int MAX_RETRIES = 60;
 
     /**
-     * Two faults that affect the first hosts. Callers send their requests to the last two hosts, or to all but the first
-     * host in the case of a graceful shutdown.
+     * Two faults that affect the first hosts. Callers send their requests to the last two hosts, or, in the case of a
+     * graceful shutdown, to all hosts but the first.
      */
     enum FaultPair {
         STORE_DOWN_AND_DAEMON_KILLED(OUTAGE_MS) {
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/LinkCutTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Guards against network faults that block one direction only. An owner that still receives from others, or still
- * reaches them, must neither execute requests beside its successor nor keep its keys from being served.
+ * reaches them, must neither execute requests at the same time as its successor nor keep its keys from being served.
  */
 class LinkCutTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
@@ -23,8 +23,8 @@
 
     /**
      * A blocked direction of the connections of the first host, which owns keys, or of all connections to the store.
-     * {@code ALL_BYTES} includes connections that the first host opened, {@code CALLS} and {@code ANSWERS} do not. Callers
-     * send their requests to the last two hosts.
+     * {@code ALL_BYTES} includes connections that the first host opened, {@code CALLS} and {@code ANSWERS} of the owner
+     * do not. Callers send their requests to the last two hosts.
      */
     enum Cut {
         ALL_BYTES_TO_THE_OWNER {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** See KNOWN-RED.txt: an owner that still reaches the store or its witnesses is not replaced while the cut lasts. */
+    /** See KNOWN-RED.txt: an owner that still reaches the store or its witnesses is not replaced during the cut. */
     @Tag("known-red")
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.MATCH_NONE, names = ".*STORE.*")
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/MoveTest.java
@@ -126,9 +126,9 @@
     }
 
     /**
-     * Returns, for each change of a key's server, the longest duration of a call that was due before the first execution
-     * on the new server and ended after the last execution on the old one. Calls that were delayed and then succeeded
-     * count as well.
+     * Returns, for each change of a key's server, the longest duration of a call that was scheduled before the first
+     * execution on the new server and ended after the last execution on the old one. Calls that were delayed and then
+     * succeeded count as well.
      */
     private static List<Double> unavailableMsOfMoves(List<CallRecord> calls, List<Execution> executions) {
         Map<String, List<CallRecord>> callsOfKey = calls.stream().collect(Collectors.groupingBy(CallRecord::key));
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/NoteRaceTest.java
@@ -31,8 +31,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against release notes that are applied twice, in part, after they were rejected, or although no submitter got
- * an acceptance, and against daemons that return to an older configuration. Several submitters race while the store has
+ * Guards against release notes that are applied twice, only in part, after a rejection, or without being reported as
+ * accepted, and against daemons that return to an older configuration. Several submitters race while the store has
  * faults.
  */
 class NoteRaceTest {
@@ -47,7 +47,7 @@
             Set.of(ResultCode.WRITE_UNANSWERED, ResultCode.STORE_UNAVAILABLE);
     private static final String NO_FAULT = "{\"kind\":\"up\"}";
 
-    /** Faults that are injected into the store one after the other; each ends by itself after its duration. */
+    /** Faults that are injected into the store in turn. Each ends by itself, most of them before the next one. */
     private static final List<String> STORE_FAULTS = List.of(
             "{\"kind\":\"unanswered\",\"durationMs\":1200,\"probability\":0.5}",
             "{\"kind\":\"down\",\"durationMs\":1300}",
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RequestPathTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/RequestPathTest.java
@@ -296,7 +296,10 @@
         });
     }
 
-    /** Sends a request to every daemon, because the deadline in the daemon races with the rejection by the backend server. */
+    /**
+     * Sends a request to every daemon, because the expiry of the deadline in the daemon races with the rejection by the
+     * backend server.
+     */
     @Test
     void expiredDeadlineIsAnsweredWith504() {
         List<String> responses = new ArrayList<>();
--- a/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
+++ b/org.coriandercrank.system.test/src/test/java/org/coriandercrank/system/WeakServerTest.java
@@ -19,7 +19,7 @@
 /**
  * Guards against backend servers without some capability that weaken more guarantees than the backend server protocol
  * states. With every server, outcomes are correct and nothing is executed twice. Only if a whole host freezes and its
- * server lacks {@code validity} may an old owner execute requests beside or after its successor.
+ * server lacks {@code validity} may an old owner execute requests at the same time as its successor or after it.
  */
 class WeakServerTest {
     private static final double SERVED_AGAIN_LIMIT_MS = 5_000;
@@ -43,7 +43,7 @@
         HOST_FROZEN_AND_RESUMED("15"),
         PLANNED_MOVE("2");
 
-        /** Service time of a request; it is longer for losses, so that requests are in execution when the loss occurs. */
+        /** Service time of a request. It is longer for losses, so that requests are being executed at the loss. */
         private final String serviceMs;
 
         FaultKind(String serviceMs) {
