--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/BackendServerContract.java
@@ -37,11 +37,17 @@
     /** Faults that the contract injects into the server; {@code SLOW} adds {@link #SLOW_MS} to each execution. */
     enum BackendFault {
         NONE,
+        /** The port of the server refuses connections. */
         UNREACHABLE,
+        /** The server rejects requests without executing them. */
         DOWN,
+        /** The server rejects requests as if it were overloaded. */
         SHED,
+        /** The server closes the connection without executing the request. */
         CLOSED,
+        /** The server executes the request and closes the connection without a response. */
         UNANSWERED,
+        /** The server executes the request and closes the connection in the middle of the response. */
         CUT_ANSWER,
         SLOW
     }
@@ -180,9 +186,9 @@
         BackendServer server = start(Setup.withServiceMs(grantCase.endsWith("running") ? 300 : 1));
         long validityMs = grantCase.startsWith("expire") ? 100 : VALIDITY_MS;
         if (grantCase.equals("other range")) {
-            KeyHash other = new KeyHash(KEY.hash().value() + 1);
+            KeyHash otherHash = new KeyHash(KEY.hash().value() + 1);
             Await.value(server.grant(new Grant(
-                    1, List.of(new GrantedRange(new KeyRange(other, other), new Generation(5))), VALIDITY_MS)));
+                    1, List.of(new GrantedRange(new KeyRange(otherHash, otherHash), new Generation(5))), VALIDITY_MS)));
         } else if (!grantCase.equals("never granted")) {
             Await.value(server.grant(grant(1, 5, validityMs)));
         }
@@ -267,11 +273,11 @@
     @Test
     void drainRejectsNewRequests() throws Exception {
         BackendServer server = startGranted(Setup.withServiceMs(200));
-        CompletableFuture<CallerAnswer> before = server.execute(put("r1", 5, DEADLINE_MS));
+        CompletableFuture<CallerAnswer> answerBeforeDrain = server.execute(put("r1", 5, DEADLINE_MS));
         Thread.sleep(50);
         Await.value(server.drain());
         assertOutcome(server, put("r2", 5, DEADLINE_MS), ResultCode.BACKEND_UNAVAILABLE, 0);
-        assertOutcome(new RequestId("r1"), before, ResultCode.OK, 1);
+        assertOutcome(new RequestId("r1"), answerBeforeDrain, ResultCode.OK, 1);
         assertThat(Await.value(server.health())).isEqualTo(new BackendHealth(true, true, 0));
     }
 }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpBackendServerTest.java
@@ -180,7 +180,7 @@
         backendProgram = CrankBackend.start(SettingsLoader.load(
                 new BackendSettings(), List.of("--service=counter-desk", "--listen=" + address), Map.of()));
         Await.eventually(() -> backend.grant(grant(2, 5, 60_000))
-                .handle((sequence, e) -> e == null)
+                .handle((sequence, failure) -> failure == null)
                 .join());
         assertThat(Await.code(backend.execute(put("r1", 5, TIMEOUT_MS)))).isEqualTo(ResultCode.OK);
     }
@@ -234,16 +234,16 @@
     @Test
     void announcesItselfUntilAcceptedAndRepeatedly() throws Exception {
         AtomicInteger announcements = new AtomicInteger();
-        List<BackendInfo> seen = new CopyOnWriteArrayList<>();
+        List<BackendInfo> announcedInfos = new CopyOnWriteArrayList<>();
         try (HttpServer daemon = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (request, closed) -> {
-            seen.add(JsonCodec.decode(request.body(), BackendInfo.class));
+            announcedInfos.add(JsonCodec.decode(request.body(), BackendInfo.class));
             int status = announcements.incrementAndGet() == 1 ? 503 : 200;
             return CompletableFuture.completedFuture(HttpResponse.text(status, request.path()));
         })) {
             startProgram("--daemon=" + daemon.address(), "--capabilities=fence");
             connect(backendProgram.info());
             Await.eventually(() -> announcements.get() >= 3);
-            assertThat(seen).allMatch(backendProgram.info()::equals);
+            assertThat(announcedInfos).allMatch(backendProgram.info()::equals);
         }
     }
 
@@ -251,17 +251,18 @@
     @Test
     void grantStatesSendTimeOnServerClock() throws Exception {
         startProgram();
-        List<HttpRequest> calls = new CopyOnWriteArrayList<>();
+        List<HttpRequest> requests = new CopyOnWriteArrayList<>();
         HttpResponse response = new HttpResponse(
                 200, List.of(new Header("crank-clock", "i:1000")), JsonCodec.encode(Map.of("sequence", 4)));
         try (HttpServer other = HttpServer.listen(group, ANY_PORT, HttpServerOptions.DEFAULTS, (request, closed) -> {
-            calls.add(request);
+            requests.add(request);
             return CompletableFuture.completedFuture(response);
         })) {
             BackendInfo info = backendProgram.info();
             connect(new BackendInfo(info.name(), info.service(), other.address(), 1, 1, info.capabilities()));
             assertThat(Await.value(server.grant(grant(4, 5, 1_000)))).isEqualTo(4);
-            String sentAt = calls.get(calls.size() - 1).header("crank-sent-at").orElseThrow();
+            String sentAt =
+                    requests.get(requests.size() - 1).header("crank-sent-at").orElseThrow();
             assertThat(sentAt).startsWith("i:");
             assertThat(Long.parseLong(sentAt.substring(2))).isBetween(1_000L, 2_000_000_000L);
         }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/HttpObjectStoreTest.java
@@ -59,7 +59,8 @@
         reachable = open(storeProgram.address());
         store = reachable;
         // The first calls of a JVM load classes and can exceed the timeout.
-        Await.eventually(() -> store.get("warm-up").handle((v, e) -> e == null).join());
+        Await.eventually(() ->
+                store.get("warm-up").handle((value, failure) -> failure == null).join());
     }
 
     @AfterEach
@@ -129,18 +130,19 @@
      */
     @Test
     void countsCallsAndLimitsFaults() throws Exception {
-        CompletableFuture<WatchBatch> waiting = store().watch("members/", Revision.NONE, 4_000);
+        CompletableFuture<WatchBatch> waitingWatch = store().watch("members/", Revision.NONE, 4_000);
         Await.eventually(() -> stats().contains("\"waitingWatches\":1"));
         inject("{\"kind\":\"unanswered\",\"count\":1}");
         assertThat(Await.code(store().put("members/a", bytes("1"), Revision.NONE)))
                 .isEqualTo(ResultCode.WRITE_UNANSWERED);
-        assertThat(Await.value(waiting).changes()).hasSize(1);
+        assertThat(Await.value(waitingWatch).changes()).hasSize(1);
         assertThat(Await.code(store().put("members/b", bytes("1"), Revision.NONE)))
                 .isEqualTo(ResultCode.OK);
         inject("{\"kind\":\"down\",\"durationMs\":80}");
         assertThat(Await.code(store().get("members/a"))).isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        Await.eventually(
-                () -> !store().get("members/a").handle((v, e) -> e != null).join());
+        Await.eventually(() -> !store().get("members/a")
+                .handle((value, failure) -> failure != null)
+                .join());
         assertThat(stats()).contains("\"watch\":1").contains("\"put\":2");
     }
 
@@ -158,7 +160,12 @@
                 "503 |    | broken  | STORE_UNAVAILABLE | STORE_UNAVAILABLE | WRITE_UNANSWERED",
             })
     void mapsMalformedResponses(
-            int status, String revision, String body, ResultCode get, ResultCode list, ResultCode put)
+            int status,
+            String revision,
+            String body,
+            ResultCode expectedOfGet,
+            ResultCode expectedOfList,
+            ResultCode expectedOfPut)
             throws Exception {
         List<Header> headers = revision == null ? List.of() : List.of(new Header("crank-revision", revision));
         HttpResponse response = new HttpResponse(status, headers, bytes(body));
@@ -166,11 +173,11 @@
                         group,
                         new HostAddress("127.0.0.1", 0),
                         HttpServerOptions.DEFAULTS,
-                        (call, closed) -> CompletableFuture.completedFuture(response));
+                        (request, closed) -> CompletableFuture.completedFuture(response));
                 ObjectStore broken = open(server.address())) {
-            assertThat(Await.code(broken.get("a"))).isEqualTo(get);
-            assertThat(Await.code(broken.list("a"))).isEqualTo(list);
-            assertThat(Await.code(broken.put("a", bytes("1"), Revision.NONE))).isEqualTo(put);
+            assertThat(Await.code(broken.get("a"))).isEqualTo(expectedOfGet);
+            assertThat(Await.code(broken.list("a"))).isEqualTo(expectedOfList);
+            assertThat(Await.code(broken.put("a", bytes("1"), Revision.NONE))).isEqualTo(expectedOfPut);
         }
     }
 }
--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
@@ -18,12 +18,19 @@
     /** Faults that the contract injects into the store. */
     enum StoreFault {
         NONE,
+        /** The port of the store refuses connections. */
         UNREACHABLE,
+        /** The store rejects requests; they have no effect. */
         DOWN,
+        /** The store closes connections without a response; requests have no effect. */
         CLOSED,
+        /** Requests take effect, but are answered only after {@link #FAULT_DELAY_MS}. */
         SLOW,
+        /** Writes take effect, but the store closes the connection without a response. */
         UNANSWERED,
+        /** Writes take effect after {@link #FAULT_DELAY_MS} and are never answered. */
         DELAYED_WRITE,
+        /** Requests take effect, but the store closes the connection in the middle of the response. */
         CUT_ANSWER
     }
 
@@ -97,17 +104,17 @@
         "CUT_ANSWER,    PUT,    WRITE_UNANSWERED,   true",
         "CUT_ANSWER,    DELETE, WRITE_UNANSWERED,   true",
     })
-    void reportsResultOfFaultyCall(StoreFault fault, Operation operation, ResultCode expected, boolean effect)
+    void reportsResultOfFaultyCall(StoreFault fault, Operation operation, ResultCode expected, boolean takesEffect)
             throws Exception {
-        Revision before = Await.value(store().put(NAME, OLD, Revision.NONE));
+        Revision revisionBefore = Await.value(store().put(NAME, OLD, Revision.NONE));
         inject(fault);
-        assertThat(Await.code(start(operation, before))).isEqualTo(expected);
+        assertThat(Await.code(start(operation, revisionBefore))).isEqualTo(expected);
         inject(StoreFault.NONE);
-        if (effect) {
-            Await.eventually(() -> !currentRevision().equals(before));
+        if (takesEffect) {
+            Await.eventually(() -> !currentRevision().equals(revisionBefore));
         } else {
             Thread.sleep(fault == StoreFault.NONE ? 0 : FAULT_DELAY_MS / 4);
-            assertThat(currentRevision()).isEqualTo(before);
+            assertThat(currentRevision()).isEqualTo(revisionBefore);
         }
     }
 
@@ -154,10 +161,10 @@
     @Test
     void watchReportsChangesAndDeletions() throws Exception {
         Revision first = Await.value(store().put("members/a", OLD, Revision.NONE));
-        CompletableFuture<WatchBatch> waiting = store().watch("members/", first, 4_000);
+        CompletableFuture<WatchBatch> waitingWatch = store().watch("members/", first, 4_000);
         Await.value(store().put("notes/a", OLD, Revision.NONE));
         Await.value(store().put("members/b", NEW, Revision.NONE));
-        WatchBatch change = Await.value(waiting);
+        WatchBatch change = Await.value(waitingWatch);
         assertThat(change.changes()).extracting(StoredObject::name).containsExactly("members/b");
         Await.value(store().delete("members/a", first));
         WatchBatch deletion = Await.value(store().watch("members/", change.upTo(), 4_000));
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpBackendServer.java
@@ -72,9 +72,11 @@
 
     /** Opens connections to a server; the caller closes the group and the timers. */
     public HttpBackendServer(EventLoopGroup group, TimerService timers, BackendInfo info) {
-        int max = info.maxConnections();
-        int controlConnections = max == 1 ? 0 : max < MIN_CONNECTIONS_FOR_TWO_CONTROL ? 1 : MAX_CONTROL_CONNECTIONS;
-        requestConnections = max - controlConnections;
+        int maxConnections = info.maxConnections();
+        int controlConnections = maxConnections == 1
+                ? 0
+                : maxConnections < MIN_CONNECTIONS_FOR_TWO_CONTROL ? 1 : MAX_CONTROL_CONNECTIONS;
+        requestConnections = maxConnections - controlConnections;
         warmConnections = Math.min(info.slots(), requestConnections);
         requestClient = new HttpClient(group, info.address(), options(requestConnections, requestConnections));
         controlClient = controlConnections == 0
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/internal/ServerClockEstimate.java
@@ -11,8 +11,8 @@
  *
  * <p>A server process that was suspended may find an old grant in its receive buffer when it resumes. If validity were
  * measured from arrival, that grant would be valid although the daemon has already treated it as expired. The estimate
- * is the clock in the latest response to a control call plus the local time since that response arrived, so it exceeds
- * the server's clock by drift at most. Thread safe.
+ * is the clock in the latest response to a control call plus the local time since that response arrived, so it is ahead
+ * of the server's clock by clock drift at most. Thread safe.
  */
 public final class ServerClockEstimate {
     private static final String CLOCK_HEADER = "crank-clock";
@@ -34,14 +34,16 @@
 
     /** Records the clock in a response, if the server sends one as {@code instance:nanos}. */
     public void observe(HttpResponse response) {
-        String value = response.header(CLOCK_HEADER).orElse("");
-        int colon = value.indexOf(':');
+        String headerValue = response.header(CLOCK_HEADER).orElse("");
+        int colon = headerValue.indexOf(':');
         if (colon < 0) {
             return;
         }
         try {
             latest = new Observation(
-                    value.substring(0, colon), Long.parseLong(value.substring(colon + 1)), clock.nowNanos());
+                    headerValue.substring(0, colon),
+                    Long.parseLong(headerValue.substring(colon + 1)),
+                    clock.nowNanos());
         } catch (NumberFormatException e) {
             latest = null;
         }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/GrantRowMergerTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void mergesAdjacentRangesWithSameFence() {
-        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
-        assertThat(rows.merge(
+        GrantRowMerger merger = new GrantRowMerger(MAX_ROWS);
+        assertThat(merger.merge(
                         List.of(row(20, 29, 7), row(0, 9, 7), row(10, 19, 7), row(30, 39, 8), row(40, 49, 8, "5c")),
                         List.of()))
                 .containsExactly(row(0, 29, 7), row(30, 39, 8), row(40, 49, 8, "5c"));
@@ -43,24 +43,24 @@
 
     @Test
     void mergesAdjacentRangesWithDifferentFencesOnlyAboveTheLimit() {
-        GrantRowMerger rows = new GrantRowMerger(2);
+        GrantRowMerger merger = new GrantRowMerger(2);
         List<GrantedRange> granted = List.of(row(0, 9, 7), row(10, 19, 9), row(20, 29, 8));
-        assertThat(rows.merge(granted, List.of())).containsExactly(row(0, 29, 9));
+        assertThat(merger.merge(granted, List.of())).containsExactly(row(0, 29, 9));
     }
 
     /** Guards against a failure in which one range of a merged row moved away and the other was rejected for 10 s. */
     @Test
     void remainderOfMergedRowKeepsItsFence() {
-        GrantRowMerger rows = new GrantRowMerger(1);
-        rows.merge(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
-        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
-        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
+        GrantRowMerger merger = new GrantRowMerger(1);
+        merger.merge(List.of(row(0, 9, 7), row(10, 19, 9)), List.of());
+        assertThat(merger.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
+        assertThat(merger.merge(List.of(row(0, 9, 7)), List.of())).containsExactly(row(0, 9, 9));
     }
 
     @Test
     void restartedDaemonKeepsFencesHeldByServer() {
-        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
-        assertThat(rows.merge(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
+        GrantRowMerger merger = new GrantRowMerger(MAX_ROWS);
+        assertThat(merger.merge(List.of(row(0, 9, 7)), List.of(row(0, 19, 9)))).containsExactly(row(0, 9, 9));
     }
 
     /** Heartbeats are processed on the thread that reads callers' requests, which a slow merge would delay. */
@@ -70,20 +70,23 @@
         for (int i = 0; i < 20_000; i++) {
             granted.add(row(2L * i, 2L * i, i + 1));
         }
-        GrantRowMerger rows = new GrantRowMerger(MAX_ROWS);
+        GrantRowMerger merger = new GrantRowMerger(MAX_ROWS);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
             for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
-                assertThat(rows.merge(granted, granted)).hasSize(20_000);
+                assertThat(merger.merge(granted, granted)).hasSize(20_000);
             }
         });
     }
 
-    /** Adds ranges with new fencing tokens and removes ranges at random; the server keeps the newest token of a key. */
+    /**
+     * Adds ranges with new fencing tokens and removes ranges at random; {@code newestSent} has the token that the
+     * server remembers for each key.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 8})
     void fenceOfKeyNeverDecreases(int maxRows) {
         Random random = new Random(maxRows);
-        GrantRowMerger rows = new GrantRowMerger(maxRows);
+        GrantRowMerger merger = new GrantRowMerger(maxRows);
         Map<Long, Long> owned = new HashMap<>();
         Map<Long, Long> newestSent = new HashMap<>();
         long generation = 0;
@@ -94,14 +97,14 @@
                 owned.put(key, generation);
             }
             List<GrantedRange> granted = new ArrayList<>();
-            owned.forEach((k, fence) -> granted.add(row(k, k, fence)));
-            for (GrantedRange row : rows.merge(granted, List.of())) {
-                for (long k = row.range().first().value();
-                        k <= row.range().last().value();
-                        k++) {
-                    assertThat(row.fence().value()).isGreaterThanOrEqualTo(newestSent.getOrDefault(k, 0L));
-                    assertThat(row.fence().value()).isBetween(owned.get(k), generation);
-                    newestSent.put(k, row.fence().value());
+            owned.forEach((rowKey, fence) -> granted.add(row(rowKey, rowKey, fence)));
+            for (GrantedRange row : merger.merge(granted, List.of())) {
+                for (long rowKey = row.range().first().value();
+                        rowKey <= row.range().last().value();
+                        rowKey++) {
+                    assertThat(row.fence().value()).isGreaterThanOrEqualTo(newestSent.getOrDefault(rowKey, 0L));
+                    assertThat(row.fence().value()).isBetween(owned.get(rowKey), generation);
+                    newestSent.put(rowKey, row.fence().value());
                 }
             }
         }
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/HeartbeatGrantsTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against grants that outlast the lease, and against releases that complete while the server holds the range.
+ * Guards against grants that outlast the lease, and against releases that complete while the server still holds the
+ * range.
  */
 class HeartbeatGrantsTest {
     private static final long NANOS_PER_MS = 1_000_000;
@@ -35,7 +36,7 @@
         return new Grant(
                 sequence,
                 List.of(ranges).stream()
-                        .map(r -> new GrantedRange(r, new Generation(7)))
+                        .map(range -> new GrantedRange(range, new Generation(7)))
                         .toList(),
                 validityMs);
     }
@@ -66,24 +67,24 @@
     /** The gate hands a range over once a grant without it is acknowledged, so the server must have released it. */
     @Test
     void grantIsAcknowledgedOnlyWhenServerHoldsNoOtherRange() {
-        CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
+        CompletableFuture<Long> acknowledgementOfBoth = grants.offer(grant(1, 5_000, LOW, HIGH));
         grants.onHeartbeat(nextSequence++, held(), List.of());
-        assertThat(both).isCompletedWithValue(1L);
+        assertThat(acknowledgementOfBoth).isCompletedWithValue(1L);
 
-        CompletableFuture<Long> lowOnly = grants.offer(grant(2, 5_000, LOW));
+        CompletableFuture<Long> acknowledgementOfLow = grants.offer(grant(2, 5_000, LOW));
         assertThat(grants.onHeartbeat(nextSequence++, held(LOW, HIGH), List.of()))
                 .isPresent();
-        assertThat(lowOnly).isNotDone();
+        assertThat(acknowledgementOfLow).isNotDone();
         grants.onHeartbeat(nextSequence++, held(LOW), List.of(new Handover(HIGH, "t1")));
-        assertThat(lowOnly).isCompletedWithValue(2L);
+        assertThat(acknowledgementOfLow).isCompletedWithValue(2L);
     }
 
     /** A row that the server reports may span several ranges that were granted separately. */
     @Test
     void rowAcrossGrantedRangesIsGranted() {
-        CompletableFuture<Long> both = grants.offer(grant(1, 5_000, LOW, HIGH));
+        CompletableFuture<Long> acknowledgement = grants.offer(grant(1, 5_000, LOW, HIGH));
         grants.onHeartbeat(nextSequence++, held(range(50, 150)), List.of());
-        assertThat(both).isCompleted();
+        assertThat(acknowledgement).isCompleted();
     }
 
     @Test
@@ -104,9 +105,9 @@
 
     @Test
     void newerGrantFailsPreviousOne() {
-        CompletableFuture<Long> first = grants.offer(grant(1, 5_000, LOW));
+        CompletableFuture<Long> previous = grants.offer(grant(1, 5_000, LOW));
         grants.offer(grant(2, 5_000, LOW));
-        assertThat(first).isCompletedExceptionally();
+        assertThat(previous).isCompletedExceptionally();
     }
 
     /**
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
@@ -75,10 +75,11 @@
 
     /**
      * A server that stays after it announced that it was leaving must receive requests again, under a member that can
-     * own ranges. It may still hold ranges of its previous member, so the new member must not seal that one earlier.
+     * own ranges. It may still hold ranges of its previous member, so the new member must not join and seal the
+     * previous one before those grants have expired.
      */
     @Test
-    void serverThatStopsLeavingGetsNewMember() {
+    void serverThatWithdrawsLeavingGetsNewMember() {
         lifecycle.onHeartbeat(FIRST, nextSequence++, true, 0);
         assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 900 * NANOS_PER_MS))
                 .containsExactly(new Action.Detach("server-returned", true), new Action.Attach(FIRST, 2, 5_000));
@@ -120,7 +121,7 @@
         assertThat(lifecycle.onTick(2_100 * NANOS_PER_MS)).containsExactly(new Action.Drain(FIRST));
     }
 
-    /** Each incarnation of a server counts its heartbeats from the start. */
+    /** Each incarnation of a server numbers its heartbeats anew. */
     @Test
     void firstHeartbeatOfNewIncarnationIsAcceptedWithAnySequence() {
         lifecycle.onHeartbeat(FIRST, 500, false, 0);
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/DaemonHost.java
@@ -116,9 +116,7 @@
         components.start();
     }
 
-    /**
-     * Joins under a member id. For a daemon that does not join when it starts, and after its previous member has ended.
-     */
+    /** Joins under a member id; allowed if the daemon has not joined yet or its previous member has ended. */
     public CompletableFuture<Void> join(JoinParameters parameters) {
         return control.rejoin(parameters).thenAccept(id -> startMember());
     }
@@ -142,8 +140,8 @@
     }
 
     /**
-     * Gives up all ranges and ends the member without sealing its record; the next member takes its ranges over and
-     * seals the record.
+     * Gives up all ranges and ends the member without sealing its record; the next member of this host takes its
+     * ranges over and seals the record.
      */
     public CompletableFuture<Void> abandonMember() {
         sealOwnership();
@@ -258,7 +256,10 @@
         return snapshot.tables().values().stream().noneMatch(table -> table.references(control.self()));
     }
 
-    /** Without another backend server of the service, the ranges stay assigned to this member until one joins. */
+    /**
+     * Whether no other active member has a backend server of the service. The ranges then stay assigned to this member
+     * until such a member joins, so waiting for their move is pointless.
+     */
     private boolean hasNoSuccessor(RoutingSnapshot snapshot) {
         Optional<ServiceName> service = backend().map(BackendInfo::service);
         return snapshot.members().values().stream()
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
@@ -9,8 +9,8 @@
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Merges the granted ranges of one incarnation of a backend server into rows, because the server accepts only a limited
- * number of rows.
+ * Merges the granted ranges of one incarnation of a backend server into rows, because the response to a heartbeat has
+ * room for a limited number of rows only.
  *
  * <p>Adjacent ranges with the same fencing token are always merged. Adjacent ranges with different fencing tokens are
  * merged only if there would otherwise be more rows than the limit; the row then has the newest of their tokens.
@@ -38,8 +38,9 @@
      */
     List<GrantedRange> merge(List<GrantedRange> granted, List<GrantedRange> held) {
         List<GrantedRange> sorted = withNewestFences(withNewestFences(sorted(granted), lastSent), sorted(held));
-        List<GrantedRange> rows = mergeAdjacent(sorted, (a, b) -> a.fence().equals(b.fence()));
-        lastSent = rows.size() <= maxRows ? rows : mergeAdjacent(sorted, (a, b) -> true);
+        List<GrantedRange> rows =
+                mergeAdjacent(sorted, (left, right) -> left.fence().equals(right.fence()));
+        lastSent = rows.size() <= maxRows ? rows : mergeAdjacent(sorted, (left, right) -> true);
         return lastSent;
     }
 
@@ -57,14 +58,14 @@
      */
     private static List<GrantedRange> withNewestFences(List<GrantedRange> ranges, List<GrantedRange> rows) {
         List<GrantedRange> result = new ArrayList<>(ranges.size());
-        int first = 0;
+        int firstRow = 0;
         for (GrantedRange range : ranges) {
-            while (first < rows.size()
-                    && rows.get(first).range().last().compareTo(range.range().first()) < 0) {
-                first++;
+            while (firstRow < rows.size()
+                    && rows.get(firstRow).range().last().compareTo(range.range().first()) < 0) {
+                firstRow++;
             }
             Generation fence = range.fence();
-            for (int i = first; i < rows.size() && rows.get(i).range().overlaps(range.range()); i++) {
+            for (int i = firstRow; i < rows.size() && rows.get(i).range().overlaps(range.range()); i++) {
                 fence = rows.get(i).fence().isNewerThan(fence) ? rows.get(i).fence() : fence;
             }
             result.add(fence.equals(range.fence()) ? range : new GrantedRange(range.range(), fence, range.handover()));
@@ -86,13 +87,15 @@
         return rows;
     }
 
-    /** A range with a handover token of its previous owner is never merged. */
-    private static boolean mayShareRow(GrantedRange a, GrantedRange b) {
-        return a.handover().isEmpty() && b.handover().isEmpty() && KeyRanges.adjacent(a.range(), b.range());
+    /** Whether two ranges are adjacent and can be one row. A range with a handover token keeps a row of its own. */
+    private static boolean mayShareRow(GrantedRange left, GrantedRange right) {
+        return left.handover().isEmpty()
+                && right.handover().isEmpty()
+                && KeyRanges.adjacent(left.range(), right.range());
     }
 
-    private static GrantedRange merge(GrantedRange a, GrantedRange b) {
-        Generation fence = a.fence().isNewerThan(b.fence()) ? a.fence() : b.fence();
-        return new GrantedRange(KeyRanges.join(a.range(), b.range()), fence);
+    private static GrantedRange merge(GrantedRange left, GrantedRange right) {
+        Generation fence = left.fence().isNewerThan(right.fence()) ? left.fence() : right.fence();
+        return new GrantedRange(KeyRanges.join(left.range(), right.range()), fence);
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -19,8 +19,8 @@
  *
  * <p>Thread safe. The validity of a grant starts when it is offered, so a grant that is delivered in a later response
  * never outlasts the validity that the gate assumes. A grant is acknowledged once it was sent in response to a
- * heartbeat that reports no other range as held; a server that must first release ranges acknowledges it with a later
- * heartbeat.
+ * heartbeat that reports no held range outside the grant; a server that must first release ranges acknowledges the
+ * grant with a later heartbeat.
  */
 public final class HeartbeatGrants {
     /**
@@ -78,7 +78,9 @@
     }
 
     /**
-     * Handles a heartbeat and returns the grant for its response. The result is empty if the heartbeat renews nothing.
+     * Handles a heartbeat and returns the grant for its response. The result is empty if the heartbeat is outdated, if
+     * no grant was offered, or if the latest grant has expired; a grant without ranges revokes all ranges and does not
+     * expire.
      *
      * @param heartbeatSequence increases with each heartbeat; a heartbeat that arrives after a later one renews nothing
      * @param reported rows that the server holds or still executes requests for
@@ -130,16 +132,20 @@
 
     /** Returns and removes the handover tokens of released ranges that overlap a range. */
     public synchronized List<Handover> takeHandovers(KeyRange range) {
-        List<Handover> matching =
-                handovers.stream().filter(h -> h.range().overlaps(range)).toList();
+        List<Handover> matching = handovers.stream()
+                .filter(handover -> handover.range().overlaps(range))
+                .toList();
         handovers.removeAll(matching);
         return matching;
     }
 
-    /** Adds tokens; the token of a range replaces earlier tokens of ranges within it. */
+    /**
+     * Adds tokens. A token replaces the earlier tokens of all ranges within its own range, because a range that was
+     * released again has a newer token. Above the limit, the oldest tokens are removed.
+     */
     private void addHandovers(List<Handover> released) {
         for (Handover newest : released) {
-            handovers.removeIf(h -> newest.range().contains(h.range()));
+            handovers.removeIf(earlier -> newest.range().contains(earlier.range()));
             handovers.add(newest);
         }
         while (handovers.size() > MAX_HANDOVERS) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -13,8 +13,8 @@
  *
  * <ul>
  *   <li>A member belongs to one incarnation of the server.
- *   <li>A server gets a new member if it was silent for longer than its grants can be valid, or if it stays after it
- *       announced that it was leaving.
+ *   <li>A server gets a new member if it was silent for longer than its grants can be valid, or if it announces that it
+ *       is leaving and then reports that it stays.
  *   <li>A heartbeat of an earlier incarnation, or one that arrives after a later one of the same incarnation, has no
  *       effect.
  * </ul>
@@ -38,7 +38,7 @@
          */
         record Detach(String reason, boolean replaced) implements Action {}
 
-        /** Request that the planner move all ranges to other members; the server still receives requests. */
+        /** Mark the member as leaving, so that the planner moves its ranges; the server still receives requests. */
         record Leave(ServerIncarnation server) implements Action {}
 
         /** Stop sending requests to the server. */
@@ -98,13 +98,13 @@
             return actions;
         }
         lastSequence = sequence;
-        boolean returned = leaving && !serverLeaving && sameServer;
-        if (returned || (current.isPresent() && !sameServer)) {
-            detach(returned ? "server-returned" : "server-replaced", true, nowNanos, actions);
+        boolean leaveWithdrawn = leaving && !serverLeaving && sameServer;
+        if (leaveWithdrawn || (current.isPresent() && !sameServer)) {
+            detach(leaveWithdrawn ? "server-returned" : "server-replaced", true, nowNanos, actions);
         }
         lastHeartbeatNanos = nowNanos;
         if (current.isEmpty()) {
-            attach(server, returned ? timeouts.silenceTimeoutMs() : 0, actions);
+            attach(server, leaveWithdrawn ? timeouts.silenceTimeoutMs() : 0, actions);
         }
         if (serverLeaving) {
             leave(nowNanos, actions);
@@ -112,7 +112,7 @@
         return actions;
     }
 
-    /** Handles the announcement of the server with an id that it will end. */
+    /** Handles the announcement by the server with the given id that it will end. */
     public List<Action> onDeregister(String id, long nowNanos) {
         List<Action> actions = new ArrayList<>();
         if (current.isPresent() && current.get().id().equals(id)) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
@@ -24,15 +24,15 @@
 
         Readiness readiness();
 
-        /** Accepts the announcement of a backend server; throws if the server cannot be used. */
+        /** Accepts the announcement of a backend server; throws {@link CrankException} if the server cannot be used. */
         void announce(BackendInfo info);
     }
 
     private final Supplier<Operations> operations;
     private final PrometheusMeterRegistry metrics;
 
-    AdminEndpoint(Supplier<Operations> source, PrometheusMeterRegistry metrics) {
-        this.operations = source;
+    AdminEndpoint(Supplier<Operations> operations, PrometheusMeterRegistry metrics) {
+        this.operations = operations;
         this.metrics = metrics;
     }
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -153,7 +153,7 @@
         });
     }
 
-    /** Shuts down gracefully, within the drain timeout of the settings; blocks. */
+    /** Shuts down gracefully; blocks, for the drain timeout of the settings at most. */
     public void leave() {
         leaving = true;
         logger.atInfo().log("event=leaving member=%s", host.self());
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
@@ -32,9 +32,9 @@
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(json);
         errors.addAll(parser.errors());
-        NoteApplier application = new NoteApplier(BASE, ENVIRONMENT);
-        Optional<Configuration> result = note.flatMap(application::apply);
-        errors.addAll(application.errors());
+        NoteApplier applier = new NoteApplier(BASE, ENVIRONMENT);
+        Optional<Configuration> result = note.flatMap(applier::apply);
+        errors.addAll(applier.errors());
         return result;
     }
 
@@ -102,9 +102,10 @@
                 .orElseThrow();
 
         assertThat(result.service(new ServiceName("cashbook")))
-                .hasValueSatisfying(s -> assertThat(s.keyed()).isFalse());
+                .hasValueSatisfying(service -> assertThat(service.keyed()).isFalse());
         assertThat(result.service(DESK))
-                .hasValueSatisfying(s -> assertThat(s.placementPolicy()).isEqualTo("low-churn"));
+                .hasValueSatisfying(
+                        service -> assertThat(service.placementPolicy()).isEqualTo("low-churn"));
         assertThat(result.isDraining("desk-1")).isTrue();
         assertThat(result.recentNotes()).hasSize(1);
     }
@@ -122,17 +123,17 @@
 
         assertThat(stored).isEqualTo(result);
         assertThat(stored.service(new ServiceName("cashbook")))
-                .hasValueSatisfying(s -> assertThat(s.locality()).isEqualTo(expected));
+                .hasValueSatisfying(service -> assertThat(service.locality()).isEqualTo(expected));
     }
 
     /** Guards against daemons that cannot read a configuration that was written before the field existed. */
     @Test
     void configurationWithoutLocalityIsRead() {
-        String before = new String(JsonCodec.encode(BASE), StandardCharsets.UTF_8);
-        String old = before.replace(",\"locality\":\"domain-first\"", "");
+        String current = new String(JsonCodec.encode(BASE), StandardCharsets.UTF_8);
+        String withoutLocality = current.replace(",\"locality\":\"domain-first\"", "");
 
-        assertThat(old).isNotEqualTo(before);
-        assertThat(JsonCodec.decode(old.getBytes(StandardCharsets.UTF_8), Configuration.class))
+        assertThat(withoutLocality).isNotEqualTo(current);
+        assertThat(JsonCodec.decode(withoutLocality.getBytes(StandardCharsets.UTF_8), Configuration.class))
                 .isEqualTo(BASE);
     }
 }
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
@@ -50,7 +50,7 @@
 
     private List<String> acceptedIds() {
         return history().configuration().recentNotes().stream()
-                .map(accepted -> accepted.id().value())
+                .map(acceptedNote -> acceptedNote.id().value())
                 .toList();
     }
 
@@ -77,9 +77,9 @@
             write   | {"kind":"delayed-write","delayMs":1600}                             | WRITE_UNANSWERED
             write   | {"kind":"delayed-write","delayMs":300,"count":1};{"kind":"slow","delayMs":1500} | WRITE_UNANSWERED
             """)
-    void reportsDefiniteResultAndAppliesOnce(String at, String faults, ResultCode expected) throws Exception {
+    void reportsDefiniteResultAndAppliesOnce(String injectedAt, String faults, ResultCode expected) throws Exception {
         String text = note("n", Revision.NONE, "desk-1");
-        if ("start".equals(at)) {
+        if ("start".equals(injectedAt)) {
             store.injectFault(faults);
         } else {
             store.injectFaultsAtConfigurationWrite(List.of(faults.split(";")));
@@ -94,24 +94,24 @@
             assertThat(acceptedIds()).isEqualTo(expected == ResultCode.OK ? List.of("n") : List.of());
         }
 
-        SubmitResult again = submit(text);
-        assertThat(again.code()).isEqualTo(ResultCode.OK);
-        assertThat(again.revision()).isEqualTo(history().revision());
+        SubmitResult repeated = submit(text);
+        assertThat(repeated.code()).isEqualTo(ResultCode.OK);
+        assertThat(repeated.revision()).isEqualTo(history().revision());
         assertThat(acceptedIds()).containsExactly("n");
     }
 
     @Test
     void findsRevisionOfUnansweredNoteBeforeLaterNote() {
-        String first = note("n-1", Revision.NONE, "desk-1");
+        String firstNote = note("n-1", Revision.NONE, "desk-1");
         store.injectFaultsAtConfigurationWrite(
                 List.of("{\"kind\":\"unanswered\"}", "{\"kind\":\"slow\",\"delayMs\":1500}"));
-        ResultCode unanswered = submit(first).code();
+        ResultCode firstCode = submit(firstNote).code();
         store.injectFault("{\"kind\":\"up\"}");
-        Revision accepted = awaitRevision();
-        ResultCode second = submit(note("n-2", accepted, "desk-2")).code();
+        Revision acceptedRevision = awaitRevision();
+        ResultCode secondCode = submit(note("n-2", acceptedRevision, "desk-2")).code();
 
-        assertThat(List.of(unanswered, second)).containsExactly(ResultCode.WRITE_UNANSWERED, ResultCode.OK);
-        assertThat(submit(first).revision()).isEqualTo(accepted);
+        assertThat(List.of(firstCode, secondCode)).containsExactly(ResultCode.WRITE_UNANSWERED, ResultCode.OK);
+        assertThat(submit(firstNote).revision()).isEqualTo(acceptedRevision);
         assertThat(acceptedIds()).containsExactly("n-2", "n-1");
     }
 
@@ -125,13 +125,15 @@
     @Test
     void repeatedConflictingNoteHasNoEffect() {
         Revision current = submit(note("n-1", Revision.NONE, "desk-1")).revision();
-        String late = note("n-2", Revision.NONE, "desk-2");
+        String conflictingNote = note("n-2", Revision.NONE, "desk-2");
 
         for (int i = 0; i < 3; i++) {
-            SubmitResult conflict = submit(late);
+            SubmitResult conflict = submit(conflictingNote);
             assertThat(conflict.code()).isEqualTo(ResultCode.NOTE_CONFLICT);
             assertThat(conflict.revision()).isEqualTo(current);
-            assertThat(conflict.newerNotes()).extracting(n -> n.id().value()).containsExactly("n-1");
+            assertThat(conflict.newerNotes())
+                    .extracting(newerNote -> newerNote.id().value())
+                    .containsExactly("n-1");
         }
         assertThat(acceptedIds()).containsExactly("n-1");
         assertThat(submit(note("n-2", current, "desk-2")).code()).isEqualTo(ResultCode.OK);
@@ -184,19 +186,19 @@
         assertThat(acceptedIds()).containsExactly("n");
     }
 
-    /** A full list of later notes no longer contains the note; its record decides, or the result stays unknown. */
+    /** The list of recent notes is full of later notes; the record of the note decides, or the result stays unknown. */
     @ParameterizedTest
     @CsvSource({"ACCEPTED,OK", "SUBMITTED,WRITE_UNANSWERED", "REFUSED,NOTE_CONFLICT"})
-    void usesRecordIfLaterNotesDisplacedAcceptance(NoteRecord.State fate, ResultCode expected) {
+    void usesRecordIfLaterNotesDisplacedAcceptance(NoteRecord.State recordedState, ResultCode expected) {
         String text = note("n", Revision.NONE, "desk-1");
         NoteId id = new NoteId("n");
-        NoteRecord record = new NoteRecord(id, fate, Revision.NONE, new Revision(7), text);
+        NoteRecord record = new NoteRecord(id, recordedState, Revision.NONE, new Revision(7), text);
         store.put(ObjectNames.note(id), JsonCodec.encode(record), Revision.NONE).join();
-        List<AcceptedNote> later = IntStream.range(0, Configuration.MAX_RECENT_NOTES)
+        List<AcceptedNote> laterNotes = IntStream.range(0, Configuration.MAX_RECENT_NOTES)
                 .mapToObj(i -> new AcceptedNote(new NoteId("later-" + i), new Revision(1_000 - i), List.of()))
                 .toList();
-        Configuration full = new Configuration(List.of(), List.of(), later);
-        store.put(ObjectNames.CONFIGURATION, JsonCodec.encode(full), Revision.NONE)
+        Configuration configuration = new Configuration(List.of(), List.of(), laterNotes);
+        store.put(ObjectNames.CONFIGURATION, JsonCodec.encode(configuration), Revision.NONE)
                 .join();
 
         assertThat(submit(text).code()).isEqualTo(expected);
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
@@ -44,11 +44,11 @@
                 int min = property.path("minimum").asInt();
                 int max = property.path("maximum").asInt();
                 assertThat(List.of(min, max))
-                        .allSatisfy(n -> assertThat(accepts(spec, IntNode.valueOf(n)))
+                        .allSatisfy(number -> assertThat(accepts(spec, IntNode.valueOf(number)))
                                 .as(spec.name())
                                 .isTrue());
                 assertThat(List.of(min - 1, max + 1))
-                        .allSatisfy(n -> assertThat(accepts(spec, IntNode.valueOf(n)))
+                        .allSatisfy(number -> assertThat(accepts(spec, IntNode.valueOf(number)))
                                 .as(spec.name())
                                 .isFalse());
             }
@@ -96,10 +96,10 @@
         while (examples.find()) {
             NoteParser parser = new NoteParser();
             ReleaseNote note = parser.parse(examples.group(1)).orElseThrow();
-            NoteApplier application =
+            NoteApplier applier =
                     new NoteApplier(configuration, new NoteApplier.Environment(Set.of(), placement, balancing));
-            configuration = application.apply(note).orElse(configuration);
-            assertThat(application.errors()).isEmpty();
+            configuration = applier.apply(note).orElse(configuration);
+            assertThat(applier.errors()).isEmpty();
         }
         assertThat(configuration.recentNotes()).hasSize(3);
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/AcceptanceHistory.java
@@ -41,14 +41,14 @@
         return Optional.empty();
     }
 
-    /** Whether the list contains every accepted note that is based on a revision or a later one. */
+    /** Whether the list contains every accepted note that is based on the given revision or a later one. */
     public boolean isCompleteSince(Revision basedOn) {
         List<AcceptedNote> notes = configuration.recentNotes();
         return notes.size() < Configuration.MAX_RECENT_NOTES
                 || notes.get(notes.size() - 1).basedOn().compareTo(basedOn) <= 0;
     }
 
-    /** Returns the listed notes that are based on a revision or a later one, newest first. */
+    /** Returns the listed notes that are based on the given revision or a later one, newest first. */
     List<AcceptedNote> since(Revision basedOn) {
         return configuration.recentNotes().stream()
                 .filter(note -> note.basedOn().compareTo(basedOn) >= 0)
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteApplier.java
@@ -78,10 +78,12 @@
     private void rejectConflictingEntries(ReleaseNote note) {
         Map<String, Entry> firstByName = new HashMap<>();
         for (Entry entry : note.entries()) {
-            Entry other = firstByName.putIfAbsent(entry.subject() + "/" + entry.name(), entry);
-            if (other != null) {
+            Entry earlierEntry = firstByName.putIfAbsent(entry.subject() + "/" + entry.name(), entry);
+            if (earlierEntry != null) {
                 errors.add(new NoteError(
-                        entry.path(), Kind.CONFLICTING_ENTRIES, entry.name() + " is also named by " + other.path()));
+                        entry.path(),
+                        Kind.CONFLICTING_ENTRIES,
+                        entry.name() + " is also named by " + earlierEntry.path()));
             }
         }
     }
@@ -127,13 +129,13 @@
         services.put(entry.name(), service);
     }
 
-    private void checkPolicy(String path, String policy, Set<String> known) {
-        if (!known.contains(policy)) {
+    private void checkPolicy(String path, String policy, Set<String> available) {
+        if (!available.contains(policy)) {
             errors.add(new NoteError(
                     path,
                     Kind.NOT_FOUND,
                     "no policy " + policy + "; available: "
-                            + known.stream().sorted().toList()));
+                            + available.stream().sorted().toList()));
         }
     }
 
@@ -174,11 +176,11 @@
     }
 
     private List<AcceptedNote> recentNotes(ReleaseNote note) {
-        List<String> touched = note.entries().stream()
+        List<String> changedObjects = note.entries().stream()
                 .map(entry -> entry.subject().field() + "/" + entry.name())
                 .toList();
         List<AcceptedNote> notes = new ArrayList<>();
-        notes.add(new AcceptedNote(note.id(), note.basedOn(), touched));
+        notes.add(new AcceptedNote(note.id(), note.basedOn(), changedObjects));
         notes.addAll(base.recentNotes());
         return notes.subList(0, Math.min(notes.size(), Configuration.MAX_RECENT_NOTES));
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteParser.java
@@ -27,7 +27,7 @@
 public final class NoteParser {
     private static final Set<String> NOTE_FIELDS = Set.of("id", "basedOn", "add", "change", "withdraw");
 
-    /** Rejects a repeated field or a second value, which would otherwise be dropped silently. */
+    /** Rejects a repeated field and a second JSON value, which Jackson would otherwise drop silently. */
     private static final ObjectReader READER = JsonCodec.mapper()
             .reader()
             .with(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -156,11 +156,11 @@
         return node.isTextual() ? JsonCodec.mapper().createObjectNode().put(subject.nameField(), node.asText()) : null;
     }
 
-    private void rejectUnknownFields(String prefix, ObjectNode object, Set<String> known) {
+    private void rejectUnknownFields(String prefix, ObjectNode object, Set<String> knownFields) {
         for (Iterator<String> names = object.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!known.contains(name)) {
-                errors.add(new NoteError(prefix + name, Kind.UNKNOWN_FIELD, "known fields: " + sorted(known)));
+            if (!knownFields.contains(name)) {
+                errors.add(new NoteError(prefix + name, Kind.UNKNOWN_FIELD, "known fields: " + sorted(knownFields)));
             }
         }
     }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -34,6 +34,7 @@
 
     /** Result of claiming the id of a note. */
     private enum Claim {
+        /** This submission recorded the note under its id. */
         NEW,
         /**
          * Another submission of the same text may have sent a write of the configuration that can still take effect.
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/SubmitResult.java
@@ -11,7 +11,7 @@
  * @param code {@code OK}, or the reason why the note was not accepted
  * @param revision revision at which the note was accepted, or the current revision of the configuration after a
  *     conflict
- * @param faults all errors of an invalid note
+ * @param faults all errors of an invalid note; empty otherwise
  * @param newerNotes after a conflict, the notes accepted since the revision that the note is based on, as far as the
  *     configuration lists them
  */
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/EntryMerger.java
@@ -46,8 +46,8 @@
                     .filter(fieldSpec -> fieldSpec.name().equals(field.getKey()))
                     .findFirst();
             if (spec.isEmpty()) {
-                List<String> known = specs.stream().map(FieldSpec::name).toList();
-                errors.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + known));
+                List<String> knownFields = specs.stream().map(FieldSpec::name).toList();
+                errors.add(new NoteError(path, Kind.UNKNOWN_FIELD, "known fields: " + knownFields));
             } else {
                 spec.get().validator().apply(field.getValue()).ifPresent(violation -> errors.add(violation.at(path)));
             }
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/internal/FieldSpec.java
@@ -74,15 +74,15 @@
     }
 
     private static FieldSpec localityField(String field) {
-        List<String> known =
+        List<String> localityNames =
                 Arrays.stream(Locality.values()).map(Locality::text).toList();
         return new FieldSpec(field, value -> {
             if (!value.isTextual()) {
                 return violation(Kind.WRONG_TYPE, "must be a string");
             }
-            return known.contains(value.asText())
+            return localityNames.contains(value.asText())
                     ? Optional.empty()
-                    : violation(Kind.OUT_OF_RANGE, "must be one of " + known);
+                    : violation(Kind.OUT_OF_RANGE, "must be one of " + localityNames);
         });
     }
 
