--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -178,8 +178,8 @@
      * after all members.
      */
     private int rank(Member self, Set<MemberId> suspects) {
-        Collection<VersionedMember> known = view.current().members().values();
-        List<MemberId> candidates = known.stream()
+        Collection<VersionedMember> knownMembers = view.current().members().values();
+        List<MemberId> candidates = knownMembers.stream()
                 .map(VersionedMember::member)
                 .filter(member -> member.region().equals(self.region()))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
@@ -270,8 +270,8 @@
 
     private void fetchIfAhead(MemberId peer, FetchObject.Kind kind, Revision peerRevision) {
         SyncState sync = syncStates.get(kind);
-        Revision known = view.completeUpTo(kind);
-        if (sync.fetchInFlight || !sync.listed || !peerRevision.isNewerThan(known)) {
+        Revision completeRevision = view.completeUpTo(kind);
+        if (sync.fetchInFlight || !sync.listed || !peerRevision.isNewerThan(completeRevision)) {
             return;
         }
         view.member(peer).ifPresent(record -> {
@@ -281,7 +281,7 @@
             context.callWithTimeout(
                     () -> context.dependencies()
                             .peerClient()
-                            .call(target, new FetchObject(kind, known), ObjectData.class, FETCH_TIMEOUT_MS),
+                            .call(target, new FetchObject(kind, completeRevision), ObjectData.class, FETCH_TIMEOUT_MS),
                     FETCH_TIMEOUT_MS,
                     (data, failure) -> {
                         sync.fetchInFlight = false;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ObjectCache.java
@@ -115,8 +115,8 @@
     }
 
     private Revision knownRevision(String name) {
-        StoredObject known = objects.containsKey(name) ? objects.get(name) : tombstones.get(name);
-        return known == null ? Revision.NONE : known.revision();
+        StoredObject cachedObject = objects.containsKey(name) ? objects.get(name) : tombstones.get(name);
+        return cachedObject == null ? Revision.NONE : cachedObject.revision();
     }
 
     private void removeMissing(List<StoredObject> listing, Revision upTo, List<StoredObject> applied) {
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessSelector.java
@@ -72,15 +72,15 @@
         Predicate<Member> inDomain =
                 inRegion.and(member -> member.failureDomain().equals(self.failureDomain()));
         Predicate<Member> usable = member -> !suspects.contains(member.id());
-        Set<MemberId> kept = new HashSet<>(current);
+        Set<MemberId> keptWitnesses = new HashSet<>(current);
         if (rebalance) {
             mostLoadedReplaceable(usable.and(inDomain), usable.and(inRegion).and(inDomain.negate()))
-                    .ifPresent(kept::remove);
+                    .ifPresent(keptWitnesses::remove);
         }
-        addFromGroup(usable.and(inDomain), count / 2, kept);
-        addFromGroup(usable.and(inRegion).and(inDomain.negate()), count, kept);
-        addFromGroup(usable.and(inRegion), count, kept);
-        addFromGroup(usable, count, kept);
+        addFromGroup(usable.and(inDomain), count / 2, keptWitnesses);
+        addFromGroup(usable.and(inRegion).and(inDomain.negate()), count, keptWitnesses);
+        addFromGroup(usable.and(inRegion), count, keptWitnesses);
+        addFromGroup(usable, count, keptWitnesses);
         addFromGroup(member -> true, count, Set.copyOf(current));
         return inCurrentOrder();
     }
@@ -121,9 +121,9 @@
     }
 
     /** Adds members of the group, first those to keep, until there are {@code limit} witnesses. */
-    private void addFromGroup(Predicate<Member> group, int limit, Set<MemberId> kept) {
+    private void addFromGroup(Predicate<Member> group, int limit, Set<MemberId> keptWitnesses) {
         Comparator<MemberId> byLoad = Comparator.comparing(this::witnessLoad);
-        addInOrder(group.and(member -> kept.contains(member.id())), limit, byLoad);
+        addInOrder(group.and(member -> keptWitnesses.contains(member.id())), limit, byLoad);
         addInOrder(
                 group,
                 limit,
--- a/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
+++ b/org.coriandercrank.daemon.test/src/test/java/org/coriandercrank/daemon/test/MemberLifecycleTest.java
@@ -41,7 +41,7 @@
         lifecycle.onHeartbeat(OTHER, nextSequence++, false, 0);
         assertThat(lifecycle.onHeartbeat(FIRST, nextSequence++, false, 900 * NANOS_PER_MS))
                 .isEmpty();
-        assertThat(lifecycle.current()).contains(OTHER);
+        assertThat(lifecycle.currentServer()).contains(OTHER);
     }
 
     /** The ranges of a silent server must move to other servers once its grants have expired. */
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/GrantRowMerger.java
@@ -24,7 +24,7 @@
     private final int maxRows;
 
     /** Rows returned by the latest call of {@link #merge(List, List)}. */
-    private List<GrantedRange> lastSent = List.of();
+    private List<GrantedRange> lastSentRows = List.of();
 
     /** @param maxRows number of rows above which adjacent ranges with different fencing tokens are merged */
     GrantRowMerger(int maxRows) {
@@ -37,11 +37,11 @@
      * @param held rows that the server reports as held, including rows granted by an earlier process of the daemon
      */
     List<GrantedRange> merge(List<GrantedRange> granted, List<GrantedRange> held) {
-        List<GrantedRange> sorted = withNewestFences(withNewestFences(sorted(granted), lastSent), sorted(held));
+        List<GrantedRange> sorted = withNewestFences(withNewestFences(sorted(granted), lastSentRows), sorted(held));
         List<GrantedRange> rows =
                 mergeAdjacent(sorted, (left, right) -> left.fence().equals(right.fence()));
-        lastSent = rows.size() <= maxRows ? rows : mergeAdjacent(sorted, (left, right) -> true);
-        return lastSent;
+        lastSentRows = rows.size() <= maxRows ? rows : mergeAdjacent(sorted, (left, right) -> true);
+        return lastSentRows;
     }
 
     private static List<GrantedRange> sorted(List<GrantedRange> ranges) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -39,9 +39,9 @@
     private final List<Handover> handovers = new ArrayList<>();
 
     /** Ranges that the latest heartbeat reported as held; all ranges before the first heartbeat. */
-    private List<KeyRange> held = List.of(KeyRange.ALL);
+    private List<KeyRange> heldRanges = List.of(KeyRange.ALL);
 
-    private long heldReportedNanos;
+    private long lastReportNanos;
     private long lastHeartbeatSequence = Long.MIN_VALUE;
     private Grant latestGrant;
     private long latestGrantNanos;
@@ -57,7 +57,7 @@
         this.clock = clock;
         rowMerger = new GrantRowMerger(maxRows);
         this.maxHoldNanos = TimeUnit.MILLISECONDS.toNanos(maxHoldMs);
-        heldReportedNanos = clock.nowNanos();
+        lastReportNanos = clock.nowNanos();
     }
 
     /**
@@ -96,8 +96,8 @@
             }
             lastHeartbeatSequence = heartbeatSequence;
             addHandovers(released);
-            held = reported.stream().map(GrantedRange::range).toList();
-            heldReportedNanos = clock.nowNanos();
+            heldRanges = reported.stream().map(GrantedRange::range).toList();
+            lastReportNanos = clock.nowNanos();
             if (latestGrant == null) {
                 return Optional.empty();
             }
@@ -111,7 +111,7 @@
             sequence = latestGrant.sequence();
             List<KeyRange> granted =
                     latestGrant.ranges().stream().map(GrantedRange::range).toList();
-            boolean holdsOnlyGranted = held.stream()
+            boolean holdsOnlyGranted = heldRanges.stream()
                     .allMatch(range -> KeyRanges.subtract(range, granted).isEmpty());
             toComplete = holdsOnlyGranted ? acknowledgement : null;
         }
@@ -126,8 +126,8 @@
      * not passed since. Before the first heartbeat it may hold any range.
      */
     public synchronized boolean mayHold(KeyRange range) {
-        return clock.nowNanos() - heldReportedNanos < maxHoldNanos
-                && held.stream().anyMatch(range::overlaps);
+        return clock.nowNanos() - lastReportNanos < maxHoldNanos
+                && heldRanges.stream().anyMatch(range::overlaps);
     }
 
     /** Returns and removes the handover tokens of released ranges that overlap a range. */
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/MemberLifecycle.java
@@ -58,8 +58,8 @@
     public record Timeouts(long silenceTimeoutMs, long joinAloneDelayMs, long drainDelayMs) {}
 
     private final Timeouts timeouts;
-    private Optional<ServerIncarnation> current = Optional.empty();
-    private Optional<ServerIncarnation> previous = Optional.empty();
+    private Optional<ServerIncarnation> currentServer = Optional.empty();
+    private Optional<ServerIncarnation> previousServer = Optional.empty();
 
     /** Sequence of the latest heartbeat of the current server. */
     private long lastSequence;
@@ -80,8 +80,8 @@
     }
 
     /** Returns the server that is attached. */
-    public Optional<ServerIncarnation> current() {
-        return current;
+    public Optional<ServerIncarnation> currentServer() {
+        return currentServer;
     }
 
     /**
@@ -93,17 +93,17 @@
      */
     public List<Action> onHeartbeat(ServerIncarnation server, long sequence, boolean serverLeaving, long nowNanos) {
         List<Action> actions = new ArrayList<>();
-        boolean sameServer = current.equals(Optional.of(server));
+        boolean sameServer = currentServer.equals(Optional.of(server));
         if (isOutdated(server) || (sameServer && sequence <= lastSequence)) {
             return actions;
         }
         lastSequence = sequence;
         boolean leaveWithdrawn = leaving && !serverLeaving && sameServer;
-        if (leaveWithdrawn || (current.isPresent() && !sameServer)) {
+        if (leaveWithdrawn || (currentServer.isPresent() && !sameServer)) {
             detach(leaveWithdrawn ? "server-returned" : "server-replaced", true, nowNanos, actions);
         }
         lastHeartbeatNanos = nowNanos;
-        if (current.isEmpty()) {
+        if (currentServer.isEmpty()) {
             attach(server, leaveWithdrawn ? timeouts.silenceTimeoutMs() : 0, actions);
         }
         if (serverLeaving) {
@@ -115,7 +115,7 @@
     /** Handles the announcement by the server with the given id that it will end. */
     public List<Action> onDeregister(String id, long nowNanos) {
         List<Action> actions = new ArrayList<>();
-        if (current.isPresent() && current.get().id().equals(id)) {
+        if (currentServer.isPresent() && currentServer.get().id().equals(id)) {
             leave(nowNanos, actions);
         }
         return actions;
@@ -124,7 +124,7 @@
     /** Handles the sealing of the member by another daemon. A server that is not leaving gets a new member. */
     public List<Action> onMemberSealed(long nowNanos) {
         List<Action> actions = new ArrayList<>();
-        Optional<ServerIncarnation> server = current;
+        Optional<ServerIncarnation> server = currentServer;
         if (server.isPresent()) {
             boolean wasLeaving = leaving;
             detach("sealed-by-others", !wasLeaving, nowNanos, actions);
@@ -141,14 +141,14 @@
     /** Returns the actions that are due because of elapsed time. */
     public List<Action> onTick(long nowNanos) {
         List<Action> actions = new ArrayList<>();
-        if (current.isPresent() && hasElapsed(lastHeartbeatNanos, timeouts.silenceTimeoutMs(), nowNanos)) {
+        if (currentServer.isPresent() && hasElapsed(lastHeartbeatNanos, timeouts.silenceTimeoutMs(), nowNanos)) {
             detach("server-silent", false, nowNanos, actions);
         }
         if (leaving && !drained && hasElapsed(leavingSinceNanos, timeouts.drainDelayMs(), nowNanos)) {
             drained = true;
-            actions.add(new Action.Drain(current.orElseThrow()));
+            actions.add(new Action.Drain(currentServer.orElseThrow()));
         }
-        if (current.isEmpty()
+        if (currentServer.isEmpty()
                 && !joinedAlone
                 && hasElapsed(withoutServerSinceNanos, timeouts.joinAloneDelayMs(), nowNanos)) {
             joinedAlone = true;
@@ -158,7 +158,7 @@
     }
 
     private boolean isOutdated(ServerIncarnation server) {
-        Optional<ServerIncarnation> newest = current.isPresent() ? current : previous;
+        Optional<ServerIncarnation> newest = currentServer.isPresent() ? currentServer : previousServer;
         return newest.isPresent() && server.bornMs() < newest.get().bornMs();
     }
 
@@ -167,8 +167,8 @@
             actions.add(new Action.Detach("server-arrived", true));
         }
         joinedAlone = false;
-        attachCount = previous.equals(Optional.of(server)) ? attachCount + 1 : 1;
-        current = Optional.of(server);
+        attachCount = previousServer.equals(Optional.of(server)) ? attachCount + 1 : 1;
+        currentServer = Optional.of(server);
         actions.add(new Action.Attach(server, attachCount, joinAfterMs));
     }
 
@@ -177,13 +177,13 @@
             leaving = true;
             drained = false;
             leavingSinceNanos = nowNanos;
-            actions.add(new Action.Leave(current.orElseThrow()));
+            actions.add(new Action.Leave(currentServer.orElseThrow()));
         }
     }
 
     private void detach(String reason, boolean replaced, long nowNanos, List<Action> actions) {
-        previous = current;
-        current = Optional.empty();
+        previousServer = currentServer;
+        currentServer = Optional.empty();
         leaving = false;
         withoutServerSinceNanos = nowNanos;
         actions.add(new Action.Detach(reason, replaced));
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -40,19 +40,21 @@
 
     @Override
     public CompletableFuture<CallerAnswer> submit(CallerRequest request) {
-        return find().map(localGate -> localGate.submit(request))
+        return currentGate()
+                .map(localGate -> localGate.submit(request))
                 .orElseGet(() -> CompletableFuture.completedFuture(
                         CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server is attached to this daemon")));
     }
 
     @Override
     public void cancel(RequestId requestId) {
-        find().ifPresent(localGate -> localGate.cancel(requestId));
+        currentGate().ifPresent(localGate -> localGate.cancel(requestId));
     }
 
     @Override
     public CompletableFuture<OutcomeAnswer> resolve(OutcomeQuery query) {
-        return find().map(localGate -> localGate.resolve(query))
+        return currentGate()
+                .map(localGate -> localGate.resolve(query))
                 .orElseGet(() -> CompletableFuture.completedFuture(OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN)));
     }
 
@@ -69,56 +71,61 @@
 
     @Override
     public void detach() {
-        find().ifPresent(Gate::detach);
+        currentGate().ifPresent(Gate::detach);
     }
 
     @Override
     public void stopSending() {
-        find().ifPresent(Gate::stopSending);
+        currentGate().ifPresent(Gate::stopSending);
     }
 
     @Override
     public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords records) {
-        return find().map(localGate -> localGate.acquire(range, fence, records)).orElseGet(LocalGate::noBackend);
+        return currentGate()
+                .map(localGate -> localGate.acquire(range, fence, records))
+                .orElseGet(LocalGate::noBackend);
     }
 
     @Override
     public CompletableFuture<TransferredRecords> release(KeyRange range) {
-        return find().map(localGate -> localGate.release(range))
+        return currentGate()
+                .map(localGate -> localGate.release(range))
                 .orElseGet(() -> CompletableFuture.completedFuture(TransferredRecords.NONE));
     }
 
     @Override
     public CompletableFuture<Void> drain() {
-        return find().map(Gate::drain).orElseGet(() -> CompletableFuture.completedFuture(null));
+        return currentGate().map(Gate::drain).orElseGet(() -> CompletableFuture.completedFuture(null));
     }
 
     @Override
     public List<RangeLoad> rangeLoads() {
-        return find().map(Gate::rangeLoads).orElse(List.of());
+        return currentGate().map(Gate::rangeLoads).orElse(List.of());
     }
 
     @Override
     public GateStatus status() {
-        return find().map(Gate::status).orElse(NO_GATE);
+        return currentGate().map(Gate::status).orElse(NO_GATE);
     }
 
     @Override
     public boolean mayHoldEarlierGrant(KeyRange range) {
-        return find().map(localGate -> localGate.mayHoldEarlierGrant(range)).orElse(false);
+        return currentGate()
+                .map(localGate -> localGate.mayHoldEarlierGrant(range))
+                .orElse(false);
     }
 
     @Override
     public GateLoad load() {
-        return find().map(Gate::load).orElse(GateLoad.NONE);
+        return currentGate().map(Gate::load).orElse(GateLoad.NONE);
     }
 
     @Override
     public void close() {
-        find().ifPresent(Gate::close);
+        currentGate().ifPresent(Gate::close);
     }
 
-    private Optional<Gate> find() {
+    private Optional<Gate> currentGate() {
         return Optional.ofNullable(gate.get());
     }
 
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -25,7 +25,7 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** Time by which a daemon may receive a table earlier than the experiment reads it from the store. */
-    private static final long MAX_OBSERVATION_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long OBSERVATION_DELAY_ALLOWANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     /**
      * Calls and executions of one key. Immutable.
@@ -59,7 +59,7 @@
      */
     public List<Double> plannedMoveGapsMs(List<OwnerChange> changes) {
         List<Double> gapsMs = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, change.observedNanos() - MAX_OBSERVATION_DELAY_NANOS, gapsMs));
+        changes.forEach(change -> addGaps(change, change.observedNanos() - OBSERVATION_DELAY_ALLOWANCE_NANOS, gapsMs));
         Collections.sort(gapsMs);
         return gapsMs;
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServerLoads.java
@@ -18,7 +18,7 @@
  */
 public record ServerLoads(double meanImbalance, double p95Imbalance, List<Double> perSecond) {
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final double PERCENTILE = 0.95;
+    private static final double P95_FRACTION = 0.95;
 
     /**
      * Period in which a server is expected to receive requests, relative to the start of the run. Immutable.
@@ -64,7 +64,7 @@
         List<Double> sorted = new ArrayList<>(imbalances);
         Collections.sort(sorted);
         double mean = imbalances.stream().mapToDouble(v -> v).average().orElse(0);
-        double p95 = sorted.isEmpty() ? 0 : sorted.get((int) Math.ceil(PERCENTILE * sorted.size()) - 1);
+        double p95 = sorted.isEmpty() ? 0 : sorted.get((int) Math.ceil(P95_FRACTION * sorted.size()) - 1);
         return new ServerLoads(mean, p95, imbalances);
     }
 
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ServiceCluster.java
@@ -47,7 +47,7 @@
     private static final long NOTE_TIMEOUT_MS = 10_000;
 
     /** Policies that the submitted notes may select. No service counts as in use. */
-    private static final NoteApplier.Environment ENVIRONMENT = new NoteApplier.Environment(
+    private static final NoteApplier.Environment NOTE_ENVIRONMENT = new NoteApplier.Environment(
             Set.<ServiceName>of(),
             Set.of("availability", "low-churn", "static", "greedy"),
             Set.of("two-choices", "round-robin", "least-in-flight"));
@@ -137,7 +137,7 @@
                 .join()
                 .map(object -> object.revision())
                 .orElse(Revision.NONE);
-        SubmitResult result = new NoteSubmitter(store, () -> ENVIRONMENT, NOTE_TIMEOUT_MS)
+        SubmitResult result = new NoteSubmitter(store, () -> NOTE_ENVIRONMENT, NOTE_TIMEOUT_MS)
                 .submit("{\"id\":\"" + id + "\",\"basedOn\":" + base + "," + content + "}");
         if (!result.faults().isEmpty() || result.revision().equals(Revision.NONE)) {
             throw new IllegalStateException("release note was rejected: " + result);
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeService.java
@@ -119,10 +119,11 @@
         List<RangeEntry> replaced = removeReplaced(range, fence);
         long ownServingSinceNanos =
                 replaced.isEmpty() ? nowNanos : replaced.get(0).servingSinceNanos();
-        for (RangeEntry old : replaced) {
-            ownHorizon = ownHorizon.later(old.recordHorizon());
-            ownServingSinceNanos =
-                    old.servingSinceNanos() - ownServingSinceNanos > 0 ? old.servingSinceNanos() : ownServingSinceNanos;
+        for (RangeEntry replacedEntry : replaced) {
+            ownHorizon = ownHorizon.later(replacedEntry.recordHorizon());
+            ownServingSinceNanos = replacedEntry.servingSinceNanos() - ownServingSinceNanos > 0
+                    ? replacedEntry.servingSinceNanos()
+                    : ownServingSinceNanos;
         }
         boolean fullyCovered =
                 RangeTable.covers(replaced.stream().map(RangeEntry::range).toList(), range);
@@ -133,7 +134,7 @@
         } else if (transferred.completeForMs() > 0) {
             entry.limitRemovalHorizon(transferredHorizon);
         }
-        replaced.forEach(old -> entry.limitRemovalHorizon(old.removalHorizon()));
+        replaced.forEach(replacedEntry -> entry.limitRemovalHorizon(replacedEntry.removalHorizon()));
         replaced.forEach(entry::inheritGrantExpiry);
         return entry;
     }
@@ -144,13 +145,14 @@
      */
     private List<RangeEntry> removeReplaced(KeyRange range, Generation fence) {
         List<RangeEntry> removed = new ArrayList<>();
-        for (RangeEntry old : ranges.overlapping(range)) {
-            if (old.state() == State.ACQUIRING) {
-                old.failAcquire(new CrankException(
+        for (RangeEntry overlappingEntry : ranges.overlapping(range)) {
+            if (overlappingEntry.state() == State.ACQUIRING) {
+                overlappingEntry.failAcquire(new CrankException(
                         ResultCode.RANGE_MOVING, "the range was acquired under a newer fencing token"));
-            } else if (old.state() == State.SERVING
-                    || (old.isAcquireFailed() && old.fence().equals(fence))) {
-                RangeEntry part = ranges.splitOff(old, range);
+            } else if (overlappingEntry.state() == State.SERVING
+                    || (overlappingEntry.isAcquireFailed()
+                            && overlappingEntry.fence().equals(fence))) {
+                RangeEntry part = ranges.splitOff(overlappingEntry, range);
                 ranges.remove(part);
                 removed.add(part);
             }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RequestService.java
@@ -332,11 +332,11 @@
         parked.remove(id)
                 .ifPresent(p -> refuse(
                         p.waiter(), CallerAnswer.of(ResultCode.CANCELLED, "cancelled before its range was served")));
-        Optional<Execution> found = requestTable.active(id);
-        if (found.isEmpty()) {
+        Optional<Execution> activeExecution = requestTable.active(id);
+        if (activeExecution.isEmpty()) {
             return;
         }
-        Execution execution = found.get();
+        Execution execution = activeExecution.get();
         boolean shared = execution.hasOtherWaiters(id);
         if (execution.state() == State.QUEUED && !shared) {
             finishQueued(execution, CallerAnswer.of(ResultCode.CANCELLED, "cancelled in the queue"));
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/RequestParser.java
@@ -128,13 +128,13 @@
     }
 
     private static ServiceConfig findService(String text, RoutingSnapshot snapshot) {
-        Optional<ServiceConfig> found;
+        Optional<ServiceConfig> configuredService;
         try {
-            found = snapshot.configuration().service(new ServiceName(text));
+            configuredService = snapshot.configuration().service(new ServiceName(text));
         } catch (IllegalArgumentException e) {
             throw new CrankException(ResultCode.UNKNOWN_SERVICE, "service: " + e.getMessage(), e);
         }
-        return found.orElseThrow(
+        return configuredService.orElseThrow(
                 () -> new CrankException(ResultCode.UNKNOWN_SERVICE, "service: there is no service " + text));
     }
 
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/routing/RequestDispatch.java
@@ -218,17 +218,17 @@
                 }));
     }
 
-    private void routeAfterOwnerChange(CallerAnswer refusal, RoutingSnapshot seen) {
-        routeWhen(ownerChangedSince(seen), refusal);
+    private void routeAfterOwnerChange(CallerAnswer refusal, RoutingSnapshot attemptSnapshot) {
+        routeWhen(ownerChangedSince(attemptSnapshot), refusal);
     }
 
     /**
      * A condition that is true if the service has a newer table than in the given snapshot, or if the owner of the key
      * or its member record is different.
      */
-    private Predicate<RoutingSnapshot> ownerChangedSince(RoutingSnapshot seen) {
-        Generation generation = generationIn(seen);
-        Optional<Member> owner = ownerIn(seen);
+    private Predicate<RoutingSnapshot> ownerChangedSince(RoutingSnapshot attemptSnapshot) {
+        Generation generation = generationIn(attemptSnapshot);
+        Optional<Member> owner = ownerIn(attemptSnapshot);
         return snapshot -> generationIn(snapshot).isNewerThan(generation)
                 || !ownerIn(snapshot).equals(owner);
     }
@@ -242,9 +242,9 @@
      * Sends a refused request again after a backoff, or as soon as the owner changes. If the request must not wait any
      * longer, it finishes with the refusal.
      *
-     * @param seen the snapshot on which the refused attempt was based
+     * @param attemptSnapshot the snapshot on which the refused attempt was based
      */
-    void resendLater(CallerAnswer refusal, RoutingSnapshot seen) {
+    void resendLater(CallerAnswer refusal, RoutingSnapshot attemptSnapshot) {
         lastAnswer = Optional.of(refusal);
         if (ownerWait.remainingMs(refusal.code(), context.nowNanos()) == 0) {
             finish(refusal);
@@ -252,7 +252,7 @@
         }
         context.dependencies()
                 .routingView()
-                .await(ownerChangedSince(seen), ownerWait.takeNextBackoffMs())
+                .await(ownerChangedSince(attemptSnapshot), ownerWait.takeNextBackoffMs())
                 .whenComplete((snapshot, failure) -> execute(() -> route(failure == null ? "newer-table" : "repeat")));
     }
 
@@ -260,9 +260,9 @@
      * Like {@link #resendLater}, but takes a retry from the retry budget, because the refused attempt reached the
      * backend server.
      */
-    void resendLaterWithinBudget(CallerAnswer refusal, RoutingSnapshot seen) {
+    void resendLaterWithinBudget(CallerAnswer refusal, RoutingSnapshot attemptSnapshot) {
         if (retryBudget().tryRetry(context.nowNanos())) {
-            resendLater(refusal, seen);
+            resendLater(refusal, attemptSnapshot);
         } else {
             context.metrics().countRetryBudgetRefusal();
             finish(retryLaterAnswer(ResultCode.RETRY_BUDGET_EXHAUSTED, "last failure: " + refusal.code()));
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/store/TableCodec.java
@@ -89,9 +89,9 @@
     }
 
     private static int index(Map<MemberId, Integer> indexes, MemberId member) {
-        Integer known = indexes.get(member);
-        if (known != null) {
-            return known;
+        Integer existingIndex = indexes.get(member);
+        if (existingIndex != null) {
+            return existingIndex;
         }
         indexes.put(member, indexes.size());
         return indexes.size() - 1;
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -99,9 +99,9 @@
     }
 
     private Entry entry(MemberId member) {
-        Entry known = entries.get(member);
-        if (known != null) {
-            return known;
+        Entry existingEntry = entries.get(member);
+        if (existingEntry != null) {
+            return existingEntry;
         }
         Entry added = new Entry();
         added.lastAckNanos = evictedAckNanos;
--- a/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
+++ b/org.coriandercrank.note/src/main/java/org/coriandercrank/note/NoteSubmitter.java
@@ -33,7 +33,7 @@
     private static final long RETRY_PAUSE_MS = 50;
 
     /** Result of claiming the id of a note. */
-    private enum Claim {
+    private enum IdClaim {
         /** This submission recorded the note under its id. */
         NEW,
         /**
@@ -93,11 +93,11 @@
         if (newConfiguration.isEmpty()) {
             return SubmitResult.invalid(ResultCode.NOTE_INVALID, applier.errors());
         }
-        Claim claim = claimId(note, text, history);
-        if (claim == Claim.DENIED) {
+        IdClaim claim = claimId(note, text, history);
+        if (claim == IdClaim.DENIED) {
             return SubmitResult.rejected(ResultCode.NOTE_ID_REUSED, Revision.NONE, List.of());
         }
-        writeMayTakeEffect = claim == Claim.RESUMED;
+        writeMayTakeEffect = claim == IdClaim.RESUMED;
         return writeConfiguration(note, text, JsonCodec.encode(newConfiguration.get()));
     }
 
@@ -163,24 +163,24 @@
     }
 
     /** Records the note under its id. The claim is denied if another note has the id and may be accepted. */
-    private Claim claimId(ReleaseNote note, String text, AcceptanceHistory history) {
+    private IdClaim claimId(ReleaseNote note, String text, AcceptanceHistory history) {
         NoteRecord record = new NoteRecord(note.id(), State.SUBMITTED, note.basedOn(), Revision.NONE, text);
         while (true) {
             Optional<StoredObject> existing = readRecord(note.id());
             if (existing.isPresent()) {
                 NoteRecord existingRecord = decodeRecord(existing.get());
                 if (existingRecord.text().equals(text)) {
-                    return Claim.RESUMED;
+                    return IdClaim.RESUMED;
                 }
                 if (!isDefinitelyRejected(existingRecord, history)) {
-                    return Claim.DENIED;
+                    return IdClaim.DENIED;
                 }
             }
             Revision expected = existing.map(StoredObject::revision).orElse(Revision.NONE);
             try {
                 store.put(ObjectNames.note(note.id()), JsonCodec.encode(record), expected)
                         .join();
-                return Claim.NEW;
+                return IdClaim.NEW;
             } catch (RuntimeException e) {
                 rethrowUnlessRetryable(CrankException.of(e), ResultCode.REVISION_CONFLICT);
             }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnership.java
@@ -246,21 +246,22 @@
         dependencies
                 .store()
                 .get(ObjectNames.member(action.previousOwner()))
-                .whenComplete(
-                        (found, failure) -> enqueue(() -> lookupCompleted(service, state, action, found, failure)));
+                .whenComplete((storedMember, failure) ->
+                        enqueue(() -> lookupCompleted(service, state, action, storedMember, failure)));
     }
 
     private void lookupCompleted(
             ServiceName service,
             OwnershipState state,
             OwnershipAction.RequestRelease action,
-            Optional<StoredObject> found,
+            Optional<StoredObject> storedMember,
             Throwable failure) {
         if (failure != null) {
             retryLater(state, action);
             return;
         }
-        Optional<Member> member = found.map(object -> JsonCodec.decode(object.value(), Member.class))
+        Optional<Member> member = storedMember
+                .map(object -> JsonCodec.decode(object.value(), Member.class))
                 .filter(stored -> stored.state() != MemberState.SEALED);
         if (member.isPresent()) {
             sendReleaseRequest(service, state, action, member.get());
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -84,19 +84,20 @@
     private void read() {
         election.readStarted();
         store.get(ObjectNames.PLANNER)
-                .whenComplete((found, failure) -> enqueue.accept(() -> {
+                .whenComplete((storedRecord, failure) -> enqueue.accept(() -> {
                     if (failure != null) {
                         election.readFailed(clock.nowMs());
                     } else {
-                        readCompleted(found);
+                        readCompleted(storedRecord);
                     }
                 }));
     }
 
-    private void readCompleted(Optional<StoredObject> found) {
+    private void readCompleted(Optional<StoredObject> storedRecord) {
         try {
-            Optional<PlannerRecord> record = found.map(o -> JsonCodec.decode(o.value(), PlannerRecord.class));
-            election.readCompleted(record, found.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
+            Optional<PlannerRecord> record = storedRecord.map(o -> JsonCodec.decode(o.value(), PlannerRecord.class));
+            election.readCompleted(
+                    record, storedRecord.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
         } catch (CrankException e) {
             election.readFailed(clock.nowMs());
             throw e;
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -126,24 +126,33 @@
         List<Segment> segments = new ArrayList<>();
         List<KeyRange> covered = new ArrayList<>();
         for (int i = firstIndex; i < current.size(); i++) {
-            RangeAssignment old = current.get(i);
-            if (old.range().first().compareTo(wantedRange.range().last()) > 0) {
+            RangeAssignment currentAssignment = current.get(i);
+            if (currentAssignment.range().first().compareTo(wantedRange.range().last()) > 0) {
                 break;
             }
-            KeyRange intersection =
-                    KeyRanges.intersect(old.range(), wantedRange.range()).orElseThrow();
+            KeyRange intersection = KeyRanges.intersect(currentAssignment.range(), wantedRange.range())
+                    .orElseThrow();
             covered.add(intersection);
-            if (old.owner().equals(wantedRange.owner())) {
+            if (currentAssignment.owner().equals(wantedRange.owner())) {
                 segments.add(new Segment(
-                        new RangeAssignment(intersection, old.owner(), old.fence(), old.previousOwners()), true));
+                        new RangeAssignment(
+                                intersection,
+                                currentAssignment.owner(),
+                                currentAssignment.fence(),
+                                currentAssignment.previousOwners()),
+                        true));
                 continue;
             }
             Set<MemberId> previous = new LinkedHashSet<>();
-            previous.add(old.owner());
-            previous.addAll(old.previousOwners());
+            previous.add(currentAssignment.owner());
+            previous.addAll(currentAssignment.previousOwners());
             segments.add(reassigned(intersection, wantedRange.owner(), next, previous, isRemoved));
             changes.add(new Change(
-                    intersection, Optional.of(old.owner()), wantedRange.owner(), next, wantedRange.reason()));
+                    intersection,
+                    Optional.of(currentAssignment.owner()),
+                    wantedRange.owner(),
+                    next,
+                    wantedRange.reason()));
         }
         for (KeyRange gap : KeyRanges.subtract(wantedRange.range(), covered)) {
             segments.add(reassigned(gap, wantedRange.owner(), next, potentialHolders, isRemoved));
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/WorkingTable.java
@@ -125,9 +125,9 @@
 
     /** Changes the owner of an entry. */
     void assign(int index, MemberId owner, String reason) {
-        Entry old = entries.get(index);
-        addToTotals(old, -1);
-        Entry entry = new Entry(old.range(), owner, old.load(), false, reason);
+        Entry replacedEntry = entries.get(index);
+        addToTotals(replacedEntry, -1);
+        Entry entry = new Entry(replacedEntry.range(), owner, replacedEntry.load(), false, reason);
         entries.set(index, entry);
         addToTotals(entry, 1);
     }
@@ -138,12 +138,17 @@
      * @return the index of the first part
      */
     int split(int index, List<KeyRange> parts) {
-        Entry old = entries.remove(index);
+        Entry replacedEntry = entries.remove(index);
         int insertIndex = index;
         for (KeyRange part : parts) {
             entries.add(
                     insertIndex++,
-                    new Entry(part, old.owner(), old.load().partOf(old.range(), part), old.stable(), old.reason()));
+                    new Entry(
+                            part,
+                            replacedEntry.owner(),
+                            replacedEntry.load().partOf(replacedEntry.range(), part),
+                            replacedEntry.stable(),
+                            replacedEntry.reason()));
         }
         return index;
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendEngine.java
@@ -126,7 +126,7 @@
             if (request.done || rejectIfNotAllowed(request)) {
                 continue;
             }
-            request.running = true;
+            request.hasOccupiedSlot = true;
             request.startOrder = ++startedRequests;
             request.startNanos = timers.clock().nowNanos();
             request.startWallMs = System.currentTimeMillis();
@@ -195,7 +195,7 @@
         request.done = true;
         request.deadlineTimer.cancel();
         activeRequests.remove(request.id, request);
-        if (request.running) {
+        if (request.hasOccupiedSlot) {
             runningRequests--;
         }
     }
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/BackendRequest.java
@@ -32,7 +32,7 @@
     /** Whether the request has taken effect or was rejected. */
     boolean done;
     /** Whether the request occupies or has occupied a slot. */
-    boolean running;
+    boolean hasOccupiedSlot;
 
     long startOrder;
     long startNanos;
