--- a/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
+++ b/org.coriandercrank.adapters.test/src/test/java/org/coriandercrank/adapters/ObjectStoreContract.java
@@ -13,17 +13,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What every adapter of the object store must do; a subclass supplies a store that can be made to fail. */
+/** Contract tests for every object store adapter; a subclass supplies a store into which faults can be injected. */
 abstract class ObjectStoreContract {
-    /** Faults of the store that the contract needs. */
+    /** Faults that the contract injects into the store. */
     enum StoreFault {
         NONE,
+        /** The port of the store refuses connections. */
         UNREACHABLE,
+        /** The store rejects requests; they have no effect. */
         DOWN,
+        /** The store closes connections without a response; requests have no effect. */
         CLOSED,
+        /** Requests take effect, but are answered only after {@link #FAULT_DELAY_MS}. */
         SLOW,
+        /** Writes take effect, but the store closes the connection without a response. */
         UNANSWERED,
+        /** Writes take effect after {@link #FAULT_DELAY_MS} and are never answered. */
         DELAYED_WRITE,
+        /** Requests take effect, but the store closes the connection in the middle of the response. */
         CUT_ANSWER
     }
 
@@ -35,7 +42,10 @@
         DELETE
     }
 
-    /** Time-out of calls; a slow or delayed call takes {@link #FAULT_DELAY_MS}. 150 ms was too short once for a first call. */
+    /**
+     * Timeout of calls; a slow or delayed call takes {@link #FAULT_DELAY_MS}. The first call of a JVM can exceed 150
+     * ms.
+     */
     static final long CALL_TIMEOUT_MS = 500;
 
     static final long FAULT_DELAY_MS = 900;
@@ -44,7 +54,7 @@
     private static final byte[] OLD = bytes("old");
     private static final byte[] NEW = bytes("new");
 
-    /** A client of the store under test. */
+    /** Returns a client of the store under test. */
     abstract ObjectStore store();
 
     abstract void inject(StoreFault fault) throws Exception;
@@ -63,7 +73,7 @@
         };
     }
 
-    /** Guards against a lost write reported as without effect, and against a refusal reported as in doubt. */
+    /** Guards against a lost write reported as without effect, and against a rejection reported as unanswered. */
     @ParameterizedTest
     @CsvSource({
         "NONE,          GET,    OK,                 false",
@@ -94,17 +104,17 @@
         "CUT_ANSWER,    PUT,    WRITE_UNANSWERED,   true",
         "CUT_ANSWER,    DELETE, WRITE_UNANSWERED,   true",
     })
-    void reportsWhatHappened(StoreFault fault, Operation operation, ResultCode expected, boolean effect)
+    void reportsResultOfFaultyCall(StoreFault fault, Operation operation, ResultCode expected, boolean takesEffect)
             throws Exception {
-        Revision before = Outcomes.value(store().put(NAME, OLD, Revision.NONE));
+        Revision revisionBefore = Await.value(store().put(NAME, OLD, Revision.NONE));
         inject(fault);
-        assertThat(Outcomes.code(start(operation, before))).isEqualTo(expected);
+        assertThat(Await.code(start(operation, revisionBefore))).isEqualTo(expected);
         inject(StoreFault.NONE);
-        if (effect) {
-            Outcomes.eventually(() -> !currentRevision().equals(before));
+        if (takesEffect) {
+            Await.eventually(() -> !currentRevision().equals(revisionBefore));
         } else {
             Thread.sleep(fault == StoreFault.NONE ? 0 : FAULT_DELAY_MS / 4);
-            assertThat(currentRevision()).isEqualTo(before);
+            assertThat(currentRevision()).isEqualTo(revisionBefore);
         }
     }
 
@@ -112,64 +122,63 @@
         return store().get(NAME).join().map(StoredObject::revision).orElse(Revision.NONE);
     }
 
-    /** Guards against a write that overwrites a state it did not see. */
+    /** Guards against a write that replaces a revision other than the expected one. */
     @ParameterizedTest
     @CsvSource({"PUT, 0", "PUT, 1", "PUT, 99", "DELETE, 0", "DELETE, 1", "DELETE, 99"})
-    void refusesOtherRevision(Operation operation, long expected) throws Exception {
-        Revision first = Outcomes.value(store().put(NAME, OLD, Revision.NONE));
-        Revision second = Outcomes.value(store().put(NAME, NEW, first));
+    void rejectsWriteWithOtherRevision(Operation operation, long expected) throws Exception {
+        Revision first = Await.value(store().put(NAME, OLD, Revision.NONE));
+        Revision second = Await.value(store().put(NAME, NEW, first));
         assertThat(second.isNewerThan(first)).isTrue();
         Revision stated = expected == 1 ? first : new Revision(expected);
-        assertThat(Outcomes.code(start(operation, stated))).isEqualTo(ResultCode.REVISION_CONFLICT);
+        assertThat(Await.code(start(operation, stated))).isEqualTo(ResultCode.REVISION_CONFLICT);
         assertThat(currentRevision()).isEqualTo(second);
     }
 
-    /** Guards against a value changed on its way, and against a needless limit below 1 MB. */
+    /** Guards against a value that is changed in transfer, and against a limit below 1 MB. */
     @Test
-    void keepsValuesUpToTheLimit() throws Exception {
+    void storesValuesUpToLimit() throws Exception {
         byte[] value = new byte[1_000_000];
         value[7] = -1;
-        Outcomes.value(store().put(NAME, value, Revision.NONE));
-        assertThat(Outcomes.value(store().get(NAME)).orElseThrow().value()).isEqualTo(value);
-        assertThat(Outcomes.code(store().put("large", new byte[2_000_000], Revision.NONE)))
+        Await.value(store().put(NAME, value, Revision.NONE));
+        assertThat(Await.value(store().get(NAME)).orElseThrow().value()).isEqualTo(value);
+        assertThat(Await.code(store().put("large", new byte[2_000_000], Revision.NONE)))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(Outcomes.value(store().get("large"))).isEmpty();
+        assertThat(Await.value(store().get("large"))).isEmpty();
     }
 
-    /** Guards against a listing that misses objects or takes in other prefixes. */
+    /** Guards against a listing that misses objects or contains objects with another prefix. */
     @Test
-    void listsOnePrefixByRevision() throws Exception {
-        Outcomes.value(store().put("members/b", OLD, Revision.NONE));
-        Outcomes.value(store().put("members/a", OLD, Revision.NONE));
-        Revision last = Outcomes.value(store().put("notes/a", OLD, Revision.NONE));
-        WatchBatch listing = Outcomes.value(store().list("members/"));
+    void listsOnePrefixOrderedByRevision() throws Exception {
+        Await.value(store().put("members/b", OLD, Revision.NONE));
+        Await.value(store().put("members/a", OLD, Revision.NONE));
+        Revision last = Await.value(store().put("notes/a", OLD, Revision.NONE));
+        WatchBatch listing = Await.value(store().list("members/"));
         assertThat(listing.changes()).extracting(StoredObject::name).containsExactly("members/b", "members/a");
         assertThat(listing.upTo()).isEqualTo(last);
     }
 
-    /** Guards against a watch that misses a change or a deletion made before or while it waits. */
+    /** Guards against a watch that misses a change or a deletion made before or during the watch. */
     @Test
     void watchReportsChangesAndDeletions() throws Exception {
-        Revision first = Outcomes.value(store().put("members/a", OLD, Revision.NONE));
-        CompletableFuture<WatchBatch> waiting = store().watch("members/", first, 4_000);
-        Outcomes.value(store().put("notes/a", OLD, Revision.NONE));
-        Outcomes.value(store().put("members/b", NEW, Revision.NONE));
-        WatchBatch change = Outcomes.value(waiting);
+        Revision first = Await.value(store().put("members/a", OLD, Revision.NONE));
+        CompletableFuture<WatchBatch> waitingWatch = store().watch("members/", first, 4_000);
+        Await.value(store().put("notes/a", OLD, Revision.NONE));
+        Await.value(store().put("members/b", NEW, Revision.NONE));
+        WatchBatch change = Await.value(waitingWatch);
         assertThat(change.changes()).extracting(StoredObject::name).containsExactly("members/b");
-        Outcomes.value(store().delete("members/a", first));
-        WatchBatch deletion = Outcomes.value(store().watch("members/", change.upTo(), 4_000));
+        Await.value(store().delete("members/a", first));
+        WatchBatch deletion = Await.value(store().watch("members/", change.upTo(), 4_000));
         assertThat(deletion.changes()).extracting(StoredObject::deleted).containsExactly(true);
-        assertThat(Outcomes.value(store().watch("members/", deletion.upTo(), 30))
-                        .changes())
+        assertThat(Await.value(store().watch("members/", deletion.upTo(), 30)).changes())
                 .isEmpty();
     }
 
-    /** Guards against waiting watches that hold up other calls. */
+    /** Guards against waiting watches that delay other calls. */
     @Test
     void watchesDoNotDelayOtherCalls() throws Exception {
         for (int i = 0; i < 40; i++) {
             store().watch("members/", Revision.NONE, 1_000);
         }
-        assertThat(Outcomes.code(store().get(NAME))).isEqualTo(ResultCode.OK);
+        assertThat(Await.code(store().get(NAME))).isEqualTo(ResultCode.OK);
     }
 }
--- a/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
+++ b/org.coriandercrank.adapters/src/main/java/org/coriandercrank/adapters/HttpObjectStore.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.adapters.internal.StoreReplies;
-import org.coriandercrank.adapters.internal.UrlNames;
-import org.coriandercrank.http.HttpCall;
+import org.coriandercrank.adapters.internal.StoreResponses;
+import org.coriandercrank.adapters.internal.UrlEncoding;
 import org.coriandercrank.http.HttpClient;
 import org.coriandercrank.http.HttpClientOptions;
+import org.coriandercrank.http.HttpRequest;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -20,55 +20,56 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Object store over HTTP; the protocol is in {@code docs/PROTOCOL_STORE.md}.
+ * Client of an object store over HTTP; see {@code docs/PROTOCOL_STORE.md} for the protocol.
  *
- * <p>Thread safe. Each method sends at most one HTTP request; nothing is repeated. Watches have connections of their
- * own, so that waiting watches never delay other calls.
+ * <p>Thread safe. Each method sends at most one HTTP request and never repeats it. Watches use dedicated connections,
+ * so that waiting watches do not delay other calls.
  */
 public final class HttpObjectStore implements ObjectStore {
-    /** Largest value that the store takes. */
+    /** Maximum size of a value that the store accepts. */
     public static final int MAX_VALUE_BYTES = 1_048_576;
 
     private static final int CALL_CONNECTIONS = 8;
     private static final int WATCH_CONNECTIONS = 8;
 
-    /** A listing holds values in base64 and can exceed the limit of one object many times. */
-    private static final int MAX_ANSWER_BYTES = 67_108_864;
+    /** A listing contains many objects, with values in base64, so it can be many times larger than one object. */
+    private static final int MAX_RESPONSE_BYTES = 67_108_864;
 
     private static final int CONNECT_TIMEOUT_MS = 500;
-    private static final int MAX_WAITING = 1_024;
-    private static final long IDLE_CLOSE_MS = 30_000;
+    private static final int MAX_QUEUED_CALLS = 1_024;
+    private static final long IDLE_TIMEOUT_MS = 30_000;
 
-    private final HttpClient calls;
-    private final HttpClient watches;
+    private final HttpClient callClient;
+    private final HttpClient watchClient;
     private final long callTimeoutMs;
 
     /**
-     * A client; connections are opened on demand.
+     * Creates a client, which opens connections on demand.
      *
-     * @param group I/O threads, property of the caller
-     * @param callTimeoutMs time until a call without an answer fails; for a watch it is added to the waiting time
+     * @param group I/O threads, closed by the caller
+     * @param callTimeoutMs timeout of a call; for a watch it is added to the waiting time
      */
     public HttpObjectStore(EventLoopGroup group, HostAddress address, long callTimeoutMs) {
         this.callTimeoutMs = callTimeoutMs;
         HttpClientOptions options = new HttpClientOptions(
-                CALL_CONNECTIONS, MAX_WAITING, CONNECT_TIMEOUT_MS, MAX_ANSWER_BYTES, IDLE_CLOSE_MS);
-        this.calls = new HttpClient(group, address, options);
-        this.watches = new HttpClient(group, address, options.withMaxConnections(WATCH_CONNECTIONS));
+                CALL_CONNECTIONS, MAX_QUEUED_CALLS, CONNECT_TIMEOUT_MS, MAX_RESPONSE_BYTES, IDLE_TIMEOUT_MS);
+        this.callClient = new HttpClient(group, address, options);
+        this.watchClient = new HttpClient(group, address, options.withMaxConnections(WATCH_CONNECTIONS));
     }
 
     @Override
     public CompletableFuture<Optional<StoredObject>> get(String name) {
-        return StoreReplies.read(
-                calls.call(HttpCall.of("GET", objectTarget(name)), callTimeoutMs),
-                reply -> StoreReplies.object(name, reply));
+        return StoreResponses.read(
+                callClient.send(HttpRequest.of("GET", objectTarget(name)), callTimeoutMs),
+                response -> StoreResponses.object(name, response));
     }
 
     @Override
     public CompletableFuture<WatchBatch> list(String prefix) {
         QueryStringEncoder target = new QueryStringEncoder("/v1/list");
         target.addParam("prefix", prefix);
-        return StoreReplies.read(calls.call(HttpCall.of("GET", target.toString()), callTimeoutMs), StoreReplies::batch);
+        return StoreResponses.read(
+                callClient.send(HttpRequest.of("GET", target.toString()), callTimeoutMs), StoreResponses::batch);
     }
 
     @Override
@@ -78,12 +79,13 @@
                     ResultCode.STORE_UNAVAILABLE,
                     "value of " + name + " has " + value.length + " bytes, limit " + MAX_VALUE_BYTES));
         }
-        return StoreReplies.write(name, calls.call(write("PUT", name, value, expected), callTimeoutMs));
+        return StoreResponses.write(name, callClient.send(writeRequest("PUT", name, value, expected), callTimeoutMs));
     }
 
     @Override
     public CompletableFuture<Void> delete(String name, Revision expected) {
-        return StoreReplies.write(name, calls.call(write("DELETE", name, new byte[0], expected), callTimeoutMs))
+        return StoreResponses.write(
+                        name, callClient.send(writeRequest("DELETE", name, new byte[0], expected), callTimeoutMs))
                 .thenApply(revision -> null);
     }
 
@@ -93,27 +95,28 @@
         target.addParam("prefix", prefix);
         target.addParam("after", after.toString());
         target.addParam("wait-ms", Long.toString(waitMs));
-        return StoreReplies.read(
-                watches.call(HttpCall.of("GET", target.toString()), waitMs + callTimeoutMs), StoreReplies::batch);
+        return StoreResponses.read(
+                watchClient.send(HttpRequest.of("GET", target.toString()), waitMs + callTimeoutMs),
+                StoreResponses::batch);
     }
 
     @Override
     public void close() {
-        calls.close();
-        watches.close();
+        callClient.close();
+        watchClient.close();
     }
 
-    private static HttpCall write(String method, String name, byte[] value, Revision expected) {
-        return new HttpCall(
+    private static HttpRequest writeRequest(String method, String name, byte[] value, Revision expected) {
+        return new HttpRequest(
                 method,
                 objectTarget(name),
                 List.of(
                         new Header("content-type", "application/octet-stream"),
-                        new Header(StoreReplies.EXPECTED_HEADER, expected.toString())),
+                        new Header(StoreResponses.EXPECTED_REVISION_HEADER, expected.toString())),
                 value);
     }
 
     private static String objectTarget(String name) {
-        return "/v1/objects/" + UrlNames.encodePath(name);
+        return "/v1/objects/" + UrlEncoding.encodePath(name);
     }
 }
--- a/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
+++ b/org.coriandercrank.control.test/src/test/java/org/coriandercrank/control/test/ControlThreadTest.java
@@ -5,9 +5,9 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.TimeUnit;
+import org.coriandercrank.control.ControlDependencies;
 import org.coriandercrank.control.ControlOptions;
 import org.coriandercrank.control.ControlPlane;
-import org.coriandercrank.control.ControlServices;
 import org.coriandercrank.control.HostIdentity;
 import org.coriandercrank.kernel.id.FailureDomain;
 import org.coriandercrank.kernel.id.HostAddress;
@@ -19,7 +19,7 @@
 import org.coriandercrank.kernel.time.SystemTimerService;
 import org.junit.jupiter.api.Test;
 
-/** Guards against work that depends on the virtual time of the other tests: runs on the real thread and timers. */
+/** Guards against code that works only in the virtual time of the other tests: uses the real thread and timers. */
 class ControlThreadTest {
     private static final HostAddress ADDRESS = new HostAddress("127.0.0.1", 1);
 
@@ -31,14 +31,14 @@
                 HostIdentity.ofAddress(ADDRESS, ADDRESS, ADDRESS, new Region("r"), new FailureDomain("d"));
         try (SystemTimerService timers = new SystemTimerService()) {
             DecisionLog log = new DecisionLog(0, MonotonicClock.SYSTEM);
-            ControlServices services = new ControlServices(
+            ControlDependencies dependencies = new ControlDependencies(
                     synchronizedStore(store), null, new PeerHandlers(), timers, log, new SimpleMeterRegistry());
             timers.every(1, Runnable::run, () -> {
                 synchronized (store) {
                     storeTime.runFor(1);
                 }
             });
-            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULT, identity, services)) {
+            try (ControlPlane control = ControlPlane.create(ControlOptions.DEFAULTS, identity, dependencies)) {
                 control.start();
                 control.backendAnnounced(FakeCluster.backend(1));
                 control.routing()
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/ControlOptions.java
@@ -3,25 +3,27 @@
 import org.coriandercrank.lease.LeaseTiming;
 
 /**
- * Times and limits of the control plane. Immutable.
+ * Durations and limits of the control plane. Immutable.
  *
- * @param ttlMs how long a vote on a lease counts
+ * @param ttlMs how long a vote on a lease is valid
  * @param heartbeatMs interval between heartbeats to a witness
- * @param marginPercent time after which others treat a vote as expired, in percent of the TTL; covers clock drift
- * @param tickMs interval between checks of all timed rules
- * @param takeoverRankDelayMs delay of a takeover for each rank of the taker
- * @param witnessLostMs time without a vote after which a witness is replaced
- * @param witnessRetryMs time for which a lost witness is not chosen again
- * @param rebalanceMs mean time between checks whether the witnesses are still spread evenly
- * @param storeTimeoutMs limit of a read or write of the store
- * @param listTimeoutMs limit of a listing of the store
- * @param watchWaitMs how long a watch waits for a change
- * @param configurationWaitMs how long a daemon that is no relay waits for a change of the configuration at the store
- *     itself; 0 if it learns of changes from peers only
- * @param settleWatchMs time after its start in which a daemon that is no relay watches the store itself; the members it
- *     knows from its first listing may have ended with it, the relay and its witnesses among them
- * @param pushSpacingMs least time between a heartbeat and an early one that carries news
- * @param maxWitnessedMembers members whose votes are remembered by this daemon as witness
+ * @param marginPercent time after which witnesses and takers treat a vote as expired, in percent of the TTL; the excess
+ *     over 100 covers clock drift
+ * @param tickMs interval between runs of the periodic work
+ * @param takeoverRankDelayMs delay before a takeover starts, for each rank of the taker
+ * @param witnessTimeoutMs time without a vote after which a witness is replaced
+ * @param witnessRetryDelayMs time during which a witness that timed out is not selected again
+ * @param rebalanceIntervalMs mean interval between checks whether the witnesses are evenly loaded
+ * @param storeTimeoutMs timeout of a read or write of the store
+ * @param listTimeoutMs timeout of a listing of the store
+ * @param watchWaitMs how long a watch of the store waits for a change
+ * @param configurationWatchWaitMs how long a watch of the configuration waits on a daemon that is not a relay; 0 if
+ *     such a daemon receives configuration changes from peers only
+ * @param startupWatchMs time after its start during which a daemon that is not a relay watches the store as well; after
+ *     a failure of all hosts, the members in its first listing may have failed too, including the relay and its
+ *     witnesses
+ * @param minPushIntervalMs minimum interval between a heartbeat and an early one that announces an update to peers
+ * @param maxWitnessedMembers maximum number of members whose votes this daemon remembers individually as a witness
  */
 public record ControlOptions(
         long ttlMs,
@@ -29,29 +31,59 @@
         int marginPercent,
         long tickMs,
         long takeoverRankDelayMs,
-        long witnessLostMs,
-        long witnessRetryMs,
-        long rebalanceMs,
+        long witnessTimeoutMs,
+        long witnessRetryDelayMs,
+        long rebalanceIntervalMs,
         long storeTimeoutMs,
         long listTimeoutMs,
         long watchWaitMs,
-        long configurationWaitMs,
-        long settleWatchMs,
-        long pushSpacingMs,
+        long configurationWatchWaitMs,
+        long startupWatchMs,
+        long minPushIntervalMs,
         int maxWitnessedMembers) {
-    public static final ControlOptions DEFAULT =
-            new ControlOptions(2_000, 500, 105, 50, 200, 1_500, 10_000, 60_000, 500, 3_000, 1_000, 0, 0, 200, 4_096);
+    private static final long DEFAULT_TTL_MS = 2_000;
+    private static final long DEFAULT_HEARTBEAT_MS = 500;
+    private static final int DEFAULT_MARGIN_PERCENT = 105;
+    private static final long DEFAULT_TICK_MS = 50;
+    private static final long DEFAULT_TAKEOVER_RANK_DELAY_MS = 200;
+    private static final long DEFAULT_WITNESS_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_WITNESS_RETRY_DELAY_MS = 10_000;
+    private static final long DEFAULT_REBALANCE_INTERVAL_MS = 60_000;
+    private static final long DEFAULT_STORE_TIMEOUT_MS = 500;
+    private static final long DEFAULT_LIST_TIMEOUT_MS = 3_000;
+    private static final long DEFAULT_WATCH_WAIT_MS = 1_000;
+    private static final long DEFAULT_CONFIGURATION_WATCH_WAIT_MS = 0;
+    private static final long DEFAULT_STARTUP_WATCH_MS = 0;
+    private static final long DEFAULT_MIN_PUSH_INTERVAL_MS = 200;
+    private static final int DEFAULT_MAX_WITNESSED_MEMBERS = 4_096;
+
+    public static final ControlOptions DEFAULTS = new ControlOptions(
+            DEFAULT_TTL_MS,
+            DEFAULT_HEARTBEAT_MS,
+            DEFAULT_MARGIN_PERCENT,
+            DEFAULT_TICK_MS,
+            DEFAULT_TAKEOVER_RANK_DELAY_MS,
+            DEFAULT_WITNESS_TIMEOUT_MS,
+            DEFAULT_WITNESS_RETRY_DELAY_MS,
+            DEFAULT_REBALANCE_INTERVAL_MS,
+            DEFAULT_STORE_TIMEOUT_MS,
+            DEFAULT_LIST_TIMEOUT_MS,
+            DEFAULT_WATCH_WAIT_MS,
+            DEFAULT_CONFIGURATION_WATCH_WAIT_MS,
+            DEFAULT_STARTUP_WATCH_MS,
+            DEFAULT_MIN_PUSH_INTERVAL_MS,
+            DEFAULT_MAX_WITNESSED_MEMBERS);
 
     public ControlOptions {
         requirePositive("tickMs", tickMs);
         requirePositive("takeoverRankDelayMs", takeoverRankDelayMs);
-        requirePositive("witnessLostMs", witnessLostMs);
-        requirePositive("witnessRetryMs", witnessRetryMs);
-        requirePositive("rebalanceMs", rebalanceMs);
+        requirePositive("witnessTimeoutMs", witnessTimeoutMs);
+        requirePositive("witnessRetryDelayMs", witnessRetryDelayMs);
+        requirePositive("rebalanceIntervalMs", rebalanceIntervalMs);
         requirePositive("storeTimeoutMs", storeTimeoutMs);
         requirePositive("listTimeoutMs", listTimeoutMs);
         requirePositive("watchWaitMs", watchWaitMs);
-        requirePositive("pushSpacingMs", pushSpacingMs);
+        requirePositive("minPushIntervalMs", minPushIntervalMs);
         requirePositive("maxWitnessedMembers", maxWitnessedMembers);
         if (tickMs > heartbeatMs) {
             throw new IllegalArgumentException("tickMs must not exceed heartbeatMs");
@@ -59,43 +91,44 @@
         LeaseTiming.ofMs(ttlMs, heartbeatMs, marginPercent);
     }
 
-    /** These options with other times of the lease. */
-    public ControlOptions withLease(long newTtlMs, long newHeartbeatMs, int newMarginPercent) {
+    /** Returns a copy with other lease durations; the tick interval is reduced if it exceeds the heartbeat interval. */
+    public ControlOptions withLeaseTiming(long newTtlMs, long newHeartbeatMs, int newMarginPercent) {
         return new ControlOptions(
                 newTtlMs,
                 newHeartbeatMs,
                 newMarginPercent,
                 Math.min(tickMs, newHeartbeatMs),
                 takeoverRankDelayMs,
-                witnessLostMs,
-                witnessRetryMs,
-                rebalanceMs,
+                witnessTimeoutMs,
+                witnessRetryDelayMs,
+                rebalanceIntervalMs,
                 storeTimeoutMs,
                 listTimeoutMs,
                 watchWaitMs,
-                configurationWaitMs,
-                settleWatchMs,
-                pushSpacingMs,
+                configurationWatchWaitMs,
+                startupWatchMs,
+                minPushIntervalMs,
                 maxWitnessedMembers);
     }
 
-    /** These options with other waits of watches. */
-    public ControlOptions withWatches(long newWatchWaitMs, long newConfigurationWaitMs, long newSettleWatchMs) {
+    /** Returns a copy with other wait times for watches of the store. */
+    public ControlOptions withWatchWaits(
+            long newWatchWaitMs, long newConfigurationWatchWaitMs, long newStartupWatchMs) {
         return new ControlOptions(
                 ttlMs,
                 heartbeatMs,
                 marginPercent,
                 tickMs,
                 takeoverRankDelayMs,
-                witnessLostMs,
-                witnessRetryMs,
-                rebalanceMs,
+                witnessTimeoutMs,
+                witnessRetryDelayMs,
+                rebalanceIntervalMs,
                 storeTimeoutMs,
                 listTimeoutMs,
                 newWatchWaitMs,
-                newConfigurationWaitMs,
-                newSettleWatchMs,
-                pushSpacingMs,
+                newConfigurationWatchWaitMs,
+                newStartupWatchMs,
+                minPushIntervalMs,
                 maxWitnessedMembers);
     }
 
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/ControlLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import org.coriandercrank.control.ControlStatus;
-import org.coriandercrank.control.MemberChoice;
-import org.coriandercrank.control.SealListener;
+import org.coriandercrank.control.IncarnationListener;
+import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
@@ -27,61 +27,63 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * Wires the parts of the control plane to messages and the timer.
+ * Connects the components of the control plane with each other, with peer messages and with the timer.
  *
- * <p>Thread safe: public methods hand their work to the control thread. Each tick evaluates the lease before anything
- * else, so that after a pause of the process nothing acts on a lease that lapsed meanwhile.
+ * <p>Each tick evaluates the lease first, so that after a pause of the process nothing relies on a lease that expired
+ * during the pause. Thread safe: public methods pass their work to the control thread.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** About 51 bits, ten characters; the id is part of each heartbeat. */
+    /**
+     * 36 to the power of 10: ten characters with about 51 random bits, kept short because each heartbeat has the id.
+     */
     private static final long MEMBER_ID_RANDOM_BOUND = 3_656_158_440_062_976L;
 
-    /** A longer gap between ticks counts as a pause of the process. */
-    private static final long PAUSE_NANOS = 500 * NANOS_PER_MS;
+    /** A longer gap between ticks is treated as a pause of the process. */
+    private static final long MIN_PAUSE_NANOS = 500 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
     private final Dissemination dissemination;
     private final ControlMetrics metrics;
-    private final TakeoverDuty takeovers;
-    private final PredecessorDuty predecessors;
-    private final List<SealListener> sealListeners = new CopyOnWriteArrayList<>();
+    private final TakeoverCoordinator takeovers;
+    private final PredecessorSealer predecessors;
+    private final List<IncarnationListener> incarnationListeners = new CopyOnWriteArrayList<>();
     private volatile Membership membership;
     private volatile ControlStatus status;
     private volatile TimerService.Subscription timer = () -> {};
     private long lastTickNanos;
-    private boolean mayJoin;
+    private boolean joinRequested;
 
     /**
-     * A loop.
+     * Creates the loop and registers its message handlers.
      *
-     * @param initial the id to join under; if empty, the daemon joins only after {@link #rejoin}
+     * @param initial parameters of the join at the start; if empty, the daemon joins only after {@link #rejoin}
      */
-    public ControlLoop(ControlContext context, Optional<MemberChoice> initial) {
+    public ControlLoop(ControlContext context, Optional<JoinParameters> initial) {
         this.context = context;
-        mayJoin = initial.isPresent();
-        MemberChoice choice = initial.orElseGet(() -> new MemberChoice(newMemberId(context), false));
-        MemberId self = choice.id();
+        joinRequested = initial.isPresent();
+        JoinParameters parameters = initial.orElseGet(() -> new JoinParameters(newMemberId(context), false));
+        MemberId self = parameters.id();
         view = new ClusterView(context, self);
         metrics = new ControlMetrics(
-                context.services().metrics(),
+                context.dependencies().meterRegistry(),
                 () -> status.leaseRemainingMs(),
                 () -> status.takeovers().size());
         dissemination = new Dissemination(context, view, metrics);
-        takeovers = new TakeoverDuty(context, view, metrics, self);
-        predecessors = new PredecessorDuty(context, view);
-        membership = newMembership(choice);
+        takeovers = new TakeoverCoordinator(context, view, metrics, self);
+        predecessors = new PredecessorSealer(context, view);
+        membership = newMembership(parameters);
         lastTickNanos = context.nowNanos();
         status = buildStatus();
-        registerHandlers(context.services().handlers());
+        registerHandlers(context.dependencies().peerHandlers());
         view.subscribe(this::viewChanged);
     }
 
     public void start() {
-        timer = context.services().timers().every(context.options().tickMs(), context.executor(), this::tick);
-        context.deliver(this::tick);
+        timer = context.dependencies().timers().every(context.options().tickMs(), context.executor(), this::tick);
+        context.execute(this::tick);
     }
 
     public MemberId self() {
@@ -92,50 +94,51 @@
         return view;
     }
 
+    /** Returns the lease of this daemon, with its expiry converted from the lease clock to the clock of the timers. */
     public LeaseView lease() {
-        return () -> context.nowNanos() + membership.validUntilNanos() - context.holderNowNanos();
+        return () -> context.nowNanos() + membership.validUntilNanos() - context.leaseNowNanos();
     }
 
-    public void onSealed(SealListener listener) {
-        sealListeners.add(listener);
+    public void addIncarnationListener(IncarnationListener listener) {
+        incarnationListeners.add(listener);
     }
 
     public void backendAnnounced(BackendInfo backend) {
-        context.deliver(() -> membership.backendAnnounced(backend));
+        context.execute(() -> membership.backendAnnounced(backend));
     }
 
     public CompletableFuture<Void> leave() {
-        return context.answer(() -> membership.leave()).thenCompose(done -> done);
+        return context.submit(() -> membership.leave()).thenCompose(done -> done);
     }
 
     public CompletableFuture<Void> sealSelf() {
-        return context.answer(() -> membership.sealSelf()).thenCompose(done -> done);
+        return context.submit(() -> membership.sealSelf()).thenCompose(done -> done);
     }
 
     /**
-     * Ends the membership of this process at once and leaves its record; the next incarnation seals it after it has
-     * joined. Only for an incarnation that may be resumed, which nobody else does.
+     * Ends the membership of this process immediately without sealing its record; the next incarnation seals it after
+     * it has joined. Must be used only if the incarnation may be resumed and no other process resumes it.
      */
     public CompletableFuture<Void> abandon() {
-        return context.answer(() -> {
+        return context.submit(() -> {
             membership.abandon();
             return null;
         });
     }
 
-    /** Replaces a membership that has ended or was never started by one under another id. */
-    public CompletableFuture<MemberId> rejoin(MemberChoice choice) {
-        return context.answer(() -> {
+    /** Replaces a membership that has ended or was never started by one with another id. */
+    public CompletableFuture<MemberId> rejoin(JoinParameters parameters) {
+        return context.submit(() -> {
             if (membership.isStarted() && !membership.isEnded()) {
                 throw new CrankException(ResultCode.INTERNAL, "incarnation " + membership.id() + " has not ended");
             }
-            MemberId former = membership.id();
-            mayJoin = true;
-            membership = newMembership(choice);
-            takeovers.restart(choice.id());
-            view.setSelf(choice.id());
-            context.log(() -> "event=rejoin former=" + former + " member=" + choice.id());
-            return choice.id();
+            MemberId previous = membership.id();
+            joinRequested = true;
+            membership = newMembership(parameters);
+            takeovers.selfChanged(parameters.id());
+            view.setSelf(parameters.id());
+            context.log(() -> "event=rejoin former=" + previous + " member=" + parameters.id());
+            return parameters.id();
         });
     }
 
@@ -148,67 +151,68 @@
         timer.cancel();
     }
 
-    /** A member id that no other incarnation has. */
+    /** Creates a member id with a random part that distinguishes it from those of other incarnations. */
     public static MemberId newMemberId(ControlContext context) {
         return new MemberId(context.identity().name() + "-"
                 + Long.toString(context.random().nextLong(MEMBER_ID_RANDOM_BOUND), Character.MAX_RADIX));
     }
 
-    private Membership newMembership(MemberChoice choice) {
-        return new Membership(context, choice, view, dissemination, metrics, this::sealed);
+    private Membership newMembership(JoinParameters parameters) {
+        return new Membership(context, parameters, view, dissemination, metrics, this::incarnationEnded);
     }
 
     private void registerHandlers(PeerHandlers handlers) {
-        handlers.register(Heartbeat.class, (sender, heartbeat) -> context.answer(() -> heartbeat(sender, heartbeat)));
+        handlers.register(
+                Heartbeat.class, (sender, heartbeat) -> context.submit(() -> handleHeartbeat(sender, heartbeat)));
         handlers.register(
                 RefusalRequest.class,
-                (sender, request) ->
-                        context.answer(() -> takeovers.witnessDuty().refuse(membership.id(), sender, request)));
+                (sender, request) -> context.submit(
+                        () -> takeovers.witnessService().handleRefusalRequest(membership.id(), sender, request)));
         handlers.register(RefusalNotice.class, (sender, notice) -> {
-            context.deliver(() -> refused(notice));
+            context.execute(() -> handleRefusalNotice(notice));
             return null;
         });
         handlers.register(ObjectData.class, (sender, data) -> {
-            context.deliver(() -> data.objects().forEach(object -> view.applyPushed(data.kind(), object)));
+            context.execute(() -> data.objects().forEach(object -> view.applyPushed(data.kind(), object)));
             return null;
         });
         handlers.register(
                 FetchObject.class,
-                (sender, fetch) -> context.answer(() -> view.since(fetch.kind(), fetch.newerThan())));
+                (sender, fetch) -> context.submit(() -> view.changesSince(fetch.kind(), fetch.newerThan())));
     }
 
-    private HeartbeatAck heartbeat(MemberId sender, Heartbeat heartbeat) {
-        boolean granted = takeovers.witnessDuty().heartbeat(heartbeat.member(), heartbeat.recordRevision());
-        dissemination.peerDigest(sender, heartbeat.digest());
+    private HeartbeatAck handleHeartbeat(MemberId sender, Heartbeat heartbeat) {
+        boolean granted = takeovers.witnessService().acceptHeartbeat(heartbeat.member(), heartbeat.recordRevision());
+        dissemination.digestReceived(sender, heartbeat.digest());
         return new HeartbeatAck(membership.id(), heartbeat.sequence(), granted, view.digest());
     }
 
-    private void refused(RefusalNotice notice) {
+    private void handleRefusalNotice(RefusalNotice notice) {
         if (notice.member().equals(membership.id())) {
-            membership.refused(notice.recordRevision(), context.holderNowNanos());
+            membership.refusalReceived(notice.recordRevision(), context.leaseNowNanos());
         }
     }
 
     private void tick() {
-        long now = context.nowNanos();
-        long gapNanos = now - lastTickNanos;
-        lastTickNanos = now;
-        if (gapNanos > PAUSE_NANOS) {
+        long nowNanos = context.nowNanos();
+        long gapNanos = nowNanos - lastTickNanos;
+        lastTickNanos = nowNanos;
+        if (gapNanos > MIN_PAUSE_NANOS) {
             context.log(() ->
                     "event=control-pause gapMs=" + gapNanos / NANOS_PER_MS + " leaseRemainingMs=" + leaseRemainingMs());
-            membership.resumed(context.holderNowNanos());
-            takeovers.resumed(now);
+            membership.processResumed(context.leaseNowNanos());
+            takeovers.processResumed(nowNanos);
         }
-        if (mayJoin) {
-            membership.tick(context.holderNowNanos());
+        if (joinRequested) {
+            membership.tick(context.leaseNowNanos());
         }
         if (dissemination.isListed()) {
-            takeovers.tick(now);
+            takeovers.tick(nowNanos);
             if (membership.isJoined() && membership.mayResume()) {
                 predecessors.tick(membership.id());
             }
         }
-        dissemination.tick(membership.wanted(), membership.suspects(), now);
+        dissemination.tick(membership.desired(), membership.suspects(), nowNanos);
         status = buildStatus();
     }
 
@@ -217,24 +221,24 @@
         takeovers.viewChanged(snapshot);
     }
 
-    private void sealed(MemberId member, String reason) {
-        sealListeners.forEach(listener -> listener.sealed(member, reason));
+    private void incarnationEnded(MemberId member, String reason) {
+        incarnationListeners.forEach(listener -> listener.incarnationEnded(member, reason));
     }
 
     private long leaseRemainingMs() {
-        long remaining = membership.validUntilNanos() - context.holderNowNanos();
-        return Math.max(0, remaining / NANOS_PER_MS);
+        long remainingNanos = membership.validUntilNanos() - context.leaseNowNanos();
+        return Math.max(0, remainingNanos / NANOS_PER_MS);
     }
 
     private ControlStatus buildStatus() {
-        long nowNanos = context.holderNowNanos();
-        Member wanted = membership.wanted();
-        List<ControlStatus.WitnessStatus> witnesses = wanted.witnesses().stream()
+        long nowNanos = context.leaseNowNanos();
+        Member desired = membership.desired();
+        List<ControlStatus.WitnessStatus> witnesses = desired.witnesses().stream()
                 .map(witness -> new ControlStatus.WitnessStatus(witness, voteAgeMs(witness, nowNanos)))
                 .toList();
         return new ControlStatus(
                 membership.id(),
-                wanted.state(),
+                desired.state(),
                 membership.isJoined(),
                 leaseRemainingMs(),
                 witnesses,
@@ -246,7 +250,9 @@
     }
 
     private OptionalLong voteAgeMs(MemberId witness, long nowNanos) {
-        OptionalLong voted = membership.lastVoteNanos(witness);
-        return voted.isEmpty() ? voted : OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(nowNanos - voted.getAsLong()));
+        OptionalLong votedNanos = membership.lastVoteNanos(witness);
+        return votedNanos.isEmpty()
+                ? votedNanos
+                : OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(nowNanos - votedNanos.getAsLong()));
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Dissemination.java
@@ -11,29 +11,42 @@
 import org.coriandercrank.kernel.message.Digest;
 import org.coriandercrank.kernel.message.FetchObject;
 import org.coriandercrank.kernel.message.ObjectData;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.WatchBatch;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Keeps the {@link ClusterView} up to date: lists the store at start, then watches it as relay of the region or as
- * fallback, and else fetches from peers whose digest is ahead. Where the options say so, each daemon watches the
- * configuration itself, so that a change is in force without waiting for a relay.
+ * Keeps the {@link ClusterView} up to date.
  *
- * <p>A digest names the revisions up to which a daemon knows every change. Watches that end without a change advance it
- * too, so a daemon that is connected to a working relay sees it advance about once per {@code watchWaitMs}, and a digest
- * that stands still is a sign that no relay works. Control thread only.
+ * <p>Each daemon lists the store at its start. After that, the relay of each region watches the store, and the other
+ * daemons fetch changes from peers whose digest is ahead of their own. A daemon that no longer receives changes watches
+ * the store as a fallback. If the options say so, each daemon also watches the configuration itself, so that a change
+ * comes into force without waiting for a relay.
+ *
+ * <p>A digest has the revisions up to which a daemon knows every change. Watches that end without a change advance it
+ * too, so a daemon that receives the digests of a working relay advances its own about once per {@code watchWaitMs}. A
+ * digest that does not advance indicates that no relay works. Control thread only.
  */
 public final class Dissemination {
-    /** Standing still for this many watch waits makes the next in rank watch the store. */
-    private static final double FALLBACK_WAITS = 2.5;
+    /** The daemon with rank 1 starts a fallback watch after this many watch waits without an advance of its digest. */
+    private static final double FALLBACK_AFTER_WAITS = 2.5;
+
+    /** A fallback watch is no longer needed if a peer advanced the digest within this many watch waits. */
+    private static final int FALLBACK_PEER_SILENCE_WAITS = 2;
+
+    /** Additional watch waits before a fallback watch, for each rank above 1. */
+    private static final double EXTRA_WAITS_PER_RANK = 1;
 
-    private static final double FALLBACK_WAITS_PER_RANK = 1;
+    /**
+     * Up to this rank, the wait depends on the rank alone. Daemons of higher ranks wait longer, by a random number of
+     * watch waits.
+     */
     private static final int MAX_FALLBACK_RANK = 8;
+
     private static final long FETCH_TIMEOUT_MS = 1_000;
-    private static final long FIRST_RETRY_MS = 200;
+    private static final long INITIAL_RETRY_MS = 200;
     private static final long MAX_RETRY_MS = 1_000;
 
     /** Many daemons may watch as fallback during an outage of the store, so they retry rarely. */
@@ -41,16 +54,16 @@
 
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** State of the transfers of one kind. */
-    private static final class Feed {
+    /** Synchronization state of the control objects of one kind. */
+    private static final class SyncState {
         private final FetchObject.Kind kind;
         private boolean listed;
         private boolean storeCallInFlight;
         private boolean fetchInFlight;
-        private long retryMs = FIRST_RETRY_MS;
+        private long retryMs = INITIAL_RETRY_MS;
         private long retryAtNanos;
 
-        Feed(FetchObject.Kind kind, long nowNanos) {
+        SyncState(FetchObject.Kind kind, long nowNanos) {
             this.kind = kind;
             this.retryAtNanos = nowNanos;
         }
@@ -59,35 +72,35 @@
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
-    private final Map<FetchObject.Kind, Feed> feeds = new EnumMap<>(FetchObject.Kind.class);
-    private final int fallbackSpread;
+    private final Map<FetchObject.Kind, SyncState> syncStates = new EnumMap<>(FetchObject.Kind.class);
+    private final int fallbackRankOffset;
     private final long startedNanos;
     private long lastAdvanceNanos;
     private long lastPeerAdvanceNanos;
-    private long rankedVersion = -1;
+    private long rankedSnapshotVersion = -1;
     private Set<MemberId> rankedSuspects = Set.of();
     private int rank;
     private boolean relay;
     private boolean fallback;
-    private boolean newsToPush;
+    private boolean pushPending;
 
     public Dissemination(ControlContext context, ClusterView view, ControlMetrics metrics) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
-        this.fallbackSpread = context.random().nextInt(MAX_FALLBACK_RANK);
-        long now = context.nowNanos();
-        lastAdvanceNanos = now;
-        lastPeerAdvanceNanos = now;
-        startedNanos = now;
+        this.fallbackRankOffset = context.random().nextInt(MAX_FALLBACK_RANK);
+        long nowNanos = context.nowNanos();
+        lastAdvanceNanos = nowNanos;
+        lastPeerAdvanceNanos = nowNanos;
+        startedNanos = nowNanos;
         for (FetchObject.Kind kind : FetchObject.Kind.values()) {
-            feeds.put(kind, new Feed(kind, now));
+            syncStates.put(kind, new SyncState(kind, nowNanos));
         }
     }
 
-    /** Whether the store has been listed once, so that the view is usable. */
+    /** Whether the store has been listed, so that the view is usable. */
     public boolean isListed() {
-        return feeds.values().stream().allMatch(feed -> feed.listed);
+        return syncStates.values().stream().allMatch(sync -> sync.listed);
     }
 
     public boolean isRelay() {
@@ -98,171 +111,180 @@
         return relay || fallback;
     }
 
-    /** Whether something was learned that peers may not know; the answer resets it. */
-    public boolean takeNewsToPush() {
-        boolean news = newsToPush;
-        newsToPush = false;
-        return news;
+    /** Returns whether there are updates that peers may not have, and resets the flag. */
+    public boolean consumePushPending() {
+        boolean pending = pushPending;
+        pushPending = false;
+        return pending;
     }
 
     /**
-     * Lists or watches the store, as due.
+     * Starts listings and watches of the store that are due.
      *
      * @param self the member of this daemon, which may not have a record yet
      * @param suspects members that do not answer this daemon
      */
     public void tick(Member self, Set<MemberId> suspects, long nowNanos) {
-        chooseRole(self, suspects, nowNanos);
-        for (Feed feed : feeds.values()) {
-            if (feed.storeCallInFlight || nowNanos - feed.retryAtNanos < 0) {
+        updateRoles(self, suspects, nowNanos);
+        for (SyncState sync : syncStates.values()) {
+            if (sync.storeCallInFlight || nowNanos - sync.retryAtNanos < 0) {
                 continue;
             }
-            if (!feed.listed) {
-                list(feed);
-            } else if (isWatching() || isSettling(nowNanos)) {
-                watch(feed, context.options().watchWaitMs());
-            } else if (feed.kind == FetchObject.Kind.CONFIGURATION
-                    && context.options().configurationWaitMs() > 0) {
-                watch(feed, context.options().configurationWaitMs());
+            if (!sync.listed) {
+                list(sync);
+            } else if (isWatching() || isStartupWatchActive(nowNanos)) {
+                watch(sync, context.options().watchWaitMs());
+            } else if (sync.kind == FetchObject.Kind.CONFIGURATION
+                    && context.options().configurationWatchWaitMs() > 0) {
+                watch(sync, context.options().configurationWatchWaitMs());
             }
         }
     }
 
-    /** Whether the daemon started so recently that it may know only members that ended with it. */
-    private boolean isSettling(long nowNanos) {
-        return nowNanos - startedNanos < context.options().settleWatchMs() * NANOS_PER_MS;
+    /** Whether the daemon started so recently that it may know only members that failed before its start. */
+    private boolean isStartupWatchActive(long nowNanos) {
+        return nowNanos - startedNanos < context.options().startupWatchMs() * NANOS_PER_MS;
     }
 
-    /** Digest of a peer; fetches what it knows beyond this daemon. */
-    public void peerDigest(MemberId peer, Digest digest) {
+    /** Handles the digest of a peer: fetches the changes that the peer knows and this daemon does not. */
+    public void digestReceived(MemberId peer, Digest digest) {
         fetchIfAhead(peer, FetchObject.Kind.CONFIGURATION, digest.configuration());
         fetchIfAhead(peer, FetchObject.Kind.MEMBERS, digest.members());
         fetchIfAhead(peer, FetchObject.Kind.ASSIGNMENTS, digest.assignments());
     }
 
-    private void chooseRole(Member self, Set<MemberId> suspects, long nowNanos) {
-        long version = view.version();
-        if (version != rankedVersion || !suspects.equals(rankedSuspects)) {
-            rankedVersion = version;
+    private void updateRoles(Member self, Set<MemberId> suspects, long nowNanos) {
+        long version = view.snapshotVersion();
+        if (version != rankedSnapshotVersion || !suspects.equals(rankedSuspects)) {
+            rankedSnapshotVersion = version;
             rankedSuspects = Set.copyOf(suspects);
             rank = rank(self, suspects);
         }
         boolean newRelay = rank == 0 || self.witnesses().isEmpty();
         if (newRelay != relay) {
             relay = newRelay;
-            feeds.values().forEach(feed -> feed.retryAtNanos = nowNanos);
+            syncStates.values().forEach(sync -> sync.retryAtNanos = nowNanos);
             context.log(() -> "event=relay member=" + self.id() + " active=" + newRelay + " rank=" + rank);
         }
-        boolean newFallback = !relay && (fallback ? keepsFallback(nowNanos) : isStale(rank, nowNanos));
+        boolean newFallback = !relay && (fallback ? isFallbackStillNeeded(nowNanos) : isFallbackDue(rank, nowNanos));
         if (newFallback != fallback) {
             fallback = newFallback;
             context.log(() -> "event=fallback-watch member=" + self.id() + " active=" + newFallback + " rank=" + rank);
         }
     }
 
-    /** Rank for the duty of relay in the region; that of a stranger is beyond all. */
+    /**
+     * Returns the rank of this daemon as relay of its region; 0 is the relay. A daemon without a usable record ranks
+     * after all members.
+     */
     private int rank(Member self, Set<MemberId> suspects) {
-        Collection<KnownMember> known = view.current().members().values();
-        List<MemberId> alive = known.stream()
-                .map(KnownMember::member)
+        Collection<VersionedMember> knownMembers = view.current().members().values();
+        List<MemberId> candidates = knownMembers.stream()
+                .map(VersionedMember::member)
                 .filter(member -> member.region().equals(self.region()))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .map(Member::id)
                 .filter(member -> !suspects.contains(member))
                 .toList();
-        if (!alive.contains(self.id())) {
-            return alive.size();
+        if (!candidates.contains(self.id())) {
+            return candidates.size();
         }
-        long hash = Rendezvous.hash(self.region().value(), self.id());
-        return (int) alive.stream()
-                .filter(member -> Rendezvous.hash(self.region().value(), member) < hash)
+        long hash = RendezvousHash.hash(self.region().value(), self.id());
+        return (int) candidates.stream()
+                .filter(member -> RendezvousHash.hash(self.region().value(), member) < hash)
                 .count();
     }
 
-    /** The wait grows with the rank up to a limit, beyond which a random part keeps a fleet from watching at once. */
-    private boolean isStale(int rank, long nowNanos) {
-        int step = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackSpread;
-        double waits = FALLBACK_WAITS + FALLBACK_WAITS_PER_RANK * Math.max(0, step);
+    /**
+     * Whether the digest has not advanced for so long that this daemon must watch the store. The wait grows with the
+     * rank. Beyond the largest rank it has a random part, so that not all daemons of a large cluster start to watch
+     * together.
+     */
+    private boolean isFallbackDue(int rank, long nowNanos) {
+        int rankSteps = rank <= MAX_FALLBACK_RANK ? rank - 1 : MAX_FALLBACK_RANK + fallbackRankOffset;
+        double waits = FALLBACK_AFTER_WAITS + EXTRA_WAITS_PER_RANK * Math.max(0, rankSteps);
         return nowNanos - lastAdvanceNanos > waits * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
-    private boolean keepsFallback(long nowNanos) {
-        return nowNanos - lastPeerAdvanceNanos > 2 * context.options().watchWaitMs() * NANOS_PER_MS;
+    /** Whether peers have not advanced the digest recently, so that this daemon still has to watch the store. */
+    private boolean isFallbackStillNeeded(long nowNanos) {
+        return nowNanos - lastPeerAdvanceNanos
+                > FALLBACK_PEER_SILENCE_WAITS * context.options().watchWaitMs() * NANOS_PER_MS;
     }
 
-    private void list(Feed feed) {
-        feed.storeCallInFlight = true;
-        context.call(
-                () -> context.services().store().list(ClusterView.prefix(feed.kind)),
+    private void list(SyncState sync) {
+        sync.storeCallInFlight = true;
+        context.callWithTimeout(
+                () -> context.dependencies().store().list(ClusterView.prefix(sync.kind)),
                 context.options().listTimeoutMs(),
                 (batch, failure) -> {
-                    feed.storeCallInFlight = false;
+                    sync.storeCallInFlight = false;
                     if (failure == null) {
-                        feed.listed = true;
-                        storeAnswered(feed, new WatchBatch(batch.upTo(), batch.changes(), true));
+                        sync.listed = true;
+                        storeAnswered(sync, new WatchBatch(batch.upTo(), batch.changes(), true));
                     } else {
-                        storeFailed(feed, "list", failure);
+                        storeFailed(sync, "list", failure);
                     }
                 });
     }
 
-    private void watch(Feed feed, long waitMs) {
-        feed.storeCallInFlight = true;
-        Revision after = view.completeUpTo(feed.kind);
-        context.call(
-                () -> context.services().store().watch(ClusterView.prefix(feed.kind), after, waitMs),
+    private void watch(SyncState sync, long waitMs) {
+        sync.storeCallInFlight = true;
+        Revision after = view.completeUpTo(sync.kind);
+        context.callWithTimeout(
+                () -> context.dependencies().store().watch(ClusterView.prefix(sync.kind), after, waitMs),
                 waitMs + context.options().storeTimeoutMs(),
                 (batch, failure) -> {
-                    feed.storeCallInFlight = false;
+                    sync.storeCallInFlight = false;
                     if (failure == null) {
-                        storeAnswered(feed, batch);
+                        storeAnswered(sync, batch);
                     } else {
-                        storeFailed(feed, "watch", failure);
+                        storeFailed(sync, "watch", failure);
                     }
                 });
     }
 
-    private void storeAnswered(Feed feed, WatchBatch batch) {
-        feed.retryMs = FIRST_RETRY_MS;
-        long now = context.nowNanos();
-        feed.retryAtNanos = now;
-        ObjectData data = new ObjectData(feed.kind, batch.upTo(), batch.reset(), batch.changes());
-        if (!apply(feed.kind, data, now) && isWatching()) {
-            storeIsIdle(now);
+    private void storeAnswered(SyncState sync, WatchBatch batch) {
+        sync.retryMs = INITIAL_RETRY_MS;
+        long nowNanos = context.nowNanos();
+        sync.retryAtNanos = nowNanos;
+        ObjectData data = new ObjectData(sync.kind, batch.upTo(), batch.reset(), batch.changes());
+        if (!apply(sync.kind, data, nowNanos) && isWatching()) {
+            storeUnchanged(nowNanos);
         }
     }
 
-    /** The store itself has nothing newer, so standing still is no sign of a lost relay. */
-    private void storeIsIdle(long nowNanos) {
+    /** Ends the fallback: the store has no newer changes, so the digest did not stop because of a failed relay. */
+    private void storeUnchanged(long nowNanos) {
         lastAdvanceNanos = nowNanos;
         fallback = false;
     }
 
-    private void storeFailed(Feed feed, String operation, CrankException failure) {
-        long retryMs = context.jitteredMs(feed.retryMs);
-        feed.retryAtNanos = context.nowNanos() + retryMs * NANOS_PER_MS;
-        feed.retryMs = Math.min(2 * feed.retryMs, fallback ? MAX_FALLBACK_RETRY_MS : MAX_RETRY_MS);
-        context.log(() -> "event=store-retry operation=" + operation + " kind=" + feed.kind + " code=" + failure.code()
+    private void storeFailed(SyncState sync, String operation, CrankException failure) {
+        long retryMs = context.jitteredMs(sync.retryMs);
+        sync.retryAtNanos = context.nowNanos() + retryMs * NANOS_PER_MS;
+        sync.retryMs = Math.min(2 * sync.retryMs, fallback ? MAX_FALLBACK_RETRY_MS : MAX_RETRY_MS);
+        context.log(() -> "event=store-retry operation=" + operation + " kind=" + sync.kind + " code=" + failure.code()
                 + " retryMs=" + retryMs);
     }
 
     private void fetchIfAhead(MemberId peer, FetchObject.Kind kind, Revision peerRevision) {
-        Feed feed = feeds.get(kind);
-        Revision known = view.completeUpTo(kind);
-        if (feed.fetchInFlight || !feed.listed || !peerRevision.isNewerThan(known)) {
+        SyncState sync = syncStates.get(kind);
+        Revision completeRevision = view.completeUpTo(kind);
+        if (sync.fetchInFlight || !sync.listed || !peerRevision.isNewerThan(completeRevision)) {
             return;
         }
         view.member(peer).ifPresent(record -> {
-            feed.fetchInFlight = true;
+            sync.fetchInFlight = true;
             metrics.fetched();
             PeerTarget target = PeerTarget.of(record.member());
-            context.call(
-                    () -> context.services()
-                            .peers()
-                            .call(target, new FetchObject(kind, known), ObjectData.class, FETCH_TIMEOUT_MS),
+            context.callWithTimeout(
+                    () -> context.dependencies()
+                            .peerClient()
+                            .call(target, new FetchObject(kind, completeRevision), ObjectData.class, FETCH_TIMEOUT_MS),
                     FETCH_TIMEOUT_MS,
                     (data, failure) -> {
-                        feed.fetchInFlight = false;
+                        sync.fetchInFlight = false;
                         if (failure == null && data.kind() == kind && apply(kind, data, context.nowNanos())) {
                             lastPeerAdvanceNanos = context.nowNanos();
                         }
@@ -270,10 +292,10 @@
         });
     }
 
-    /** Whether the digest advanced. */
+    /** Applies objects to the view and returns whether the digest advanced. */
     private boolean apply(FetchObject.Kind kind, ObjectData data, long nowNanos) {
         Revision before = view.completeUpTo(kind);
-        newsToPush |= view.apply(kind, data.objects(), data.upTo(), data.reset());
+        pushPending |= view.apply(kind, data.objects(), data.upTo(), data.reset());
         boolean advanced = view.completeUpTo(kind).isNewerThan(before);
         if (advanced) {
             lastAdvanceNanos = nowNanos;
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/Membership.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.coriandercrank.control.MemberChoice;
-import org.coriandercrank.control.SealListener;
+import org.coriandercrank.control.IncarnationListener;
+import org.coriandercrank.control.JoinParameters;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.message.Heartbeat;
 import org.coriandercrank.kernel.message.HeartbeatAck;
-import org.coriandercrank.kernel.ownership.KnownMember;
 import org.coriandercrank.kernel.ownership.LeaseView;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
@@ -31,61 +31,67 @@
 import org.coriandercrank.lease.LeaseHolder;
 
 /**
- * The membership and lease of one incarnation of this daemon: drives a {@link LeaseHolder} and chooses its witnesses.
+ * Membership and lease of one incarnation of this daemon: drives a {@link LeaseHolder} and selects its witnesses.
  *
- * <p>Invariant: the published lease end is that of the holder after its latest event, and is published before the actions
- * of the event are carried out. Times are those of the holder clock. {@link #validUntilNanos} is thread safe; all else runs on the control thread. A member
- * that was sealed stays so; the daemon joins again with a new instance.
+ * <p>A sealed incarnation stays sealed; the daemon rejoins with a new instance of this class.
+ *
+ * <p>Invariant: the published expiry of the lease is that of the holder after its latest event, and it is published
+ * before the actions of the event are carried out. {@link #validUntilNanos} is thread safe; all other methods must be
+ * called on the control thread. Times are those of the lease clock.
  */
 public final class Membership implements LeaseView {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MS = 1_000_000;
-    private static final long WITNESS_REVIEW_NANOS = 200 * NANOS_PER_MS;
+    private static final long WITNESS_REVIEW_INTERVAL_NANOS = 200 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
     private final Dissemination dissemination;
     private final ControlMetrics metrics;
-    private final SealListener sealListener;
+    private final IncarnationListener incarnationListener;
     private final MemberId id;
     private final boolean mayResume;
-    private final Map<MemberId, Long> namedNanos = new HashMap<>();
+    /** When each current witness was selected. */
+    private final Map<MemberId, Long> selectedAtNanos = new HashMap<>();
+
+    /** Until when each witness that timed out is not selected again. */
     private final Map<MemberId, Long> suspectUntilNanos = new HashMap<>();
+
     private final long startedNanos;
-    private final CompletableFuture<Void> leaving = new CompletableFuture<>();
-    private final CompletableFuture<Void> sealed = new CompletableFuture<>();
+    private final CompletableFuture<Void> leaveFuture = new CompletableFuture<>();
+    private final CompletableFuture<Void> sealFuture = new CompletableFuture<>();
     private Optional<LeaseHolder> holder = Optional.empty();
-    private Member wanted;
-    private long reviewedNanos;
-    private long reviewedVersion;
-    private Set<MemberId> reviewedSuspects = Set.of();
-    private long rebalanceNanos;
+    private Member desired;
+    private long lastReviewNanos;
+    private long lastReviewSnapshotVersion;
+    private Set<MemberId> lastReviewSuspects = Set.of();
+    private long nextRebalanceNanos;
     private long lastHeartbeatNanos;
-    private long aliveSinceNanos;
+    private long observedSinceNanos;
     private boolean abandoned;
     private volatile long validUntilNanos;
 
     public Membership(
             ControlContext context,
-            MemberChoice choice,
+            JoinParameters parameters,
             ClusterView view,
             Dissemination dissemination,
             ControlMetrics metrics,
-            SealListener sealListener) {
+            IncarnationListener incarnationListener) {
         this.context = context;
-        this.id = choice.id();
-        this.mayResume = choice.mayResume();
+        this.id = parameters.id();
+        this.mayResume = parameters.mayResume();
         this.view = view;
         this.dissemination = dissemination;
         this.metrics = metrics;
-        this.sealListener = sealListener;
-        long now = context.holderNowNanos();
-        this.startedNanos = now;
-        this.validUntilNanos = now;
-        this.aliveSinceNanos = now;
-        this.reviewedNanos = now;
-        this.rebalanceNanos = now + nextRebalanceNanos();
-        this.wanted = new Member(
+        this.incarnationListener = incarnationListener;
+        long nowNanos = context.leaseNowNanos();
+        this.startedNanos = nowNanos;
+        this.validUntilNanos = nowNanos;
+        this.observedSinceNanos = nowNanos;
+        this.lastReviewNanos = nowNanos;
+        this.nextRebalanceNanos = nowNanos + rebalanceDelayNanos();
+        this.desired = new Member(
                 id,
                 context.identity().peerAddress(),
                 context.identity().callerAddress(),
@@ -110,9 +116,9 @@
         return id;
     }
 
-    /** The record as this daemon wants it; its witnesses may not be in force yet. */
-    public Member wanted() {
-        return wanted;
+    /** Returns the record that this daemon tries to write; its witnesses may not be in force yet. */
+    public Member desired() {
+        return desired;
     }
 
     public boolean isEnded() {
@@ -124,11 +130,12 @@
         return holder.isPresent();
     }
 
+    /** Whether the record is known to be in the store. */
     public boolean isJoined() {
         return holder.flatMap(LeaseHolder::confirmed).isPresent();
     }
 
-    public Optional<KnownMember> confirmed() {
+    public Optional<VersionedMember> confirmed() {
         return holder.flatMap(LeaseHolder::confirmed);
     }
 
@@ -136,20 +143,23 @@
         return holder.map(h -> h.lastVoteNanos(witness)).orElse(OptionalLong.empty());
     }
 
-    /** Members that do not answer this daemon. */
+    /** Returns the members that do not answer this daemon. */
     public Set<MemberId> suspects() {
         return new HashSet<>(suspectUntilNanos.keySet());
     }
 
-    /** The process did not run for a while, so the silence of others until now means nothing. */
-    public void resumed(long nowNanos) {
-        aliveSinceNanos = nowNanos;
+    /**
+     * Handles the end of a pause of this process. Witnesses may have answered during the pause, so their silence is
+     * measured from now on.
+     */
+    public void processResumed(long nowNanos) {
+        observedSinceNanos = nowNanos;
     }
 
-    /** Evaluates the lease, then does what is due. Joins once the store has been listed. */
+    /** Joins once the store has been listed; after that, evaluates the lease and then runs the work that is due. */
     public void tick(long nowNanos) {
         if (holder.isEmpty()) {
-            boolean stopped = leaving.isDone() || sealed.isDone();
+            boolean stopped = leaveFuture.isDone() || sealFuture.isDone();
             if (dissemination.isListed() && !stopped) {
                 join(nowNanos);
             }
@@ -157,146 +167,157 @@
         }
         LeaseHolder lease = holder.get();
         perform(lease.tick(nowNanos));
-        if (nowNanos - reviewedNanos >= WITNESS_REVIEW_NANOS && !lease.isEnded()) {
-            reviewedNanos = nowNanos;
+        if (nowNanos - lastReviewNanos >= WITNESS_REVIEW_INTERVAL_NANOS && !lease.isEnded()) {
+            lastReviewNanos = nowNanos;
             reviewWitnesses(nowNanos);
         }
-        long spacingNanos = TimeUnit.MILLISECONDS.toNanos(context.options().pushSpacingMs());
-        if (nowNanos - lastHeartbeatNanos >= spacingNanos && dissemination.takeNewsToPush()) {
+        long minIntervalNanos = TimeUnit.MILLISECONDS.toNanos(context.options().minPushIntervalMs());
+        if (nowNanos - lastHeartbeatNanos >= minIntervalNanos && dissemination.consumePushPending()) {
             perform(lease.heartbeatNow(nowNanos));
         }
     }
 
-    /** A backend server announced itself; an unchanged announcement has no effect. */
+    /** Handles the announcement of a backend server; an unchanged announcement has no effect. */
     public void backendAnnounced(BackendInfo backend) {
-        if (wanted.state() == MemberState.JOINING || wanted.state() == MemberState.ACTIVE) {
-            want(wanted.withBackend(backend).withState(MemberState.ACTIVE));
+        if (desired.state() == MemberState.JOINING || desired.state() == MemberState.ACTIVE) {
+            updateDesired(desired.withBackend(backend).withState(MemberState.ACTIVE));
         }
     }
 
-    /** Asks for no new ranges; done when the record says so. Before the join it prevents the join. */
+    /**
+     * Sets the state to leaving; the future completes when the record has that state. Before the join, it prevents the
+     * join.
+     */
     public CompletableFuture<Void> leave() {
         if (holder.isEmpty()) {
-            leaving.complete(null);
+            leaveFuture.complete(null);
         }
-        if (wanted.state() == MemberState.JOINING || wanted.state() == MemberState.ACTIVE) {
-            want(wanted.withState(MemberState.LEAVING));
+        if (desired.state() == MemberState.JOINING || desired.state() == MemberState.ACTIVE) {
+            updateDesired(desired.withState(MemberState.LEAVING));
         }
-        return leaving;
+        return leaveFuture;
     }
 
-    /** Ends the lease at once and seals the own record; done when it is sealed. */
+    /** Invalidates the lease immediately and seals the own record; the future completes when the record is sealed. */
     public CompletableFuture<Void> sealSelf() {
         if (holder.isEmpty()) {
-            sealed.complete(null);
+            sealFuture.complete(null);
         }
-        want(wanted.withState(MemberState.SEALED));
-        return sealed;
+        updateDesired(desired.withState(MemberState.SEALED));
+        return sealFuture;
     }
 
-    /** Gives up the lease without writing; results of calls that are still on their way change nothing. */
+    /** Gives up the lease without a write to the store; results of calls in flight then have no effect. */
     public void abandon() {
         abandoned = true;
         validUntilNanos = startedNanos;
-        leaving.complete(null);
-        sealed.complete(null);
+        leaveFuture.complete(null);
+        sealFuture.complete(null);
     }
 
-    /** A witness refused this member. */
-    public void refused(Revision recordRevision, long nowNanos) {
+    /** Handles the notice that a witness refuses this member at a record revision. */
+    public void refusalReceived(Revision recordRevision, long nowNanos) {
         context.log(() -> "event=refusal-received member=" + id + " revision=" + recordRevision);
-        holder.ifPresent(lease -> perform(lease.refused(recordRevision, nowNanos)));
+        holder.ifPresent(lease -> perform(lease.refusalReceived(recordRevision, nowNanos)));
     }
 
-    /** Looks for a seal of the own record in the view. */
+    /** Ends the incarnation if its record is sealed in the view. */
     public void viewChanged() {
-        Optional<KnownMember> own = view.member(id);
+        Optional<VersionedMember> own = view.member(id);
         if (own.isPresent() && own.get().member().state() == MemberState.SEALED) {
-            holder.ifPresent(lease -> perform(lease.sealSeen()));
+            holder.ifPresent(lease -> perform(lease.recordSealed()));
         }
     }
 
     private void join(long nowNanos) {
-        wanted = wanted.withWitnesses(chooseWitnesses(false));
-        holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), wanted, nowNanos, mayResume));
-        noteNamed(nowNanos);
-        context.log(() -> "event=join member=" + id + " state=" + wanted.state() + " witnesses=" + wanted.witnesses());
+        desired = desired.withWitnesses(selectWitnesses(false));
+        holder = Optional.of(new LeaseHolder(context.options().leaseTiming(), desired, nowNanos, mayResume));
+        updateSelectionTimes(nowNanos);
+        context.log(
+                () -> "event=join member=" + id + " state=" + desired.state() + " witnesses=" + desired.witnesses());
         perform(holder.get().tick(nowNanos));
     }
 
-    private void want(Member record) {
-        if (record.equals(wanted)) {
+    private void updateDesired(Member record) {
+        if (record.equals(desired)) {
             return;
         }
-        wanted = record;
+        desired = record;
         holder.ifPresent(lease -> {
             lease.setDesired(record);
-            perform(lease.tick(context.holderNowNanos()));
+            perform(lease.tick(context.leaseNowNanos()));
         });
     }
 
+    /**
+     * Marks witnesses that timed out as suspects. Selects the witnesses anew if the members or the suspects changed or
+     * a rebalance is due.
+     */
     private void reviewWitnesses(long nowNanos) {
         suspectUntilNanos.values().removeIf(until -> nowNanos - until >= 0);
-        long lostNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessLostMs());
-        long retryNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryMs());
-        for (MemberId witness : wanted.witnesses()) {
-            if (nowNanos - lastHeardNanos(witness) > lostNanos) {
-                suspectUntilNanos.put(witness, nowNanos + retryNanos);
+        long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessTimeoutMs());
+        long retryDelayNanos = TimeUnit.MILLISECONDS.toNanos(context.options().witnessRetryDelayMs());
+        for (MemberId witness : desired.witnesses()) {
+            if (nowNanos - lastContactNanos(witness) > timeoutNanos) {
+                suspectUntilNanos.put(witness, nowNanos + retryDelayNanos);
             } else {
                 suspectUntilNanos.remove(witness);
             }
         }
-        boolean rebalance = nowNanos - rebalanceNanos >= 0;
+        boolean rebalance = nowNanos - nextRebalanceNanos >= 0;
         if (rebalance) {
-            rebalanceNanos = nowNanos + nextRebalanceNanos();
+            nextRebalanceNanos = nowNanos + rebalanceDelayNanos();
         }
-        long version = view.version();
+        long version = view.snapshotVersion();
         Set<MemberId> suspects = suspects();
-        if (!rebalance && version == reviewedVersion && suspects.equals(reviewedSuspects)) {
+        if (!rebalance && version == lastReviewSnapshotVersion && suspects.equals(lastReviewSuspects)) {
             return;
         }
-        reviewedVersion = version;
-        reviewedSuspects = suspects;
-        List<MemberId> witnesses = chooseWitnesses(rebalance);
-        if (!witnesses.equals(wanted.witnesses())) {
-            context.log(() -> "event=witness-change member=" + id + " from=" + wanted.witnesses() + " to=" + witnesses
+        lastReviewSnapshotVersion = version;
+        lastReviewSuspects = suspects;
+        List<MemberId> witnesses = selectWitnesses(rebalance);
+        if (!witnesses.equals(desired.witnesses())) {
+            context.log(() -> "event=witness-change member=" + id + " from=" + desired.witnesses() + " to=" + witnesses
                     + " suspects=" + suspectUntilNanos.keySet());
-            want(wanted.withWitnesses(witnesses));
-            noteNamed(nowNanos);
+            updateDesired(desired.withWitnesses(witnesses));
+            updateSelectionTimes(nowNanos);
         }
     }
 
-    /** Latest of the vote of a witness, its choice, and the time from which its silence counts. */
-    private long lastHeardNanos(MemberId witness) {
-        long heard = aliveSinceNanos;
-        Long named = namedNanos.get(witness);
-        if (named != null && named - heard > 0) {
-            heard = named;
+    /**
+     * Returns the time from which the silence of a witness is measured: the latest of its last vote, its selection and
+     * the start of the observation.
+     */
+    private long lastContactNanos(MemberId witness) {
+        long latestNanos = observedSinceNanos;
+        Long selectedNanos = selectedAtNanos.get(witness);
+        if (selectedNanos != null && selectedNanos - latestNanos > 0) {
+            latestNanos = selectedNanos;
         }
-        OptionalLong voted = lastVoteNanos(witness);
-        if (voted.isPresent() && voted.getAsLong() - heard > 0) {
-            heard = voted.getAsLong();
+        OptionalLong votedNanos = lastVoteNanos(witness);
+        if (votedNanos.isPresent() && votedNanos.getAsLong() - latestNanos > 0) {
+            latestNanos = votedNanos.getAsLong();
         }
-        return heard;
+        return latestNanos;
     }
 
-    private void noteNamed(long nowNanos) {
-        namedNanos.keySet().retainAll(wanted.witnesses());
-        wanted.witnesses().forEach(witness -> namedNanos.putIfAbsent(witness, nowNanos));
+    private void updateSelectionTimes(long nowNanos) {
+        selectedAtNanos.keySet().retainAll(desired.witnesses());
+        desired.witnesses().forEach(witness -> selectedAtNanos.putIfAbsent(witness, nowNanos));
     }
 
-    private List<MemberId> chooseWitnesses(boolean rebalance) {
+    private List<MemberId> selectWitnesses(boolean rebalance) {
         List<Member> others = view.current().members().values().stream()
-                .map(KnownMember::member)
+                .map(VersionedMember::member)
                 .filter(member -> !member.id().equals(id))
                 .filter(member -> member.state() == MemberState.ACTIVE || member.state() == MemberState.JOINING)
                 .toList();
-        return WitnessSelector.select(wanted, others, suspectUntilNanos.keySet(), wanted.witnesses(), rebalance);
+        return WitnessSelector.select(desired, others, suspectUntilNanos.keySet(), desired.witnesses(), rebalance);
     }
 
-    private long nextRebalanceNanos() {
+    private long rebalanceDelayNanos() {
         return TimeUnit.MILLISECONDS.toNanos(
-                context.jitteredMs(context.options().rebalanceMs()));
+                context.jitteredMs(context.options().rebalanceIntervalMs()));
     }
 
     private void perform(List<HolderAction> actions) {
@@ -312,20 +333,20 @@
             } else if (action instanceof HolderAction.ReadRecord read) {
                 readRecord(read);
             } else if (action instanceof HolderAction.End end) {
-                ended(end.reason());
+                incarnationEnded(end.reason());
             }
         }
     }
 
     private void sendHeartbeat(HolderAction.SendHeartbeat action) {
-        lastHeartbeatNanos = context.holderNowNanos();
+        lastHeartbeatNanos = context.leaseNowNanos();
         view.member(action.witness()).ifPresent(record -> {
             metrics.heartbeatSent();
             PeerTarget target = PeerTarget.of(record.member());
             Heartbeat heartbeat = new Heartbeat(id, action.recordRevision(), action.sequence(), view.digest());
             long timeoutMs = context.options().ttlMs();
-            context.call(
-                    () -> context.services().peers().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
+            context.callWithTimeout(
+                    () -> context.dependencies().peerClient().call(target, heartbeat, HeartbeatAck.class, timeoutMs),
                     timeoutMs,
                     (ack, failure) -> {
                         if (failure == null && ack.witness().equals(action.witness())) {
@@ -338,85 +359,86 @@
     private void heartbeatAnswered(HeartbeatAck ack) {
         suspectUntilNanos.remove(ack.witness());
         perform(holder.orElseThrow()
-                .heartbeatAnswered(ack.witness(), ack.sequence(), ack.granted(), context.holderNowNanos()));
-        dissemination.peerDigest(ack.witness(), ack.digest());
+                .heartbeatAnswered(ack.witness(), ack.sequence(), ack.granted(), context.leaseNowNanos()));
+        dissemination.digestReceived(ack.witness(), ack.digest());
     }
 
     private void writeRecord(HolderAction.WriteRecord write) {
         LeaseHolder lease = holder.orElseThrow();
         metrics.recordWritten();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(id), JsonCodec.encode(write.record()), write.expected()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
-                    long now = context.holderNowNanos();
+                    long nowNanos = context.leaseNowNanos();
                     if (failure == null) {
-                        perform(lease.writeSucceeded(write.operation(), revision, now));
-                        view.applyMember(new KnownMember(write.record(), revision));
+                        perform(lease.writeSucceeded(write.operation(), revision, nowNanos));
+                        view.applyMember(new VersionedMember(write.record(), revision));
                         recordConfirmed();
                     } else {
-                        writeFailed(lease, write, failure, now);
+                        writeFailed(lease, write, failure, nowNanos);
                     }
                 });
     }
 
-    private void writeFailed(LeaseHolder lease, HolderAction.WriteRecord write, CrankException failure, long now) {
+    private void writeFailed(LeaseHolder lease, HolderAction.WriteRecord write, CrankException failure, long nowNanos) {
         context.log(() ->
                 "event=record-write-failed member=" + id + " expected=" + write.expected() + " code=" + failure.code());
         if (failure.code() == ResultCode.STORE_UNAVAILABLE) {
-            lease.writeFailed(write.operation(), now);
+            lease.writeFailed(write.operation(), nowNanos);
             perform(List.of());
         } else if (failure.code() == ResultCode.REVISION_CONFLICT) {
-            perform(lease.writeConflicted(write.operation(), now));
+            perform(lease.writeConflicted(write.operation(), nowNanos));
         } else {
-            perform(lease.writeUnanswered(write.operation(), now));
+            perform(lease.writeUnanswered(write.operation(), nowNanos));
         }
     }
 
     private void readRecord(HolderAction.ReadRecord read) {
         LeaseHolder lease = holder.orElseThrow();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .get(ObjectNames.member(id))
                         .thenApply(object -> object.map(Membership::decode)),
                 context.options().storeTimeoutMs(),
                 (found, failure) -> {
-                    long now = context.holderNowNanos();
+                    long nowNanos = context.leaseNowNanos();
                     if (failure != null) {
-                        lease.readFailed(read.operation(), now);
+                        lease.readFailed(read.operation(), nowNanos);
                         return;
                     }
                     found.ifPresent(view::applyMember);
-                    perform(lease.readSucceeded(read.operation(), found, now));
+                    perform(lease.readSucceeded(read.operation(), found, nowNanos));
                     recordConfirmed();
                 });
     }
 
-    static KnownMember decode(StoredObject object) {
-        return new KnownMember(JsonCodec.decode(object.value(), Member.class), object.revision());
+    /** Decodes a member record from its stored form. */
+    static VersionedMember decode(StoredObject object) {
+        return new VersionedMember(JsonCodec.decode(object.value(), Member.class), object.revision());
     }
 
     private void recordConfirmed() {
-        confirmed().map(KnownMember::member).ifPresent(record -> {
+        confirmed().map(VersionedMember::member).ifPresent(record -> {
             context.log(() -> "event=record-confirmed member=" + id + " revision="
                     + confirmed().orElseThrow().revision() + " state=" + record.state() + " witnesses="
                     + record.witnesses());
             if (record.state() == MemberState.LEAVING) {
-                leaving.complete(null);
+                leaveFuture.complete(null);
             }
         });
     }
 
-    private void ended(String reason) {
+    private void incarnationEnded(String reason) {
         metrics.incarnationEnded();
         logger.atInfo().log("event=incarnation-ended member=%s reason=%s", id, reason);
-        leaving.complete(null);
-        sealed.complete(null);
-        if (wanted.state() != MemberState.SEALED) {
-            sealListener.sealed(id, reason);
+        leaveFuture.complete(null);
+        sealFuture.complete(null);
+        if (desired.state() != MemberState.SEALED) {
+            incarnationListener.incarnationEnded(id, reason);
         }
     }
 }
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/TakeoverCoordinator.java
@@ -12,8 +12,8 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.message.RefusalAnswer;
 import org.coriandercrank.kernel.message.RefusalRequest;
-import org.coriandercrank.kernel.ownership.KnownMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
@@ -22,80 +22,88 @@
 import org.coriandercrank.lease.Takeover;
 import org.coriandercrank.lease.TakeoverAction;
 
-/** Finds members that are no longer heard of and drives a {@link Takeover} for each. Control thread only. */
-public final class TakeoverDuty {
+/** Detects members without recent contact and drives a {@link Takeover} for each of them. Control thread only. */
+public final class TakeoverCoordinator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MS = 1_000_000;
+
+    /** Limits the delay of takeovers in a large cluster. */
     private static final int MAX_RANK = 10;
 
-    /** A longer takeover probably lacks witnesses that can refuse, and its member's keys wait for an operator. */
-    private static final long STUCK_NANOS = 10_000 * NANOS_PER_MS;
+    /**
+     * A longer takeover is reported: it probably lacks witnesses that can refuse, and the keys of its member stay
+     * unavailable until an operator intervenes.
+     */
+    private static final long STUCK_AFTER_NANOS = 10_000 * NANOS_PER_MS;
 
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
     private final Map<MemberId, Takeover> running = new HashMap<>();
-    private final Map<MemberId, Long> stuckAtNanos = new HashMap<>();
-    private final WitnessDuty witnessDuty;
-    private List<KnownMember> charges = List.of();
-    private long chargesVersion = -1;
+    private final Map<MemberId, Long> nextStuckReportNanos = new HashMap<>();
+    private final WitnessService witnessService;
+    private List<VersionedMember> eligibleMembers = List.of();
+    private long eligibleSnapshotVersion = -1;
     private MemberId self;
-    private long aliveSinceNanos;
+    private long observedSinceNanos;
 
-    public TakeoverDuty(ControlContext context, ClusterView view, ControlMetrics metrics, MemberId self) {
+    public TakeoverCoordinator(ControlContext context, ClusterView view, ControlMetrics metrics, MemberId self) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
         this.self = self;
-        this.aliveSinceNanos = context.nowNanos();
-        this.witnessDuty = new WitnessDuty(context, view, metrics, this::heardOf);
+        this.observedSinceNanos = context.nowNanos();
+        this.witnessService = new WitnessService(context, view, metrics, this::heartbeatAcknowledged);
     }
 
-    /** The votes of this daemon, which tell who is alive. */
-    public WitnessDuty witnessDuty() {
-        return witnessDuty;
+    /** Returns the witness of this daemon, whose acknowledgements show which members are alive. */
+    public WitnessService witnessService() {
+        return witnessService;
     }
 
-    /** This daemon has a new member id; takeovers of the former incarnation are dropped. */
-    public void restart(MemberId newSelf) {
+    /** Sets a new member id of this daemon and drops the takeovers of its previous incarnation. */
+    public void selfChanged(MemberId newSelf) {
         self = newSelf;
         running.clear();
     }
 
-    /** The process did not run for a while, so the silence of others until now means nothing. */
-    public void resumed(long nowNanos) {
-        aliveSinceNanos = nowNanos;
+    /**
+     * Handles the end of a pause of this process. Members may have sent heartbeats during the pause, so their silence
+     * is measured from now on.
+     */
+    public void processResumed(long nowNanos) {
+        observedSinceNanos = nowNanos;
         running.clear();
     }
 
-    /** Starts takeovers of members not heard of and advances the running ones. */
+    /** Starts takeovers of members without recent contact and advances the running ones. */
     public void tick(long nowNanos) {
-        findCharges();
-        for (KnownMember known : charges) {
-            if (isSuspect(known, nowNanos)
-                    && !running.containsKey(known.member().id())) {
-                start(known, nowNanos);
+        refreshEligibleMembers();
+        for (VersionedMember memberRecord : eligibleMembers) {
+            if (isSuspect(memberRecord, nowNanos)
+                    && !running.containsKey(memberRecord.member().id())) {
+                start(memberRecord, nowNanos);
             }
         }
         for (Takeover takeover : List.copyOf(running.values())) {
             perform(takeover, takeover.tick(nowNanos));
-            finishIfDone(takeover);
+            removeIfDone(takeover);
         }
         reportStuck(nowNanos);
     }
 
-    /** Members whose takeover is going on. */
+    /** Returns the members whose takeover is running. */
     public List<MemberId> runningTakeovers() {
         return running.keySet().stream().sorted().toList();
     }
 
     private void reportStuck(long nowNanos) {
-        stuckAtNanos.keySet().retainAll(running.keySet());
+        nextStuckReportNanos.keySet().retainAll(running.keySet());
         for (Takeover takeover : running.values()) {
             Member member = takeover.target().member();
-            Long stuckAt = stuckAtNanos.putIfAbsent(member.id(), nowNanos + STUCK_NANOS);
-            if (stuckAt != null && nowNanos - stuckAt >= 0) {
-                stuckAtNanos.put(member.id(), nowNanos + STUCK_NANOS);
+            Long reportAtNanos = nextStuckReportNanos.putIfAbsent(member.id(), nowNanos + STUCK_AFTER_NANOS);
+            if (reportAtNanos != null && nowNanos - reportAtNanos >= 0) {
+                nextStuckReportNanos.put(member.id(), nowNanos + STUCK_AFTER_NANOS);
                 logger.atWarning().log(
                         "event=takeover-stuck member=%s revision=%s refusals=%d witnesses=%s",
                         member.id(), takeover.target().revision(), takeover.refusalCount(), member.witnesses());
@@ -103,75 +111,80 @@
         }
     }
 
-    /** Tells running takeovers of newer records. */
+    /** Passes newer records to the running takeovers and drops those that this daemon may no longer carry out. */
     public void viewChanged(RoutingSnapshot snapshot) {
-        long now = context.nowNanos();
+        long nowNanos = context.nowNanos();
         for (Takeover takeover : List.copyOf(running.values())) {
             MemberId member = takeover.target().member().id();
-            KnownMember record = snapshot.members().get(member);
-            if (record == null || !mayTake(record.member())) {
+            VersionedMember memberRecord = snapshot.members().get(member);
+            if (memberRecord == null || !mayTakeOver(memberRecord.member())) {
                 running.remove(member);
             } else {
-                takeover.recordLearned(record, now);
-                finishIfDone(takeover);
+                takeover.recordUpdated(memberRecord, nowNanos);
+                removeIfDone(takeover);
             }
         }
     }
 
-    private void heardOf(MemberId member) {
+    private void heartbeatAcknowledged(MemberId member) {
         if (running.remove(member) != null) {
             context.log(() -> "event=takeover-dropped member=" + member + " reason=heard-of");
         }
     }
 
-    /** Finds the members that this daemon may take over; only a new snapshot changes them. */
-    private void findCharges() {
-        if (view.version() != chargesVersion) {
-            chargesVersion = view.version();
-            charges = view.current().members().values().stream()
-                    .filter(known -> !known.member().id().equals(self))
-                    .filter(known -> known.member().state() != MemberState.SEALED)
-                    .filter(known -> mayTake(known.member()))
+    /** Determines the members that this daemon may take over; only a new snapshot changes them. */
+    private void refreshEligibleMembers() {
+        if (view.snapshotVersion() != eligibleSnapshotVersion) {
+            eligibleSnapshotVersion = view.snapshotVersion();
+            eligibleMembers = view.current().members().values().stream()
+                    .filter(memberRecord -> !memberRecord.member().id().equals(self))
+                    .filter(memberRecord -> memberRecord.member().state() != MemberState.SEALED)
+                    .filter(memberRecord -> mayTakeOver(memberRecord.member()))
                     .toList();
         }
     }
 
-    private boolean isSuspect(KnownMember known, long nowNanos) {
-        return nowNanos - lastHeardNanos(known.member().id())
+    private boolean isSuspect(VersionedMember memberRecord, long nowNanos) {
+        return nowNanos - lastContactNanos(memberRecord.member().id())
                 > context.options().leaseTiming().expiryNanos();
     }
 
-    private boolean mayTake(Member member) {
+    /** Whether this daemon is a witness of the member. Any daemon may take over a member without witnesses. */
+    private boolean mayTakeOver(Member member) {
         return member.witnesses().isEmpty() || member.witnesses().contains(self);
     }
 
-    /** A new revision of the record is a sign of life too; a member without witnesses gives no other. */
-    private long lastHeardNanos(MemberId member) {
-        long heard = aliveSinceNanos;
-        for (OptionalLong sign : List.of(view.learnedNanos(member), witnessDuty.lastAckNanos(member))) {
-            if (sign.isPresent() && sign.getAsLong() - heard > 0) {
-                heard = sign.getAsLong();
+    /**
+     * Returns the time of the last contact with a member. A new revision of its record counts as a contact too; it is
+     * the only one for a member without witnesses.
+     */
+    private long lastContactNanos(MemberId member) {
+        long latestNanos = observedSinceNanos;
+        for (OptionalLong candidate : List.of(view.revisionSeenNanos(member), witnessService.lastAckNanos(member))) {
+            if (candidate.isPresent() && candidate.getAsLong() - latestNanos > 0) {
+                latestNanos = candidate.getAsLong();
             }
         }
-        return heard;
+        return latestNanos;
     }
 
-    private void start(KnownMember known, long nowNanos) {
-        Member member = known.member();
+    private void start(VersionedMember memberRecord, long nowNanos) {
+        Member member = memberRecord.member();
         int rank = rank(member);
         long delayNanos = TimeUnit.MILLISECONDS.toNanos(rank * context.options().takeoverRankDelayMs());
-        long knownSinceNanos = view.learnedNanos(member.id()).orElse(nowNanos);
+        long knownSinceNanos = view.revisionSeenNanos(member.id()).orElse(nowNanos);
         running.put(
                 member.id(),
-                new Takeover(context.options().leaseTiming(), known, knownSinceNanos, nowNanos + delayNanos));
-        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + known.revision() + " rank="
-                + rank + " witnesses=" + member.witnesses());
+                new Takeover(context.options().leaseTiming(), memberRecord, knownSinceNanos, nowNanos + delayNanos));
+        context.log(() -> "event=takeover-start member=" + member.id() + " revision=" + memberRecord.revision()
+                + " rank=" + rank + " witnesses=" + member.witnesses());
     }
 
+    /** Returns the position of this daemon among the members that may take over the member. */
     private int rank(Member member) {
         int index = member.witnesses().indexOf(self);
         if (index < 0) {
-            index = Rendezvous.order(
+            index = RendezvousHash.order(
                             member.id().value(), view.current().members().keySet())
                     .indexOf(self);
         }
@@ -180,8 +193,8 @@
 
     private void perform(Takeover takeover, List<TakeoverAction> actions) {
         for (TakeoverAction action : actions) {
-            if (action instanceof TakeoverAction.AskRefusal ask) {
-                askRefusal(takeover, ask);
+            if (action instanceof TakeoverAction.RequestRefusal request) {
+                sendRefusalRequest(takeover, request);
             } else if (action instanceof TakeoverAction.Seal seal) {
                 seal(takeover, seal);
             } else if (action instanceof TakeoverAction.ReadRecord read) {
@@ -190,34 +203,34 @@
         }
     }
 
-    private void askRefusal(Takeover takeover, TakeoverAction.AskRefusal ask) {
-        RefusalRequest request = new RefusalRequest(takeover.target().member().id(), ask.recordRevision());
-        if (ask.witness().equals(self)) {
-            answered(takeover, ask, witnessDuty.refuse(self, self, request));
+    private void sendRefusalRequest(Takeover takeover, TakeoverAction.RequestRefusal action) {
+        RefusalRequest request = new RefusalRequest(takeover.target().member().id(), action.recordRevision());
+        if (action.witness().equals(self)) {
+            refusalAnswered(takeover, action, witnessService.handleRefusalRequest(self, self, request));
             return;
         }
-        view.member(ask.witness()).ifPresent(witness -> {
+        view.member(action.witness()).ifPresent(witness -> {
             long timeoutMs = context.options().heartbeatMs();
             PeerTarget target = PeerTarget.of(witness.member());
-            context.call(
-                    () -> context.services().peers().call(target, request, RefusalAnswer.class, timeoutMs),
+            context.callWithTimeout(
+                    () -> context.dependencies().peerClient().call(target, request, RefusalAnswer.class, timeoutMs),
                     timeoutMs,
                     (answer, failure) -> {
-                        if (failure == null && answer.witness().equals(ask.witness())) {
-                            answered(takeover, ask, answer);
+                        if (failure == null && answer.witness().equals(action.witness())) {
+                            refusalAnswered(takeover, action, answer);
                         }
                     });
         });
     }
 
-    private void answered(Takeover takeover, TakeoverAction.AskRefusal ask, RefusalAnswer answer) {
+    private void refusalAnswered(Takeover takeover, TakeoverAction.RequestRefusal action, RefusalAnswer answer) {
         if (isRunning(takeover)) {
-            Revision revision = ask.recordRevision();
+            Revision revision = action.recordRevision();
             long retryAfterNanos = answer.retryAfterMs() * NANOS_PER_MS;
             perform(
                     takeover,
                     takeover.refusalAnswered(
-                            ask.witness(), revision, answer.granted(), retryAfterNanos, context.nowNanos()));
+                            action.witness(), revision, answer.granted(), retryAfterNanos, context.nowNanos()));
         }
     }
 
@@ -225,21 +238,21 @@
         MemberId member = seal.sealed().id();
         context.log(() -> "event=seal-attempt member=" + member + " revision=" + seal.expected() + " refusals="
                 + takeover.refusalCount());
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .put(ObjectNames.member(member), JsonCodec.encode(seal.sealed()), seal.expected()),
                 context.options().storeTimeoutMs(),
                 (revision, failure) -> {
                     if (failure == null) {
-                        metrics.sealed();
+                        metrics.memberSealed();
                         context.log(() -> "event=sealed member=" + member + " revision=" + revision + " taker=" + self);
                         takeover.sealSucceeded(seal.operation(), revision, context.nowNanos());
-                        view.applyMember(new KnownMember(seal.sealed(), revision));
+                        view.applyMember(new VersionedMember(seal.sealed(), revision));
                     } else {
                         sealFailed(takeover, seal, failure);
                     }
-                    finishIfDone(takeover);
+                    removeIfDone(takeover);
                 });
     }
 
@@ -249,27 +262,27 @@
         if (failure.code() == ResultCode.STORE_UNAVAILABLE) {
             takeover.storeFailed(seal.operation(), context.nowNanos());
         } else if (isRunning(takeover)) {
-            perform(takeover, takeover.sealUnresolved(seal.operation(), context.nowNanos()));
+            perform(takeover, takeover.sealNotConfirmed(seal.operation(), context.nowNanos()));
         }
     }
 
     private void read(Takeover takeover, TakeoverAction.ReadRecord read) {
         MemberId member = takeover.target().member().id();
-        context.call(
-                () -> context.services()
+        context.callWithTimeout(
+                () -> context.dependencies()
                         .store()
                         .get(ObjectNames.member(member))
                         .thenApply(object -> object.map(Membership::decode)),
                 context.options().storeTimeoutMs(),
                 (found, failure) -> {
-                    long now = context.nowNanos();
+                    long nowNanos = context.nowNanos();
                     if (failure != null) {
-                        takeover.storeFailed(read.operation(), now);
+                        takeover.storeFailed(read.operation(), nowNanos);
                     } else {
-                        takeover.readSucceeded(read.operation(), found, now);
+                        takeover.readSucceeded(read.operation(), found, nowNanos);
                         found.ifPresent(view::applyMember);
                     }
-                    finishIfDone(takeover);
+                    removeIfDone(takeover);
                 });
     }
 
@@ -277,7 +290,7 @@
         return running.get(takeover.target().member().id()) == takeover;
     }
 
-    private void finishIfDone(Takeover takeover) {
+    private void removeIfDone(Takeover takeover) {
         if (takeover.state() != Takeover.State.RUNNING && isRunning(takeover)) {
             MemberId member = takeover.target().member().id();
             running.remove(member);
--- a/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessDuty.java
+++ b/org.coriandercrank.control/src/main/java/org/coriandercrank/control/internal/WitnessService.java
@@ -11,50 +11,60 @@
 import org.coriandercrank.lease.Witness;
 
 /**
- * This daemon as witness of others. The votes outlive an incarnation, because refusals given by the process stay true.
+ * Answers heartbeats and refusal requests of other members as their witness.
+ *
+ * <p>The votes are kept across incarnations of this daemon, because refusals that the process granted stay binding.
  * Control thread only.
  */
-public final class WitnessDuty {
+public final class WitnessService {
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final ControlContext context;
     private final ClusterView view;
     private final ControlMetrics metrics;
     private final Witness witness;
-    private final Consumer<MemberId> aliveListener;
+    private final Consumer<MemberId> heartbeatListener;
 
-    /** Makes a witness that tells the listener of each member whose heartbeat it acknowledges. */
-    public WitnessDuty(
-            ControlContext context, ClusterView view, ControlMetrics metrics, Consumer<MemberId> aliveListener) {
+    /**
+     * Creates a witness.
+     *
+     * @param heartbeatListener notified of each member whose heartbeat is acknowledged
+     */
+    public WitnessService(
+            ControlContext context, ClusterView view, ControlMetrics metrics, Consumer<MemberId> heartbeatListener) {
         this.context = context;
         this.view = view;
         this.metrics = metrics;
-        this.aliveListener = aliveListener;
+        this.heartbeatListener = heartbeatListener;
         this.witness =
                 new Witness(context.options().leaseTiming(), context.options().maxWitnessedMembers());
     }
 
-    /** Whether a heartbeat is acknowledged. */
-    public boolean heartbeat(MemberId member, Revision recordRevision) {
-        boolean granted = witness.heartbeat(member, recordRevision, context.nowNanos());
+    /** Records a heartbeat and returns whether it is acknowledged. */
+    public boolean acceptHeartbeat(MemberId member, Revision recordRevision) {
+        boolean granted = witness.acceptHeartbeat(member, recordRevision, context.nowNanos());
         if (granted) {
-            aliveListener.accept(member);
+            heartbeatListener.accept(member);
         } else {
             context.log(() -> "event=heartbeat-refused member=" + member + " revision=" + recordRevision);
         }
         return granted;
     }
 
-    /** Answers a taker; a refused member is told, so that it can rewrite its record if it is alive. */
-    public RefusalAnswer refuse(MemberId self, MemberId taker, RefusalRequest request) {
-        Witness.Decision decision = witness.refuse(request.member(), request.recordRevision(), context.nowNanos());
+    /**
+     * Answers the refusal request of a taker. If the refusal is granted, the refused member is notified, so that it can
+     * rewrite its record if it is alive.
+     */
+    public RefusalAnswer handleRefusalRequest(MemberId self, MemberId taker, RefusalRequest request) {
+        Witness.RefusalDecision decision =
+                witness.requestRefusal(request.member(), request.recordRevision(), context.nowNanos());
         if (decision.granted()) {
-            metrics.refused();
+            metrics.refusalGranted();
             context.log(() -> "event=refusal member=" + request.member() + " revision=" + request.recordRevision()
                     + " taker=" + taker);
             view.member(request.member())
-                    .ifPresent(record -> context.services()
-                            .peers()
+                    .ifPresent(record -> context.dependencies()
+                            .peerClient()
                             .send(
                                     PeerTarget.of(record.member()),
                                     new RefusalNotice(request.member(), request.recordRevision())));
@@ -63,7 +73,7 @@
         return new RefusalAnswer(self, decision.granted(), retryAfterMs);
     }
 
-    /** When the latest heartbeat of a member was acknowledged. */
+    /** Returns when the latest heartbeat of a member was acknowledged; empty if unknown. */
     public OptionalLong lastAckNanos(MemberId member) {
         return witness.lastAckNanos(member);
     }
--- a/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
+++ b/org.coriandercrank.ctl/src/main/java/org/coriandercrank/ctl/CrankCtl.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.logging.Level;
+import org.coriandercrank.ctl.internal.ClusterReader;
 import org.coriandercrank.ctl.internal.CtlCommand;
 import org.coriandercrank.ctl.internal.CtlResult;
 import org.coriandercrank.ctl.internal.CtlSettings;
-import org.coriandercrank.ctl.internal.Fleet;
 import org.coriandercrank.ctl.internal.NoteCommands;
 import org.coriandercrank.ctl.internal.StatusCommands;
 import org.coriandercrank.kernel.code.CrankException;
@@ -29,13 +29,15 @@
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
 import org.coriandercrank.kernel.settings.CommandLine;
-import org.coriandercrank.kernel.settings.Nearest;
+import org.coriandercrank.kernel.settings.SpellingSuggestion;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectStore;
 
-/** The program {@code crankctl}. Results go to standard output, progress and faults to standard error. */
+/**
+ * The command line client {@code crankctl}. Prints results to standard output, progress and errors to standard error.
+ */
 public final class CrankCtl {
-    /** The commands of one run. Immutable. */
+    /** The command groups of one run. Immutable. */
     private record Commands(NoteCommands notes, StatusCommands status) {}
 
     private static final Map<String, Function<Commands, CtlCommand>> COMMANDS = new TreeMap<>(Map.of(
@@ -52,8 +54,8 @@
     private static final String SYNOPSIS =
             "COMMAND [--FLAG VALUE]...\ncommands: " + String.join(", ", COMMANDS.keySet());
 
-    /** What {@code --json true} prints. Immutable; the order of the fields is that of the text. */
-    private record Answer(int code, String name, Object result) {}
+    /** Output with {@code --json true}. Immutable; the components are printed in this order. */
+    private record JsonOutput(int code, String name, Object result) {}
 
     private CrankCtl() {}
 
@@ -62,62 +64,62 @@
         System.exit(run(List.of(arguments), System.getenv(), System.out, System.err));
     }
 
-    /** Runs one command and returns the exit code. */
+    /** Runs one command and returns the exit code of the process. */
     public static int run(List<String> arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
-        List<String> words = new ArrayList<>();
+        List<String> commandWords = new ArrayList<>();
         List<String> flags = new ArrayList<>(arguments);
         while (!flags.isEmpty() && !flags.get(0).startsWith("--")) {
-            words.add(flags.remove(0));
+            commandWords.add(flags.remove(0));
         }
         CtlSettings settings = new CtlSettings();
         OptionalInt exitCode = new CommandLine("crankctl", SYNOPSIS, out, err).load(settings, flags, environment);
         if (exitCode.isPresent()) {
             return exitCode.getAsInt();
         }
-        String command = String.join(" ", words);
+        String command = String.join(" ", commandWords);
         if (!COMMANDS.containsKey(command)) {
-            return unknown(command, err);
+            return reportUnknownCommand(command, err);
         }
         return run(command, settings, out, err);
     }
 
     private static int run(String name, CtlSettings settings, PrintStream out, PrintStream err) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         PluginRegistry plugins = PluginRegistry.load();
         try (ObjectStore store = plugins.get(Kind.STORE, settings.storeAdapterName())
                 .open(settings.storeHostAddress(), settings.storeTimeoutMs())) {
-            Fleet fleet = new Fleet(store, group, plugins);
+            ClusterReader cluster = new ClusterReader(store, eventLoopGroup, plugins);
             Commands commands = new Commands(
-                    new NoteCommands(settings, fleet, () -> readNote(settings.noteFile()), err::println),
-                    new StatusCommands(settings, fleet));
-            return print(COMMANDS.get(name).apply(commands).call(), settings, out);
+                    new NoteCommands(settings, cluster, () -> readNote(settings.noteFile()), err::println),
+                    new StatusCommands(settings, cluster));
+            return printResult(COMMANDS.get(name).apply(commands).execute(), settings, out);
         } catch (CrankException e) {
-            return print(fail(e, err), settings, out);
+            return printResult(reportFailure(e, err), settings, out);
         } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private static int unknown(String command, PrintStream err) {
+    private static int reportUnknownCommand(String command, PrintStream err) {
         err.println("\"" + command + "\" is not a command"
-                + Nearest.to(command, COMMANDS.keySet())
-                        .map(nearest -> "; did you mean \"" + nearest + "\"?")
+                + SpellingSuggestion.find(command, COMMANDS.keySet())
+                        .map(suggestion -> "; did you mean \"" + suggestion + "\"?")
                         .orElse(""));
         err.println("commands: " + String.join(", ", COMMANDS.keySet()));
         return CommandLine.EXIT_USAGE;
     }
 
-    /** Prints a failure for people; the result has it for programs. */
-    private static CtlResult fail(CrankException failure, PrintStream err) {
+    /** Prints a failure to standard error and returns it as a result for {@code --json true}. */
+    private static CtlResult reportFailure(CrankException failure, PrintStream err) {
         err.println(failure.code() + " (" + failure.code().number() + "): " + failure.getMessage());
         return new CtlResult(failure.code(), Map.of("message", String.valueOf(failure.getMessage())), List.of());
     }
 
-    private static int print(CtlResult result, CtlSettings settings, PrintStream out) {
+    private static int printResult(CtlResult result, CtlSettings settings, PrintStream out) {
         if (settings.printJson()) {
             out.println(new String(
                     JsonCodec.encode(
-                            new Answer(result.code().number(), result.code().name(), result.value())),
+                            new JsonOutput(result.code().number(), result.code().name(), result.value())),
                     StandardCharsets.UTF_8));
         } else {
             result.lines().forEach(out::println);
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/HeartbeatGrants.java
@@ -15,18 +15,19 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Grants for a backend server that takes them with the answers to its own heartbeats.
+ * Delivers grants to a backend server in the responses to its heartbeats.
  *
- * <p>Thread safe. The validity of a grant counts from its offer, so that what the server gets in a later answer never
- * outlasts what the gate relies on. A grant is acknowledged when it was answered to a heartbeat by which the server holds
- * nothing else; a server that still has to give up ranges acknowledges it with its next heartbeat.
+ * <p>Thread safe. The validity of a grant starts when it is offered, so a grant that is delivered in a later response
+ * never outlasts the validity that the gate assumes. A grant is acknowledged once it was sent in response to a
+ * heartbeat that reports no held range outside the grant; a server that must first release ranges acknowledges the
+ * grant with a later heartbeat.
  */
 public final class HeartbeatGrants {
     /**
-     * What a heartbeat is answered with. Immutable.
+     * Grant in the response to a heartbeat. Immutable.
      *
-     * @param ranges rows for the server, sorted, see {@link GrantRows}
-     * @param validityMs time for which the server may hold the ranges, from the heartbeat on
+     * @param ranges granted rows, sorted by range, see {@link GrantRowMerger}
+     * @param validityMs how long the server may hold the rows, counted from the heartbeat
      */
     public record Renewal(List<GrantedRange> ranges, long validityMs) {}
 
@@ -34,103 +35,117 @@
 
     private final MonotonicClock clock;
     private final long maxHoldNanos;
-    private final GrantRows rows;
+    private final GrantRowMerger rowMerger;
     private final List<Handover> handovers = new ArrayList<>();
-    /** What the server held by its latest heartbeat; everything before the first one. */
-    private List<KeyRange> held = List.of(KeyRange.ALL);
 
-    private long heldAtNanos;
-    private long lastHeartbeat = Long.MIN_VALUE;
-    private Grant offered;
-    private long offeredAtNanos;
+    /** Ranges that the latest heartbeat reported as held; all ranges before the first heartbeat. */
+    private List<KeyRange> heldRanges = List.of(KeyRange.ALL);
+
+    private long lastReportNanos;
+    private long lastHeartbeatSequence = Long.MIN_VALUE;
+    private Grant latestGrant;
+    private long latestGrantNanos;
     private CompletableFuture<Long> acknowledgement = new CompletableFuture<>();
 
     /**
-     * Grants for one incarnation of a server.
+     * Creates the grants of one incarnation of a server.
      *
-     * @param maxHoldMs longest validity that a former process of the daemon may have granted
-     * @param maxRows rows that fit into an answer
+     * @param maxHoldMs longest validity that an earlier process of the daemon may have granted
+     * @param maxRows maximum number of rows in a response
      */
     public HeartbeatGrants(MonotonicClock clock, long maxHoldMs, int maxRows) {
         this.clock = clock;
-        rows = new GrantRows(maxRows);
+        rowMerger = new GrantRowMerger(maxRows);
         this.maxHoldNanos = TimeUnit.MILLISECONDS.toNanos(maxHoldMs);
-        heldAtNanos = clock.nowNanos();
+        lastReportNanos = clock.nowNanos();
     }
 
-    /** Offers a grant in place of the one before; completes with its sequence when the server has taken it. */
+    /**
+     * Replaces the grant to be delivered. The future completes with the sequence of the grant when the server
+     * acknowledges it, and fails if a newer grant replaces it first.
+     */
     public CompletableFuture<Long> offer(Grant grant) {
-        CompletableFuture<Long> former;
+        CompletableFuture<Long> superseded;
         CompletableFuture<Long> result = new CompletableFuture<>();
         synchronized (this) {
-            former = acknowledgement;
-            offered = grant;
-            offeredAtNanos = clock.nowNanos();
+            superseded = acknowledgement;
+            latestGrant = grant;
+            latestGrantNanos = clock.nowNanos();
             acknowledgement = result;
         }
-        former.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
+        superseded.completeExceptionally(new CrankException(ResultCode.CALL_TIMEOUT, "replaced by a newer grant"));
         return result;
     }
 
     /**
-     * The answer to a heartbeat; empty if it renews nothing.
+     * Handles a heartbeat and returns the grant for its response. The result is empty if the heartbeat is outdated, if
+     * no grant was offered, or if the latest grant has expired; a grant without ranges revokes all ranges and does not
+     * expire.
      *
-     * @param heartbeatSequence grows with each heartbeat; one that was overtaken renews nothing
-     * @param reported rows that the server says it holds or still works on
-     * @param freed what the server left of ranges that it has released since its last heartbeat
+     * @param heartbeatSequence increases with each heartbeat; a heartbeat that arrives after a later one renews nothing
+     * @param reported rows that the server holds or still executes requests for
+     * @param released handover tokens of the ranges that the server has released since its previous heartbeat
      */
-    public Optional<Renewal> answer(long heartbeatSequence, List<GrantedRange> reported, List<Handover> freed) {
-        CompletableFuture<Long> completed = null;
+    public Optional<Renewal> onHeartbeat(long heartbeatSequence, List<GrantedRange> reported, List<Handover> released) {
+        CompletableFuture<Long> toComplete = null;
         Renewal renewal;
         long sequence;
         synchronized (this) {
-            if (heartbeatSequence <= lastHeartbeat) {
+            if (heartbeatSequence <= lastHeartbeatSequence) {
                 return Optional.empty();
             }
-            lastHeartbeat = heartbeatSequence;
-            keep(freed);
-            held = reported.stream().map(GrantedRange::range).toList();
-            heldAtNanos = clock.nowNanos();
-            if (offered == null) {
+            lastHeartbeatSequence = heartbeatSequence;
+            addHandovers(released);
+            heldRanges = reported.stream().map(GrantedRange::range).toList();
+            lastReportNanos = clock.nowNanos();
+            if (latestGrant == null) {
                 return Optional.empty();
             }
-            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - offeredAtNanos);
-            long validityMs = offered.validityMs() - elapsedMs;
-            boolean revokes = offered.ranges().isEmpty();
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - latestGrantNanos);
+            long validityMs = latestGrant.validityMs() - elapsedMs;
+            boolean revokes = latestGrant.ranges().isEmpty();
             if (validityMs <= 0 && !revokes) {
                 return Optional.empty();
             }
-            renewal = new Renewal(rows.join(offered.ranges(), reported), Math.max(0, validityMs));
-            sequence = offered.sequence();
+            renewal = new Renewal(rowMerger.merge(latestGrant.ranges(), reported), Math.max(0, validityMs));
+            sequence = latestGrant.sequence();
             List<KeyRange> granted =
-                    offered.ranges().stream().map(GrantedRange::range).toList();
-            boolean nothingElse = held.stream()
+                    latestGrant.ranges().stream().map(GrantedRange::range).toList();
+            boolean holdsOnlyGranted = heldRanges.stream()
                     .allMatch(range -> KeyRanges.subtract(range, granted).isEmpty());
-            completed = nothingElse ? acknowledgement : null;
+            toComplete = holdsOnlyGranted ? acknowledgement : null;
         }
-        if (completed != null) {
-            completed.complete(sequence);
+        if (toComplete != null) {
+            toComplete.complete(sequence);
         }
         return Optional.of(renewal);
     }
 
-    /** Whether the server may hold part of a range, by its latest heartbeat and the longest validity. */
+    /**
+     * Whether the server may still hold part of a range: its latest heartbeat reported so, and the longest validity has
+     * not passed since. Before the first heartbeat it may hold any range.
+     */
     public synchronized boolean mayHold(KeyRange range) {
-        return clock.nowNanos() - heldAtNanos < maxHoldNanos && held.stream().anyMatch(range::overlaps);
+        return clock.nowNanos() - lastReportNanos < maxHoldNanos
+                && heldRanges.stream().anyMatch(range::overlaps);
     }
 
-    /** What the server left of released ranges that overlap a range; each is returned once. */
+    /** Returns and removes the handover tokens of released ranges that overlap a range. */
     public synchronized List<Handover> takeHandovers(KeyRange range) {
-        List<Handover> taken =
-                handovers.stream().filter(h -> h.range().overlaps(range)).toList();
-        handovers.removeAll(taken);
-        return taken;
+        List<Handover> matching = handovers.stream()
+                .filter(handover -> handover.range().overlaps(range))
+                .toList();
+        handovers.removeAll(matching);
+        return matching;
     }
 
-    /** A range that was released again has a newer token. */
-    private void keep(List<Handover> freed) {
-        for (Handover newest : freed) {
-            handovers.removeIf(h -> newest.range().contains(h.range()));
+    /**
+     * Adds tokens. A token replaces the earlier tokens of all ranges within its own range, because a range that was
+     * released again has a newer token. Above the limit, the oldest tokens are removed.
+     */
+    private void addHandovers(List<Handover> released) {
+        for (Handover newest : released) {
+            handovers.removeIf(earlier -> newest.range().contains(earlier.range()));
             handovers.add(newest);
         }
         while (handovers.size() > MAX_HANDOVERS) {
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/AdminEndpoint.java
@@ -3,9 +3,9 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
-import org.coriandercrank.http.HttpCall;
 import org.coriandercrank.http.HttpHandler;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.JsonCodec;
@@ -18,52 +18,52 @@
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    /** What the endpoints show and change. Thread safe. */
-    interface Source {
+    /** Operations of the daemon that the endpoints call. Thread safe. */
+    interface Operations {
         DaemonStatus status();
 
         Readiness readiness();
 
-        /** Takes the announcement of a backend server; fails if it cannot be used. */
+        /** Accepts the announcement of a backend server; throws {@link CrankException} if the server cannot be used. */
         void announce(BackendInfo info);
     }
 
-    private final Supplier<Source> source;
+    private final Supplier<Operations> operations;
     private final PrometheusMeterRegistry metrics;
 
-    AdminEndpoint(Supplier<Source> source, PrometheusMeterRegistry metrics) {
-        this.source = source;
+    AdminEndpoint(Supplier<Operations> operations, PrometheusMeterRegistry metrics) {
+        this.operations = operations;
         this.metrics = metrics;
     }
 
     @Override
-    public CompletableFuture<HttpReply> handle(HttpCall call, CompletableFuture<Void> closed) {
-        return CompletableFuture.completedFuture(answer(call));
+    public CompletableFuture<HttpResponse> handle(HttpRequest request, CompletableFuture<Void> closed) {
+        return CompletableFuture.completedFuture(respond(request));
     }
 
-    private HttpReply answer(HttpCall call) {
-        return switch (call.method() + " " + call.path()) {
+    private HttpResponse respond(HttpRequest request) {
+        return switch (request.method() + " " + request.path()) {
             case "GET /v1/status" ->
-                HttpReply.json(OK, JsonCodec.encode(source.get().status()));
-            case "GET /live" -> HttpReply.text(OK, "live\n");
-            case "GET /ready" -> ready(source.get().readiness());
-            case "GET /metrics" -> HttpReply.text(OK, metrics.scrape());
-            case "POST /v1/backend" -> announce(call);
-            default -> HttpReply.text(NOT_FOUND, "no such endpoint\n");
+                HttpResponse.json(OK, JsonCodec.encode(operations.get().status()));
+            case "GET /live" -> HttpResponse.text(OK, "live\n");
+            case "GET /ready" -> ready(operations.get().readiness());
+            case "GET /metrics" -> HttpResponse.text(OK, metrics.scrape());
+            case "POST /v1/backend" -> announce(request);
+            default -> HttpResponse.text(NOT_FOUND, "no such endpoint\n");
         };
     }
 
-    private static HttpReply ready(Readiness readiness) {
+    private static HttpResponse ready(Readiness readiness) {
         int status = readiness == Readiness.READY ? OK : UNAVAILABLE;
-        return HttpReply.text(status, readiness + "\n");
+        return HttpResponse.text(status, readiness + "\n");
     }
 
-    private HttpReply announce(HttpCall call) {
+    private HttpResponse announce(HttpRequest request) {
         try {
-            source.get().announce(JsonCodec.decode(call.body(), BackendInfo.class));
-            return HttpReply.text(OK, "accepted\n");
+            operations.get().announce(JsonCodec.decode(request.body(), BackendInfo.class));
+            return HttpResponse.text(OK, "accepted\n");
         } catch (CrankException e) {
-            return HttpReply.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
+            return HttpResponse.text(BAD_REQUEST, e.code() + " (" + e.code().number() + "): " + e.getMessage() + "\n");
         }
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/Daemon.java
@@ -20,12 +20,12 @@
 import org.coriandercrank.http.HttpServer;
 import org.coriandercrank.http.HttpServerOptions;
 import org.coriandercrank.kernel.backend.BackendServer;
-import org.coriandercrank.kernel.backend.Presence;
+import org.coriandercrank.kernel.backend.ProbeResult;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.log.DecisionLog;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
 import org.coriandercrank.kernel.plugin.PluginRegistry.Kind;
-import org.coriandercrank.kernel.ring.DutyThread;
 import org.coriandercrank.kernel.status.DaemonStatus;
 import org.coriandercrank.kernel.store.ObjectStore;
 import org.coriandercrank.kernel.table.BackendInfo;
@@ -34,21 +34,21 @@
 import org.coriandercrank.kernel.time.TimerService;
 
 /**
- * A daemon process with the product's own adapters and admin endpoint.
+ * The process of the program {@code crankd}: a {@link DaemonHost} with the product's own adapters and admin endpoint.
  *
- * <p>Thread safe; a sealed member is replaced on the duty thread {@code lifecycle}.
+ * <p>Thread safe; a sealed member is replaced on the executor {@code lifecycle}.
  */
-public final class Daemon implements AdminEndpoint.Source, AutoCloseable {
+public final class Daemon implements AdminEndpoint.Operations, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_CAPACITY = 64;
+    private static final int TASK_QUEUE_CAPACITY = 64;
 
-    /** Period in which the backend server is asked for a sign of life. */
-    private static final long PRESENCE_PERIOD_MS = 250;
+    /** Interval between probes of the backend server. */
+    private static final long PROBE_INTERVAL_MS = 250;
 
     private static final int PLACEMENT_LOG_LINES_PER_SECOND = 1_000;
 
     private final DaemonSettings settings;
-    private final DutyThread lifecycle = new DutyThread("lifecycle", RING_CAPACITY);
+    private final SingleThreadExecutor lifecycle = new SingleThreadExecutor("lifecycle", TASK_QUEUE_CAPACITY);
     private final TimerService timers = new SystemTimerService();
     private final EventLoopGroup group;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -58,16 +58,16 @@
     private final DaemonHost host;
     private volatile boolean leaving;
 
-    /** The attached backend server; touched on the lifecycle duty, as are the fields below. */
-    private Optional<Watched> watched = Optional.empty();
+    /** The attached backend server; accessed only on the lifecycle executor, as are the fields below. */
+    private Optional<MonitoredServer> monitored = Optional.empty();
 
-    private boolean asking;
+    private boolean probePending;
 
-    /** Whether the member has ended and its replacement has not joined. */
-    private boolean replacing;
+    /** Whether the member has ended and its replacement has not joined yet. */
+    private boolean replacementPending;
 
-    /** A backend server and its signs of life. Immutable. */
-    private record Watched(BackendInfo info, BackendServer server, PresenceWatch watch) {}
+    /** A backend server and its failure detector. */
+    private record MonitoredServer(BackendInfo info, BackendServer server, BackendFailureDetector failureDetector) {}
 
     /** Starts a daemon; blocks until its ports are bound. */
     public Daemon(DaemonSettings settings) {
@@ -80,7 +80,7 @@
         admin = HttpServer.listen(
                 group, settings.adminListen(), HttpServerOptions.DEFAULTS, new AdminEndpoint(() -> this, metrics));
         host.start(settings.callerListen());
-        timers.every(PRESENCE_PERIOD_MS, lifecycle, this::askForPresence);
+        timers.every(PROBE_INTERVAL_MS, lifecycle, this::probeServer);
     }
 
     private HostServices hostServices() {
@@ -93,7 +93,7 @@
                 new DecisionLog(settings.routingLogLinesPerSecond(), timers.clock()),
                 new DecisionLog(PLACEMENT_LOG_LINES_PER_SECOND, timers.clock()),
                 timers.clock(),
-                DutyThread::new);
+                SingleThreadExecutor::new);
     }
 
     private static HostOptions hostOptions(DaemonSettings settings) {
@@ -107,7 +107,8 @@
         return HostOptions.defaults(
                 identity,
                 settings.peerListen(),
-                ControlOptions.DEFAULT.withLease(settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
+                ControlOptions.DEFAULTS.withLeaseTiming(
+                        settings.ttlMs(), settings.heartbeatMs(), settings.marginPercent()));
     }
 
     @Override
@@ -124,23 +125,26 @@
     }
 
     /**
-     * Uses a backend server that announced itself; an unchanged announcement has no effect.
+     * Attaches a backend server that announced itself. A repeated, unchanged announcement only resets the failure
+     * detector.
      *
-     * <p>The member is announced as owner of the server only after the server answered, or failed to answer, one health
-     * call. This call opens connections and loads classes; without it the first grant could exceed its time-out of
-     * 300 ms while ranges were already moving here. The health itself is not used, because it may mislead.
+     * <p>The server is announced to other daemons only after one health call has completed or failed. This call opens
+     * connections and loads classes; without it the first grant could exceed its timeout of 300 ms while ranges are
+     * already being moved to this daemon. The reported health itself is ignored, because it may be wrong.
      */
     @Override
     public void announce(BackendInfo info) {
         if (host.backend().equals(Optional.of(info))) {
-            lifecycle.offer(() -> watched.ifPresent(w -> w.watch().onAnnounced()));
+            lifecycle.offer(() ->
+                    monitored.ifPresent(current -> current.failureDetector().onAnnounced()));
             return;
         }
         BackendServer server =
                 plugins.get(Kind.BACKEND, settings.backendAdapter()).connect(info);
         host.attach(info, server);
         boolean honoursValidity = info.capabilities().contains(Capability.VALIDITY);
-        lifecycle.execute(() -> watched = Optional.of(new Watched(info, server, new PresenceWatch(honoursValidity))));
+        lifecycle.execute(() -> monitored =
+                Optional.of(new MonitoredServer(info, server, new BackendFailureDetector(honoursValidity))));
         server.health().whenComplete((health, failure) -> {
             if (host.backend().equals(Optional.of(info))) {
                 host.announce();
@@ -149,12 +153,12 @@
         });
     }
 
-    /** A planned stop, bounded by the drain time-out of the settings; blocks. */
+    /** Shuts down gracefully; blocks, for the drain timeout of the settings at most. */
     public void leave() {
         leaving = true;
         logger.atInfo().log("event=leaving member=%s", host.self());
         try {
-            plannedStop().get(settings.drainTimeoutMs(), TimeUnit.MILLISECONDS);
+            shutDownGracefully().get(settings.drainTimeoutMs(), TimeUnit.MILLISECONDS);
             logger.atInfo().log("event=left member=%s", host.self());
         } catch (TimeoutException e) {
             logger.atWarning().log("event=leave-timeout member=%s", host.self());
@@ -165,55 +169,58 @@
         }
     }
 
-    /** Ranges move away and requests in flight finish, then the record is sealed; the caller bounds the time. */
-    private CompletableFuture<Void> plannedStop() {
+    /**
+     * Waits until all ranges have moved to other members and all requests are answered, then seals the member record.
+     * The caller limits the total time.
+     */
+    private CompletableFuture<Void> shutDownGracefully() {
         host.stopAccepting();
         return host.leave()
                 .thenCompose(done -> host.awaitNoRanges(settings.drainTimeoutMs()))
-                .thenCompose(done -> CompletableFuture.allOf(host.drainGate(), host.drainCallers()))
-                .thenCompose(done -> host.retireMember());
+                .thenCompose(done -> CompletableFuture.allOf(host.drainGate(), host.drainIngress()))
+                .thenCompose(done -> host.sealMember());
     }
 
-    private void askForPresence() {
-        if (asking || watched.isEmpty()) {
+    private void probeServer() {
+        if (probePending || monitored.isEmpty()) {
             return;
         }
-        Watched asked = watched.orElseThrow();
-        asking = true;
-        asked.server()
-                .presence()
-                .whenComplete((presence, failure) -> lifecycle.execute(() -> {
-                    asking = false;
-                    onPresence(asked, failure == null ? presence : Presence.SILENT);
+        MonitoredServer probed = monitored.orElseThrow();
+        probePending = true;
+        probed.server()
+                .probe()
+                .whenComplete((result, failure) -> lifecycle.execute(() -> {
+                    probePending = false;
+                    onProbeResult(probed, failure == null ? result : ProbeResult.SILENT);
                 }));
     }
 
-    private void onPresence(Watched asked, Presence presence) {
-        if (leaving || !watched.equals(Optional.of(asked))) {
+    private void onProbeResult(MonitoredServer probed, ProbeResult result) {
+        if (leaving || !monitored.equals(Optional.of(probed))) {
             return;
         }
-        asked.watch()
-                .onPresence(presence, timers.clock().nowNanos())
-                .ifPresent(reason -> dropServer(asked.info(), reason));
+        probed.failureDetector()
+                .onProbeResult(result, timers.clock().nowNanos())
+                .ifPresent(reason -> detachServer(probed.info(), reason));
     }
 
     /**
-     * Ends the member of a lost server, so that others take its ranges. The next member owns nothing until a server
-     * announces itself again.
+     * Detaches a failed server and ends its member, so that other members take its ranges over. The next member owns no
+     * ranges until a server announces itself again.
      */
-    private void dropServer(BackendInfo info, String reason) {
+    private void detachServer(BackendInfo info, String reason) {
         logger.atWarning().log("event=backend-lost backend=%s member=%s reason=%s", info.name(), host.self(), reason);
-        watched = Optional.empty();
+        monitored = Optional.empty();
         host.detach();
-        if (!replacing) {
-            replacing = true;
-            host.retireMember().whenComplete((done, failure) -> lifecycle.offer(this::replaceMember));
+        if (!replacementPending) {
+            replacementPending = true;
+            host.sealMember().whenComplete((done, failure) -> lifecycle.offer(this::replaceMember));
         }
     }
 
     private void onSealed() {
-        if (!replacing) {
-            replacing = true;
+        if (!replacementPending) {
+            replacementPending = true;
             replaceMember();
         }
     }
@@ -226,7 +233,7 @@
             if (failure != null) {
                 logger.atSevere().withCause(failure).log("event=rejoin-failed");
             }
-            lifecycle.offer(() -> replacing = false);
+            lifecycle.offer(() -> replacementPending = false);
         });
     }
 
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/LocalGate.java
@@ -16,8 +16,8 @@
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateLoad;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
 import org.coriandercrank.kernel.ownership.OwnerGate;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
@@ -25,8 +25,8 @@
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * The gate of this host, which exists from the first announcement of a backend server on. Thread safe. Before that,
- * requests are refused and outcome queries get {@code UNKNOWN}.
+ * The gate of this host. It is created when the first backend server is attached; until then, requests are rejected and
+ * outcome queries return {@code UNKNOWN}. Thread safe.
  */
 public final class LocalGate implements OwnerGate, AutoCloseable {
     private static final GateStatus NO_GATE = new GateStatus(false, false, 0, 0, List.of());
@@ -40,23 +40,25 @@
 
     @Override
     public CompletableFuture<CallerAnswer> submit(CallerRequest request) {
-        return find().map(g -> g.submit(request))
+        return currentGate()
+                .map(localGate -> localGate.submit(request))
                 .orElseGet(() -> CompletableFuture.completedFuture(
-                        CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server beside this daemon")));
+                        CallerAnswer.of(ResultCode.NOT_OWNER, "no backend server is attached to this daemon")));
     }
 
     @Override
     public void cancel(RequestId requestId) {
-        find().ifPresent(g -> g.cancel(requestId));
+        currentGate().ifPresent(localGate -> localGate.cancel(requestId));
     }
 
     @Override
     public CompletableFuture<OutcomeAnswer> resolve(OutcomeQuery query) {
-        return find().map(g -> g.resolve(query))
+        return currentGate()
+                .map(localGate -> localGate.resolve(query))
                 .orElseGet(() -> CompletableFuture.completedFuture(OutcomeAnswer.of(OutcomeAnswer.State.UNKNOWN)));
     }
 
-    /** Creates the gate on the first call; later calls must be for the same service. */
+    /** Creates the gate on the first call; later calls must name the same service. */
     @Override
     public void attach(BackendInfo info, BackendServer server) {
         Gate current = gate.get();
@@ -69,61 +71,66 @@
 
     @Override
     public void detach() {
-        find().ifPresent(Gate::detach);
+        currentGate().ifPresent(Gate::detach);
     }
 
     @Override
     public void stopSending() {
-        find().ifPresent(Gate::stopSending);
+        currentGate().ifPresent(Gate::stopSending);
     }
 
     @Override
-    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, InheritedRecords inherited) {
-        return find().map(g -> g.acquire(range, fence, inherited)).orElseGet(LocalGate::noBackend);
+    public CompletableFuture<Void> acquire(KeyRange range, Generation fence, TransferredRecords records) {
+        return currentGate()
+                .map(localGate -> localGate.acquire(range, fence, records))
+                .orElseGet(LocalGate::noBackend);
     }
 
     @Override
-    public CompletableFuture<InheritedRecords> release(KeyRange range) {
-        return find().map(g -> g.release(range))
-                .orElseGet(() -> CompletableFuture.completedFuture(InheritedRecords.NONE));
+    public CompletableFuture<TransferredRecords> release(KeyRange range) {
+        return currentGate()
+                .map(localGate -> localGate.release(range))
+                .orElseGet(() -> CompletableFuture.completedFuture(TransferredRecords.NONE));
     }
 
     @Override
     public CompletableFuture<Void> drain() {
-        return find().map(Gate::drain).orElseGet(() -> CompletableFuture.completedFuture(null));
+        return currentGate().map(Gate::drain).orElseGet(() -> CompletableFuture.completedFuture(null));
     }
 
     @Override
-    public List<RangeLoad> loads() {
-        return find().map(Gate::loads).orElse(List.of());
+    public List<RangeLoad> rangeLoads() {
+        return currentGate().map(Gate::rangeLoads).orElse(List.of());
     }
 
     @Override
     public GateStatus status() {
-        return find().map(Gate::status).orElse(NO_GATE);
+        return currentGate().map(Gate::status).orElse(NO_GATE);
     }
 
     @Override
-    public boolean mayHold(KeyRange range) {
-        return find().map(g -> g.mayHold(range)).orElse(false);
+    public boolean mayHoldEarlierGrant(KeyRange range) {
+        return currentGate()
+                .map(localGate -> localGate.mayHoldEarlierGrant(range))
+                .orElse(false);
     }
 
     @Override
     public GateLoad load() {
-        return find().map(Gate::load).orElse(GateLoad.NONE);
+        return currentGate().map(Gate::load).orElse(GateLoad.NONE);
     }
 
     @Override
     public void close() {
-        find().ifPresent(Gate::close);
+        currentGate().ifPresent(Gate::close);
     }
 
-    private Optional<Gate> find() {
+    private Optional<Gate> currentGate() {
         return Optional.ofNullable(gate.get());
     }
 
     private static <T> CompletableFuture<T> noBackend() {
         return CompletableFuture.failedFuture(
-                new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server beside this daemon"));
+                new CrankException(ResultCode.BACKEND_UNAVAILABLE, "no backend server is attached to this daemon"));
     }
 }
--- a/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberParts.java
+++ b/org.coriandercrank.daemon/src/main/java/org/coriandercrank/daemon/internal/MemberComponents.java
@@ -3,29 +3,29 @@
 import org.coriandercrank.kernel.ownership.LeaseView;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.placement.PlacementContext;
+import org.coriandercrank.placement.PlacementDependencies;
 import org.coriandercrank.placement.Planner;
 import org.coriandercrank.placement.PlannerOptions;
 import org.coriandercrank.placement.RangeOwnership;
 import org.coriandercrank.placement.RangeOwnershipOptions;
 
 /**
- * The parts of a daemon that belong to one member id, so that nothing of a sealed member can act under the next id.
- * Thread safe.
+ * The components of a daemon that belong to one member id, so that no component of a sealed member can act under the
+ * next id. Thread safe.
  */
-public final class MemberParts implements AutoCloseable {
+public final class MemberComponents implements AutoCloseable {
     private final RangeOwnership ownership;
     private final Planner planner;
 
-    public MemberParts(
-            PlacementContext context,
+    public MemberComponents(
+            PlacementDependencies placementDependencies,
             LeaseView lease,
             OwnerGate gate,
             PluginRegistry plugins,
             RangeOwnershipOptions ownershipOptions,
             PlannerOptions plannerOptions) {
-        ownership = new RangeOwnership(context, lease, gate, ownershipOptions);
-        planner = new Planner(context, plugins, plannerOptions);
+        ownership = new RangeOwnership(placementDependencies, lease, gate, ownershipOptions);
+        planner = new Planner(placementDependencies, plugins, plannerOptions);
     }
 
     public void start() {
@@ -33,7 +33,7 @@
         planner.start();
     }
 
-    /** Gives up every range for good. */
+    /** Gives up every range permanently. */
     public void seal() {
         ownership.seal();
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/ExperimentSettings.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.coriandercrank.kernel.settings.Faults;
 import org.coriandercrank.kernel.settings.Settings;
+import org.coriandercrank.kernel.settings.ValidationErrors;
 import org.kohsuke.args4j.Option;
 
 /** Settings of {@code crank-experiment}. Not thread safe; read-only after loading. */
@@ -20,10 +20,10 @@
     @Option(name = "--settle-ms", metaVar = "MS", usage = "time between the start of the fleet and the samples")
     private long settleMs = 15_000;
 
-    @Option(name = "--sample-ms", metaVar = "MS", usage = "time between the two samples of a fleet at rest")
+    @Option(name = "--sample-ms", metaVar = "MS", usage = "time between the two samples of an idle fleet")
     private long sampleMs = 20_000;
 
-    @Option(name = "--changes", metaVar = "N", usage = "configuration changes whose spreading is measured")
+    @Option(name = "--changes", metaVar = "N", usage = "number of configuration changes whose rollout is measured")
     private int changes = 5;
 
     @Option(name = "--policies", metaVar = "NAME,...", usage = "placement policies, measured one after the other")
@@ -56,45 +56,45 @@
     @Option(
             name = "--daemon-flags",
             metaVar = "FLAG=VALUE,...",
-            usage = "flags of the daemons of placement and overload sites")
+            usage = "flags of the daemons in the placement and overload experiments")
     private String daemonFlags = "--routing-log-lines-per-second=0";
 
-    @Option(name = "--report", metaVar = "PATH", usage = "file for the figures as JSON; empty: none")
+    @Option(name = "--report", metaVar = "PATH", usage = "file for the results as JSON; empty: none")
     private String report = "";
 
     private final List<Integer> parsedSizes = new ArrayList<>();
     private final List<Long> parsedSeeds = new ArrayList<>();
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors errors) {
         for (String size : sizes.split(",")) {
-            Integer parsed = faults.parse("--sizes", size, Integer::valueOf);
+            Integer parsed = errors.parse("--sizes", size, Integer::valueOf);
             if (parsed != null) {
-                faults.requireRange("--sizes", parsed, 1, MAX_DAEMONS);
+                errors.requireRange("--sizes", parsed, 1, MAX_DAEMONS);
                 parsedSizes.add(parsed);
             }
         }
         for (String seed : seeds.split(",")) {
-            Long parsed = faults.parse("--seeds", seed, Long::valueOf);
+            Long parsed = errors.parse("--seeds", seed, Long::valueOf);
             if (parsed != null) {
                 parsedSeeds.add(parsed);
             }
         }
         if (!EXPERIMENTS.contains(experiment)) {
-            faults.add("--experiment", "must be one of " + EXPERIMENTS);
+            errors.add("--experiment", "must be one of " + EXPERIMENTS);
         }
         if (!(zipfExponent >= 0 && zipfExponent <= 3)) {
-            faults.add("--zipf", "must be between 0 and 3");
+            errors.add("--zipf", "must be between 0 and 3");
         }
-        faults.requireRange("--rate", ratePerSecond, 1, 1_000_000);
-        faults.requireRange("--duration-ms", durationMs, 1_000, 3_600_000);
-        faults.requireRange("--keys", keys, 1, 10_000_000);
-        faults.requireRange("--hot-keys", hotKeys, 0, keys);
-        faults.requireRange("--hot-change-ms", hotChangeMs, 1, 3_600_000);
-        faults.requireRange("--service-ms", serviceMs, 1, 60_000);
-        faults.requireRange("--settle-ms", settleMs, 0, 600_000);
-        faults.requireRange("--sample-ms", sampleMs, 100, 600_000);
-        faults.requireRange("--changes", changes, 0, 1_000);
+        errors.requireRange("--rate", ratePerSecond, 1, 1_000_000);
+        errors.requireRange("--duration-ms", durationMs, 1_000, 3_600_000);
+        errors.requireRange("--keys", keys, 1, 10_000_000);
+        errors.requireRange("--hot-keys", hotKeys, 0, keys);
+        errors.requireRange("--hot-change-ms", hotChangeMs, 1, 3_600_000);
+        errors.requireRange("--service-ms", serviceMs, 1, 60_000);
+        errors.requireRange("--settle-ms", settleMs, 0, 600_000);
+        errors.requireRange("--sample-ms", sampleMs, 100, 600_000);
+        errors.requireRange("--changes", changes, 0, 1_000);
     }
 
     public String experiment() {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/MoveGaps.java
@@ -14,84 +14,96 @@
 import org.coriandercrank.load.Execution;
 
 /**
- * Times for which callers of a key waited for its new owner, from the history of a run. Immutable.
+ * Computes the gaps at ownership changes from the history of a run. A gap is the time for which callers waited for the
+ * new owner of a key. Immutable.
  *
- * <p>A key counts once per change of its owner, and only if a call of it was due before the new owner executed anything
- * of the interval, so that keys nobody called during the change do not lower the percentiles.
+ * <p>A key counts once per change of its owner, and only if a call for it was scheduled before the new owner first
+ * executed a request for the moved range. Keys without calls during the change are left out, because they would lower
+ * the percentiles.
  */
 public final class MoveGaps {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** The watch of the store shows a table a little after daemons may have seen it. */
-    private static final long SEEN_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    /** Time by which a daemon may receive a table earlier than the experiment reads it from the store. */
+    private static final long OBSERVATION_DELAY_ALLOWANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** Calls of a key in due order, and its executions by the caller's request id, each list by start. */
+    /**
+     * Calls and executions of one key. Immutable.
+     *
+     * @param calls in the order of their scheduled start
+     * @param executions by request id of the caller, each list in the order of their start
+     */
     private record KeyHistory(KeyHash hash, List<CallRecord> calls, Map<String, List<Execution>> executions) {}
 
     private final List<KeyHistory> keys = new ArrayList<>();
 
-    /** Prepares the history of a run. */
+    /** Groups the history of a run by key. */
     public MoveGaps(List<CallRecord> calls, List<Execution> executions) {
         Map<String, List<Execution>> executionsOfKey =
                 executions.stream().collect(Collectors.groupingBy(Execution::key));
-        calls.stream().collect(Collectors.groupingBy(CallRecord::key)).forEach((key, ofKey) -> {
-            List<CallRecord> ordered = new ArrayList<>(ofKey);
-            ordered.sort(Comparator.comparingLong(CallRecord::intendedNanos));
-            List<Execution> executed = new ArrayList<>(executionsOfKey.getOrDefault(key, List.of()));
-            executed.sort(Comparator.comparingLong(Execution::startNanos));
-            Map<String, List<Execution>> byRequest =
-                    executed.stream().collect(Collectors.groupingBy(Execution::callerRequestId));
-            keys.add(new KeyHistory(new Key(key).hash(), ordered, byRequest));
+        calls.stream().collect(Collectors.groupingBy(CallRecord::key)).forEach((key, callsOfKey) -> {
+            List<CallRecord> orderedCalls = new ArrayList<>(callsOfKey);
+            orderedCalls.sort(Comparator.comparingLong(CallRecord::intendedNanos));
+            List<Execution> orderedExecutions = new ArrayList<>(executionsOfKey.getOrDefault(key, List.of()));
+            orderedExecutions.sort(Comparator.comparingLong(Execution::startNanos));
+            Map<String, List<Execution>> executionsByRequestId =
+                    orderedExecutions.stream().collect(Collectors.groupingBy(Execution::callerRequestId));
+            keys.add(new KeyHistory(new Key(key).hash(), orderedCalls, executionsByRequestId));
         });
     }
 
     /**
-     * Gaps of all keys at planned moves, in milliseconds, sorted. A gap lasts from the due time of the first call that
-     * the previous owner did not execute to the start of its execution, or, if it failed, to the first execution of the
-     * interval.
+     * Returns the gaps of all keys at planned moves in milliseconds, in ascending order. A gap starts at the scheduled
+     * start of the first call that the previous owner did not execute. It ends at the start of the execution of that
+     * call or, if the call was not executed, at the first execution by the new owner for any key of the range.
      */
-    public List<Double> planned(List<OwnerChange> changes) {
-        List<Double> gaps = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, change.seenNanos() - SEEN_LATE_NANOS, gaps));
-        Collections.sort(gaps);
-        return gaps;
+    public List<Double> plannedMoveGapsMs(List<OwnerChange> changes) {
+        List<Double> gapsMs = new ArrayList<>();
+        changes.forEach(change -> addGaps(change, change.observedNanos() - OBSERVATION_DELAY_ALLOWANCE_NANOS, gapsMs));
+        Collections.sort(gapsMs);
+        return gapsMs;
     }
 
-    /** Gaps of all keys of a lost owner in milliseconds, sorted, as above but for calls due after the loss. */
-    public List<Double> takeover(List<OwnerChange> changes, long lostNanos) {
-        List<Double> gaps = new ArrayList<>();
-        changes.forEach(change -> addGaps(change, lostNanos, gaps));
-        Collections.sort(gaps);
-        return gaps;
+    /**
+     * Returns the gaps of all keys of a lost owner in milliseconds, in ascending order. They are computed as for
+     * planned moves, but only from calls that were scheduled after the loss.
+     */
+    public List<Double> takeoverGapsMs(List<OwnerChange> changes, long lostNanos) {
+        List<Double> gapsMs = new ArrayList<>();
+        changes.forEach(change -> addGaps(change, lostNanos, gapsMs));
+        Collections.sort(gapsMs);
+        return gapsMs;
     }
 
-    private void addGaps(OwnerChange change, long fromNanos, List<Double> gaps) {
-        List<KeyHistory> moved =
-                keys.stream().filter(k -> change.range().contains(k.hash())).toList();
-        OptionalLong servedNanos = moved.stream()
-                .flatMap(k -> k.executions().values().stream())
+    private void addGaps(OwnerChange change, long earliestStartNanos, List<Double> gapsMs) {
+        List<KeyHistory> movedKeys =
+                keys.stream().filter(key -> change.range().contains(key.hash())).toList();
+        OptionalLong firstServedNanos = movedKeys.stream()
+                .flatMap(key -> key.executions().values().stream())
                 .flatMap(List::stream)
-                .filter(e -> isByNewOwner(change, e))
+                .filter(execution -> isByNewOwner(change, execution))
                 .mapToLong(Execution::startNanos)
                 .min();
-        if (servedNanos.isPresent()) {
-            moved.forEach(key -> addGap(change, key, fromNanos, servedNanos.getAsLong(), gaps));
+        if (firstServedNanos.isPresent()) {
+            movedKeys.forEach(key -> addGap(change, key, earliestStartNanos, firstServedNanos.getAsLong(), gapsMs));
         }
     }
 
     private static void addGap(
-            OwnerChange change, KeyHistory key, long fromNanos, long servedNanos, List<Double> gaps) {
+            OwnerChange change, KeyHistory key, long earliestStartNanos, long firstServedNanos, List<Double> gapsMs) {
         for (CallRecord call : key.calls()) {
-            if (call.intendedNanos() < fromNanos) {
+            if (call.intendedNanos() < earliestStartNanos) {
                 continue;
             }
-            if (call.intendedNanos() > servedNanos) {
+            if (call.intendedNanos() > firstServedNanos) {
                 return;
             }
-            List<Execution> own = key.executions().getOrDefault(call.requestId(), List.of());
-            if (own.stream().allMatch(e -> isByNewOwner(change, e))) {
-                long endNanos = own.isEmpty() ? servedNanos : own.get(0).startNanos();
-                gaps.add((endNanos - call.intendedNanos()) / NANOS_PER_MS);
+            List<Execution> executionsOfCall = key.executions().getOrDefault(call.requestId(), List.of());
+            if (executionsOfCall.stream().allMatch(execution -> isByNewOwner(change, execution))) {
+                long endNanos = executionsOfCall.isEmpty()
+                        ? firstServedNanos
+                        : executionsOfCall.get(0).startNanos();
+                gapsMs.add((endNanos - call.intendedNanos()) / NANOS_PER_MS);
                 return;
             }
         }
@@ -101,7 +113,7 @@
         return execution.fence() >= change.generation().value();
     }
 
-    /** A percentile by the nearest rank; 0 of an empty list. */
+    /** Returns a percentile of a sorted list by the nearest-rank method; 0 for an empty list. */
     public static double percentile(List<Double> sorted, double percent) {
         return sorted.isEmpty() ? 0 : sorted.get((int) Math.max(Math.ceil(percent / 100 * sorted.size()) - 1, 0));
     }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/OwnerChange.java
@@ -10,29 +10,31 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * An interval of hashes that went from one owner to another. Immutable.
+ * A range of hashes that moved from one owner to another. Immutable.
  *
- * @param generation generation of the table that made the change; the executions of the new owner have this fence or a
- *     newer one
- * @param seenNanos when the table was seen in the store
+ * @param from previous owner
+ * @param generation generation of the table that made the change; the executions of the new owner have this fencing
+ *     token or a newer one
+ * @param observedNanos time at which that table was read from the store, on the monotonic clock
  */
-public record OwnerChange(KeyRange range, MemberId from, Generation generation, long seenNanos) {
-    /** A table and when it was seen in the store. Immutable. */
-    public record SeenTable(long seenNanos, AssignmentTable table) {}
+public record OwnerChange(KeyRange range, MemberId from, Generation generation, long observedNanos) {
+    /** A table and the time at which it was read from the store. Immutable. */
+    public record ObservedTable(long observedNanos, AssignmentTable table) {}
 
-    /** Compares each table with the one before it; hashes without an owner do not count. */
-    public static List<OwnerChange> of(List<SeenTable> tables) {
+    /** Returns the differences between consecutive tables. Hashes without an owner in either table do not count. */
+    public static List<OwnerChange> of(List<ObservedTable> tables) {
         List<OwnerChange> changes = new ArrayList<>();
         for (int i = 1; i < tables.size(); i++) {
-            SeenTable seen = tables.get(i);
-            for (RangeAssignment now : seen.table().assignments()) {
-                for (RangeAssignment before : tables.get(i - 1).table().assignments()) {
-                    if (before.range().overlaps(now.range()) && !before.owner().equals(now.owner())) {
+            ObservedTable observed = tables.get(i);
+            for (RangeAssignment assignment : observed.table().assignments()) {
+                for (RangeAssignment previous : tables.get(i - 1).table().assignments()) {
+                    if (previous.range().overlaps(assignment.range())
+                            && !previous.owner().equals(assignment.owner())) {
                         changes.add(new OwnerChange(
-                                common(before.range(), now.range()),
-                                before.owner(),
-                                seen.table().generation(),
-                                seen.seenNanos()));
+                                intersection(previous.range(), assignment.range()),
+                                previous.owner(),
+                                observed.table().generation(),
+                                observed.observedNanos()));
                     }
                 }
             }
@@ -40,9 +42,9 @@
         return changes;
     }
 
-    private static KeyRange common(KeyRange one, KeyRange other) {
-        KeyHash first = one.first().compareTo(other.first()) > 0 ? one.first() : other.first();
-        KeyHash last = one.last().compareTo(other.last()) < 0 ? one.last() : other.last();
+    private static KeyRange intersection(KeyRange left, KeyRange right) {
+        KeyHash first = left.first().compareTo(right.first()) > 0 ? left.first() : right.first();
+        KeyHash last = left.last().compareTo(right.last()) < 0 ? left.last() : right.last();
         return new KeyRange(first, last);
     }
 }
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementExperiment.java
@@ -9,63 +9,73 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.coriandercrank.experiment.internal.ServerLoads.InForce;
+import org.coriandercrank.experiment.internal.ServerLoads.ActivePeriod;
 import org.coriandercrank.load.CallRecord;
 import org.coriandercrank.load.Execution;
 import org.coriandercrank.load.LoadReport;
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
+import org.coriandercrank.testkit.ClusterHost;
 import org.coriandercrank.testkit.HostSpec;
-import org.coriandercrank.testkit.SiteHost;
 
 /**
- * Measures placement policies under moving hot keys while a server joins, one is drained and one host is killed.
+ * Measures placement policies under changing hot keys while one host joins, one server is drained and one host is
+ * killed.
  *
- * <p>Not thread safe. Callers use the two hosts that stay, so that every failed call is due to placement and not to a
- * lost ingress.
+ * <p>Not thread safe. Callers use the two hosts that stay, so that a call fails only because of placement and not
+ * because its ingress was lost.
  */
 public final class PlacementExperiment {
+    /** Number of hosts at the start; one more joins during the run. */
     private static final int HOSTS = 4;
+
     private static final int CALLER_HOSTS = 2;
     private static final int DRAINED_HOST = 2;
     private static final int KILLED_HOST = 3;
-    private static final double JOIN_AT = 0.2;
-    private static final double DRAIN_AT = 0.55;
-    private static final double KILL_AT = 0.75;
+
+    /** Times of the events as fractions of the run. */
+    private static final double JOIN_AT_FRACTION = 0.2;
+
+    private static final double DRAIN_AT_FRACTION = 0.55;
+    private static final double KILL_AT_FRACTION = 0.75;
+
     private static final int WRITE_PERCENT = 20;
+    private static final int MAX_PRINTED_VIOLATIONS = 3;
     private static final long DEADLINE_MS = 2_000;
 
     private final ExperimentSettings settings;
     private final Consumer<String> out;
-    private final List<PlacementFigures> figures = new ArrayList<>();
+    private final List<PlacementResult> results = new ArrayList<>();
 
     public PlacementExperiment(ExperimentSettings settings, Consumer<String> out) {
         this.settings = settings;
         this.out = out;
     }
 
-    /** Runs each policy with each seed, one run after the other. Blocks. */
-    public void call() {
-        out.accept(PlacementFigures.HEADING);
+    /** Measures each policy with each seed, one after the other. Blocks. */
+    public void run() {
+        out.accept(PlacementResult.TABLE_HEADING);
         for (long seed : settings.seeds()) {
             for (String policy : settings.policies()) {
-                PlacementFigures result = run(policy, seed);
-                figures.add(result);
-                out.accept(result.row());
+                PlacementResult result = measurePolicy(policy, seed);
+                results.add(result);
+                out.accept(result.toTableRow());
                 result.failedByCode().forEach((code, count) -> out.accept("  " + code + " " + count));
-                result.violations().stream().limit(3).forEach(v -> out.accept("  violation " + v));
-                JsonReport.write(settings.report(), figures);
+                result.violations().stream()
+                        .limit(MAX_PRINTED_VIOLATIONS)
+                        .forEach(violation -> out.accept("  violation " + violation));
+                JsonReport.write(settings.report(), results);
             }
         }
     }
 
-    private PlacementFigures run(String policy, long seed) {
-        try (ServiceSite site = new ServiceSite(specs(), settings.daemonFlags());
-                TableRecorder tables = new TableRecorder(site.store())) {
-            startSite(site, policy);
+    private PlacementResult measurePolicy(String policy, long seed) {
+        try (ServiceCluster cluster = new ServiceCluster(hostSpecs(), settings.daemonFlags());
+                TableRecorder tables = new TableRecorder(cluster.store())) {
+            startCluster(cluster, policy);
             LoadPlan plan = new LoadPlan(
-                    ServiceSite.SERVICE,
-                    true,
+                    ServiceCluster.SERVICE,
+                    /* keyed= */ true,
                     settings.ratePerSecond(),
                     settings.durationMs(),
                     settings.keys(),
@@ -73,122 +83,124 @@
                     settings.hotKeys(),
                     settings.hotChangeMs(),
                     WRITE_PERCENT,
-                    0,
+                    /* bodyBytes= */ 0,
                     DEADLINE_MS,
-                    0,
+                    /* maxRetries= */ 0,
                     seed);
-            int firstTable = Math.max(tables.tables().size() - 1, 0);
-            try (LoadDriver driver =
-                    new LoadDriver(site.group(), site.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routed)) {
+            int firstTableIndex = Math.max(tables.tables().size() - 1, 0);
+            try (LoadDriver driver = new LoadDriver(
+                    cluster.eventLoopGroup(), cluster.callerAddresses(CALLER_HOSTS), plan, LoadDriver::routedRequest)) {
                 long startNanos = System.nanoTime();
-                CompletableFuture<List<CallRecord>> running = CompletableFuture.supplyAsync(driver::run);
-                Events events = causeEvents(site, startNanos);
-                List<CallRecord> calls = running.join();
+                CompletableFuture<List<CallRecord>> pendingCalls = CompletableFuture.supplyAsync(driver::run);
+                EventTimes eventTimes = triggerEvents(cluster, startNanos);
+                List<CallRecord> calls = pendingCalls.join();
                 List<OwnerChange> changes = OwnerChange.of(
-                        tables.tables().subList(firstTable, tables.tables().size()));
-                return figures(policy, seed, events, driver.startedNanos(), calls, site.executions(), changes);
+                        tables.tables().subList(firstTableIndex, tables.tables().size()));
+                return createResult(
+                        policy, seed, eventTimes, driver.startedNanos(), calls, cluster.executions(), changes);
             }
         }
     }
 
-    private static List<HostSpec> specs() {
+    private static List<HostSpec> hostSpecs() {
         List<HostSpec> specs = new ArrayList<>();
         for (int i = 0; i <= HOSTS; i++) {
-            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceSite.SERVICE));
+            specs.add(new HostSpec("h" + i, "r1", "d" + i % 2, ServiceCluster.SERVICE));
         }
         return specs;
     }
 
-    private void startSite(ServiceSite site, String policy) {
+    private void startCluster(ServiceCluster cluster, String policy) {
         for (int i = 0; i < HOSTS; i++) {
-            site.startHost(site.host(i), backendFlags());
+            cluster.startHost(cluster.host(i), backendFlags());
         }
         for (int i = 0; i < HOSTS; i++) {
-            site.awaitBackend(site.host(i));
+            cluster.awaitBackend(cluster.host(i));
         }
-        site.submit(
+        cluster.submitNote(
                 "first",
-                "\"add\":{\"services\":[{\"name\":\"" + ServiceSite.SERVICE + "\",\"keyed\":true,\"placementPolicy\":\""
-                        + policy + "\"}]}");
+                "\"add\":{\"services\":[{\"name\":\"" + ServiceCluster.SERVICE
+                        + "\",\"keyed\":true,\"placementPolicy\":\"" + policy + "\"}]}");
         for (int i = 0; i < HOSTS; i++) {
-            site.awaitServing(site.host(i));
+            cluster.awaitServing(cluster.host(i));
         }
-        Waits.sleep(settings.settleMs());
+        Await.sleep(settings.settleMs());
     }
 
     private List<String> backendFlags() {
         return List.of("--service-ms=" + settings.serviceMs());
     }
 
-    /** When the events of a run happened, by the monotonic clock. Immutable. */
-    private record Events(long joinNanos, long drainNanos, long killNanos) {}
+    /** Times of the events of a run on the monotonic clock. Immutable. */
+    private record EventTimes(long joinNanos, long drainNanos, long killNanos) {}
 
-    private Events causeEvents(ServiceSite site, long startNanos) {
-        waitFor(startNanos, JOIN_AT);
-        SiteHost joining = site.host(HOSTS);
+    private EventTimes triggerEvents(ServiceCluster cluster, long startNanos) {
+        waitUntilFraction(startNanos, JOIN_AT_FRACTION);
+        ClusterHost joining = cluster.host(HOSTS);
         long joinNanos = System.nanoTime();
-        site.startHost(joining, backendFlags());
-        waitFor(startNanos, DRAIN_AT);
+        cluster.startHost(joining, backendFlags());
+        waitUntilFraction(startNanos, DRAIN_AT_FRACTION);
         long drainNanos = System.nanoTime();
-        site.submit(
+        cluster.submitNote(
                 "drain",
                 "\"add\":{\"backends\":[{\"backendName\":\""
-                        + site.host(DRAINED_HOST).spec().name() + "\",\"drain\":true}]}");
-        waitFor(startNanos, KILL_AT);
+                        + cluster.host(DRAINED_HOST).spec().name() + "\",\"drain\":true}]}");
+        waitUntilFraction(startNanos, KILL_AT_FRACTION);
         long killNanos = System.nanoTime();
-        site.killHost(site.host(KILLED_HOST));
-        return new Events(joinNanos, drainNanos, killNanos);
+        cluster.killHost(cluster.host(KILLED_HOST));
+        return new EventTimes(joinNanos, drainNanos, killNanos);
     }
 
-    private void waitFor(long startNanos, double part) {
-        long dueMs = (long) (settings.durationMs() * part);
-        Waits.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
+    private void waitUntilFraction(long startNanos, double fraction) {
+        long dueMs = (long) (settings.durationMs() * fraction);
+        Await.sleep(Math.max(0, dueMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
     }
 
-    private PlacementFigures figures(
+    private PlacementResult createResult(
             String policy,
             long seed,
-            Events events,
+            EventTimes eventTimes,
             long startedNanos,
             List<CallRecord> calls,
             List<Execution> executions,
             List<OwnerChange> changes) {
         LoadReport report = LoadReport.of(startedNanos, calls, executions);
-        Map<String, InForce> servers = new HashMap<>();
+        Map<String, ActivePeriod> activePeriods = new HashMap<>();
         for (int i = 0; i < CALLER_HOSTS; i++) {
-            servers.put("h" + i, new InForce(0, Long.MAX_VALUE));
+            activePeriods.put("h" + i, new ActivePeriod(0, Long.MAX_VALUE));
         }
-        servers.put("h" + DRAINED_HOST, new InForce(0, sinceMs(startedNanos, events.drainNanos())));
-        servers.put("h" + KILLED_HOST, new InForce(0, sinceMs(startedNanos, events.killNanos())));
-        servers.put("h" + HOSTS, new InForce(sinceMs(startedNanos, events.joinNanos()), Long.MAX_VALUE));
+        activePeriods.put("h" + DRAINED_HOST, new ActivePeriod(0, sinceMs(startedNanos, eventTimes.drainNanos())));
+        activePeriods.put("h" + KILLED_HOST, new ActivePeriod(0, sinceMs(startedNanos, eventTimes.killNanos())));
+        activePeriods.put("h" + HOSTS, new ActivePeriod(sinceMs(startedNanos, eventTimes.joinNanos()), Long.MAX_VALUE));
         MoveGaps gaps = new MoveGaps(calls, executions);
-        Map<Boolean, List<OwnerChange>> byLoss =
-                changes.stream().collect(Collectors.partitioningBy(c -> isLoss(c, events)));
-        Map<String, Long> failed = new HashMap<>(report.resultCodes());
-        failed.remove("OK");
-        return new PlacementFigures(
+        Map<Boolean, List<OwnerChange>> changesByCause =
+                changes.stream().collect(Collectors.partitioningBy(change -> isCausedByKill(change, eventTimes)));
+        Map<String, Long> failedByCode = new HashMap<>(report.resultCodes());
+        failedByCode.remove("OK");
+        return new PlacementResult(
                 policy,
                 seed,
                 settings.ratePerSecond(),
                 settings.durationMs(),
                 report.calls(),
                 report.calls() - report.succeeded(),
-                failed,
+                failedByCode,
                 report.latencyP50Ms(),
                 report.latencyP99Ms(),
-                ServerLoads.of(startedNanos, settings.durationMs(), executions, servers),
+                ServerLoads.of(startedNanos, settings.durationMs(), executions, activePeriods),
                 Churn.of(changes),
                 report.unavailableKeySeconds(),
-                PlacementFigures.Gaps.of(gaps.planned(byLoss.get(false))),
-                PlacementFigures.Gaps.of(gaps.takeover(byLoss.get(true), events.killNanos())),
+                PlacementResult.Gaps.of(gaps.plannedMoveGapsMs(changesByCause.get(false))),
+                PlacementResult.Gaps.of(gaps.takeoverGapsMs(changesByCause.get(true), eventTimes.killNanos())),
                 report.violations().stream().map(Object::toString).toList(),
-                report.perSecond().stream().map(LoadReport.Second::failed).toList(),
+                report.perSecond().stream().map(LoadReport.SecondStats::failed).toList(),
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
     }
 
-    /** Member ids start with the name of the host. */
-    private static boolean isLoss(OwnerChange change, Events events) {
-        return change.seenNanos() > events.killNanos() && change.from().value().startsWith("h" + KILLED_HOST + "-");
+    /** Returns whether an owner change is due to the killed host. Member ids start with the name of their host. */
+    private static boolean isCausedByKill(OwnerChange change, EventTimes eventTimes) {
+        return change.observedNanos() > eventTimes.killNanos()
+                && change.from().value().startsWith("h" + KILLED_HOST + "-");
     }
 
     private static long sinceMs(long startedNanos, long nanos) {
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementFigures.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/PlacementResult.java
@@ -5,13 +5,19 @@
 import java.util.Map;
 
 /**
- * Result of one run of the placement experiment. Immutable. Times are milliseconds.
+ * Result of one run of the placement experiment. Immutable.
  *
- * @param failedByCode failed calls by result code
- * @param failedPerSecond failed calls by the second in which they were due
- * @param loadAverage load average of the machine at the end of the run, which other programs share
+ * @param failedByCode number of failed calls by result code
+ * @param loads load imbalance of the servers
+ * @param churn extent of ownership changes
+ * @param unavailableKeySeconds total time over all keys in which a key was not served
+ * @param planned waiting times of callers at planned moves
+ * @param takeover waiting times of callers after the kill of a host
+ * @param violations violated guarantees
+ * @param failedPerSecond number of failed calls by the second in which they were scheduled to start
+ * @param loadAverage load average of the whole machine at the end of the run, other programs included
  */
-record PlacementFigures(
+record PlacementResult(
         String policy,
         long seed,
         int ratePerSecond,
@@ -29,7 +35,11 @@
         List<String> violations,
         List<Long> failedPerSecond,
         double loadAverage) {
-    /** Gaps of keys. Immutable. */
+    /**
+     * Percentiles of the times for which callers waited for the new owner of a key. Immutable.
+     *
+     * @param keys number of these times; a key counts once per change of its owner
+     */
     record Gaps(int keys, double p50Ms, double p99Ms, double maxMs) {
         static Gaps of(List<Double> sortedMs) {
             return new Gaps(
@@ -45,19 +55,19 @@
         }
     }
 
-    static final String HEADING = """
+    static final String TABLE_HEADING = """
             | policy | seed | imbalance, mean | imbalance, p95 | hash space moved | moves | failed calls | key-seconds unavailable \
             | gap of a planned move, ms: p50, p99, max (keys) | gap after the kill, ms | violations | load average |
             |---|---|---|---|---|---|---|---|---|---|---|---|""";
 
-    PlacementFigures {
+    PlacementResult {
         failedByCode = Map.copyOf(failedByCode);
         violations = List.copyOf(violations);
         failedPerSecond = List.copyOf(failedPerSecond);
     }
 
-    /** A line of the table. */
-    String row() {
+    /** Returns the row of the Markdown table for this result. */
+    String toTableRow() {
         return String.format(
                 Locale.ROOT,
                 "| %s | %d | %.3f | %.3f | %.2f | %d | %d of %d | %.1f | %s | %s | %d | %.0f |",
--- a/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
+++ b/org.coriandercrank.experiment/src/main/java/org/coriandercrank/experiment/internal/TableRecorder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletionException;
-import org.coriandercrank.experiment.internal.OwnerChange.SeenTable;
+import org.coriandercrank.experiment.internal.OwnerChange.ObservedTable;
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -12,17 +12,17 @@
 import org.coriandercrank.kernel.store.WatchBatch;
 
 /**
- * Records the tables of a site's one service from a watch of the store.
+ * Records the assignment tables of a cluster with one service by watching the store.
  *
- * <p>Thread safe. Two tables that are written between two watches appear as one.
+ * <p>Thread safe. Of several tables written between two watch requests, only the last one is recorded.
  */
 final class TableRecorder implements AutoCloseable {
-    private static final long WAIT_MS = 1_000;
-    private static final long RETRY_MS = 50;
+    private static final long WATCH_WAIT_MS = 1_000;
+    private static final long RETRY_DELAY_MS = 50;
 
     private final ObjectStore store;
-    private final List<SeenTable> tables = new ArrayList<>();
-    private final Thread thread = new Thread(this::watch, "table-recorder");
+    private final List<ObservedTable> tables = new ArrayList<>();
+    private final Thread thread = new Thread(this::recordTables, "table-recorder");
     private volatile boolean closed;
 
     TableRecorder(ObjectStore store) {
@@ -31,26 +31,26 @@
         thread.start();
     }
 
-    private void watch() {
-        Revision after = Revision.NONE;
+    private void recordTables() {
+        Revision afterRevision = Revision.NONE;
         while (!closed) {
             try {
-                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, after, WAIT_MS)
+                WatchBatch batch = store.watch(ObjectNames.ASSIGNMENTS_PREFIX, afterRevision, WATCH_WAIT_MS)
                         .join();
-                batch.changes().forEach(this::add);
-                after = batch.upTo();
+                batch.changes().forEach(this::addTable);
+                afterRevision = batch.upTo();
             } catch (CompletionException e) {
-                Waits.sleep(RETRY_MS);
+                Await.sleep(RETRY_DELAY_MS);
             }
         }
     }
 
-    private synchronized void add(StoredObject object) {
-        tables.add(new SeenTable(System.nanoTime(), TableCodec.decode(object.value())));
+    private synchronized void addTable(StoredObject object) {
+        tables.add(new ObservedTable(System.nanoTime(), TableCodec.decode(object.value())));
     }
 
-    /** All tables seen so far, by ascending generation. */
-    synchronized List<SeenTable> tables() {
+    /** Returns all tables recorded so far, by ascending generation. */
+    synchronized List<ObservedTable> tables() {
         return List.copyOf(tables);
     }
 
@@ -58,7 +58,7 @@
     public void close() {
         closed = true;
         try {
-            thread.join(2 * WAIT_MS);
+            thread.join(2 * WATCH_WAIT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
+++ b/org.coriandercrank.gate.test/src/test/java/org/coriandercrank/gate/test/AdmissionTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.coriandercrank.gate.internal.Admission;
-import org.coriandercrank.gate.internal.Admission.RangeStanding;
-import org.coriandercrank.gate.internal.Admission.Situation;
+import org.coriandercrank.gate.internal.Admission.AdmissionContext;
+import org.coriandercrank.gate.internal.Admission.RangeStatus;
 import org.coriandercrank.gate.internal.ConcurrencyLimit;
 import org.coriandercrank.kernel.code.ResultCode;
 import org.coriandercrank.kernel.request.CallerAnswer;
@@ -13,12 +13,14 @@
 import org.junit.jupiter.params.aggregator.ArgumentsAccessor;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the admission of requests and the concurrency limit. */
 class AdmissionTest {
-    /** Guards against a wrong code or order of checks. */
+    /** Guards against a wrong result code and a wrong order of the checks. */
     @ParameterizedTest
     @CsvSource({
-        // lease, range, draining, attached, grants fail, record lost, remaining, share, queued, running, wait, code,
-        // service, objective, overloaded
+        // lease valid, range status, draining, backend attached, grant unavailable, record lost, remaining ms,
+        // key share exceeded, queued, occupied slots, expected wait ms, result code, service ms, objective ms,
+        // overloaded
         "true,  SERVED,     false, true,  false, false, 100, false, 0,  0, 0,   , 0, 1000, false",
         "false, NOT_SERVED, true,  false, true,  true,  0,   true,  10, 4, 500, LEASE_LAPSED, 0, 1000, false",
         "true,  NOT_SERVED, true,  false, true,  true,  0,   true,  10, 4, 500, NOT_OWNER, 0, 1000, false",
@@ -40,9 +42,9 @@
         "true,  SERVED,     false, true,  false, false, 900, false, 9,  4, 50,  , 40, 100, true",
     })
     void refusals(ArgumentsAccessor row) {
-        Situation situation = new Situation(
+        AdmissionContext context = new AdmissionContext(
                 row.getBoolean(0),
-                row.get(1, RangeStanding.class),
+                row.get(1, RangeStatus.class),
                 row.getBoolean(2),
                 row.getBoolean(3),
                 row.getBoolean(4),
@@ -58,15 +60,13 @@
                 row.getLong(13),
                 row.getBoolean(14));
         ResultCode code = row.get(11, ResultCode.class);
-        assertThat(Admission.refusal(situation, () -> 50)
-                        .map(CallerAnswer::code)
-                        .orElse(null))
+        assertThat(Admission.refusal(context, () -> 50).map(CallerAnswer::code).orElse(null))
                 .isEqualTo(code);
     }
 
-    /** Guards against a limit above the slots or below 1, and against one that stays low after an overload. */
+    /** Guards against a limit above the number of slots or below 1, and one that stays low after an overload. */
     @Test
-    void overloadHalvesTheLimitForAMoment() {
+    void overloadHalvesTheLimitTemporarily() {
         ConcurrencyLimit limit = new ConcurrencyLimit(12, 0, 1_000, 0);
         assertThat(limit.limit(0)).isEqualTo(12);
         limit.onOverload(0);
--- /dev/null
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateDependencies.java
@@ -0,0 +1,49 @@
+package org.coriandercrank.gate;
+
+import io.micrometer.core.instrument.MeterRegistry;
+import java.util.Objects;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
+import org.coriandercrank.kernel.id.ServiceName;
+import org.coriandercrank.kernel.log.DecisionLog;
+import org.coriandercrank.kernel.ownership.LeaseView;
+import org.coriandercrank.kernel.ownership.RoutingView;
+import org.coriandercrank.kernel.time.TimerService;
+
+/**
+ * Collaborators of a {@link Gate}, which does not close them. Immutable.
+ *
+ * @param service the only service whose requests the gate admits
+ * @param lease lease of this daemon; its times are read from the clock of {@code timers}
+ * @param decisionLog log of the decisions of the gate
+ * @param executorFactory creates the executor that runs all tasks of the gate
+ */
+public record GateDependencies(
+        ServiceName service,
+        RoutingView routingView,
+        LeaseView lease,
+        TimerService timers,
+        DecisionLog decisionLog,
+        MeterRegistry meterRegistry,
+        SerialExecutor.Factory executorFactory) {
+    public GateDependencies {
+        Objects.requireNonNull(service, "service");
+        Objects.requireNonNull(routingView, "routingView");
+        Objects.requireNonNull(lease, "lease");
+        Objects.requireNonNull(timers, "timers");
+        Objects.requireNonNull(decisionLog, "decisionLog");
+        Objects.requireNonNull(meterRegistry, "meterRegistry");
+        Objects.requireNonNull(executorFactory, "executorFactory");
+    }
+
+    /** Creates the dependencies of a gate that runs on its own thread. */
+    public GateDependencies(
+            ServiceName service,
+            RoutingView routingView,
+            LeaseView lease,
+            TimerService timers,
+            DecisionLog decisionLog,
+            MeterRegistry meterRegistry) {
+        this(service, routingView, lease, timers, decisionLog, meterRegistry, SingleThreadExecutor::new);
+    }
+}
