--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/GateOptions.java
@@ -3,221 +3,254 @@
 import java.util.function.Consumer;
 
 /**
- * Settings of a gate. Immutable; limits are checked on construction.
+ * Options of a gate. Immutable; the constructor checks that each value is in its valid range.
  *
- * @param ringCapacity tasks that may wait for the thread of the gate
- * @param tickMs period in which deadlines, grants and releases are examined while anything waits for them
- * @param idleTickMs the same period while nothing waits
- * @param grantValidityMs longest validity of a grant; what is left of the lease is a further bound
- * @param grantTimeoutMs time after which an unanswered grant counts as failed
- * @param grantRetryMs pause after a failed grant
- * @param grantDelayMs time for which changes of the granted ranges are collected before a grant is sent
- * @param rampMs time in which the concurrency grows from a quarter of the slots to all of them after an attach
- * @param overloadRecoveryMs time in which the concurrency returns to all slots after the server reported overload
- * @param recordRetentionMs time for which outcome records are kept
- * @param maxRecords most outcome records kept
- * @param maxRecordBytes most bytes of outcome records kept
- * @param maxTransferBytes most bytes of outcome records handed over with a released range
- * @param barRetentionMs time for which a barred request id is refused, beyond the longest deadline of the service
- * @param maxBars most barred ids; when reached, an outcome query gets UNKNOWN in place of BARRED
- * @param ageMarginMs bound on the time a request travels from the caller to the gate, added to the stated age of its
- *     idempotency key
- * @param lostCallGraceMs time after its deadline at which a call has ended on a server that honours deadlines
- * @param lostCallLifetimeMs time after its deadline at which a call with a lost answer is taken as ended on a server
- *     that does not honour deadlines
- * @param maxParked most requests that wait for a range that is assigned to this gate and not served yet; 0 refuses them
- * @param parkMs longest time that such a request waits
- * @param releaseWithoutProof whether a release may complete although the server neither answered the revoke nor
- *     honours validity
+ * @param taskQueueCapacity number of tasks that can wait for the thread of the gate
+ * @param busyTickMs interval between checks of deadlines, grants and releases while requests, acquires or releases are
+ *     pending
+ * @param idleTickMs interval between these checks while nothing is pending
+ * @param grantValidityMs maximum validity of a grant; a grant is also never valid for longer than the rest of the lease
+ * @param grantTimeoutMs time after which a grant without an answer counts as failed
+ * @param grantRetryMs time between a failed grant and the next attempt
+ * @param grantDelayMs time for which changes of the granted ranges are collected before the gate sends a grant
+ * @param slowStartMs time in which the concurrency limit grows from a quarter of the slots to all of them after a
+ *     backend server was attached
+ * @param overloadRecoveryMs time in which the concurrency limit returns to all slots after the backend server reported
+ *     overload
+ * @param recordRetentionMs time for which the gate keeps an outcome record
+ * @param maxRecords maximum number of outcome records
+ * @param maxRecordBytes maximum total size of the outcome records in bytes
+ * @param maxTransferBytes maximum total size in bytes of the outcome records that are passed on with a released range
+ * @param barredIdRetentionMs time for which a barred request id is refused, added to the maximum deadline of the
+ *     service
+ * @param maxBarredIds maximum number of barred request ids; at the maximum, an outcome query returns UNKNOWN instead of
+ *     BARRED
+ * @param keyAgeMarginMs upper bound for the time that a request travels from the caller to the gate; it is added to the
+ *     age of the idempotency key that the caller states
+ * @param deadlineGraceMs time after the deadline of a call at which a backend server that honours deadlines has
+ *     certainly ended the call
+ * @param lostCallLifetimeMs time after the deadline of a call without an answer at which the gate assumes that a
+ *     backend server that does not honour deadlines has ended the call
+ * @param maxParkedRequests maximum number of requests that wait for a range that is assigned to this gate but not yet
+ *     served; with 0 such requests are refused
+ * @param parkTimeoutMs maximum time that such a request waits
+ * @param allowUnconfirmedRelease whether a release may complete although the backend server neither acknowledged the
+ *     revocation nor honours the validity of grants
  */
 public record GateOptions(
-        int ringCapacity,
-        int tickMs,
+        int taskQueueCapacity,
+        int busyTickMs,
         int idleTickMs,
         int grantValidityMs,
         int grantTimeoutMs,
         int grantRetryMs,
         int grantDelayMs,
-        int rampMs,
+        int slowStartMs,
         int overloadRecoveryMs,
         int recordRetentionMs,
         int maxRecords,
         long maxRecordBytes,
         long maxTransferBytes,
-        int barRetentionMs,
-        int maxBars,
-        int ageMarginMs,
-        int lostCallGraceMs,
+        int barredIdRetentionMs,
+        int maxBarredIds,
+        int keyAgeMarginMs,
+        int deadlineGraceMs,
         int lostCallLifetimeMs,
-        int maxParked,
-        int parkMs,
-        boolean releaseWithoutProof) {
+        int maxParkedRequests,
+        int parkTimeoutMs,
+        boolean allowUnconfirmedRelease) {
+    private static final int DEFAULT_TASK_QUEUE_CAPACITY = 8_192;
+    private static final int DEFAULT_BUSY_TICK_MS = 5;
+    private static final int DEFAULT_IDLE_TICK_MS = 25;
+    private static final int DEFAULT_GRANT_VALIDITY_MS = 1_000;
+    private static final int DEFAULT_GRANT_TIMEOUT_MS = 300;
+    private static final int DEFAULT_GRANT_RETRY_MS = 50;
+    private static final int DEFAULT_GRANT_DELAY_MS = 0;
+    private static final int DEFAULT_SLOW_START_MS = 5_000;
+    private static final int DEFAULT_OVERLOAD_RECOVERY_MS = 1_000;
+    private static final int DEFAULT_RECORD_RETENTION_MS = 600_000;
+    private static final int DEFAULT_MAX_RECORDS = 50_000;
+    private static final long DEFAULT_MAX_RECORD_BYTES = 16_777_216;
+    private static final long DEFAULT_MAX_TRANSFER_BYTES = 4_194_304;
+    private static final int DEFAULT_BARRED_ID_RETENTION_MS = 60_000;
+    private static final int DEFAULT_MAX_BARRED_IDS = 50_000;
+    private static final int DEFAULT_KEY_AGE_MARGIN_MS = 250;
+    private static final int DEFAULT_DEADLINE_GRACE_MS = 250;
+    private static final int DEFAULT_LOST_CALL_LIFETIME_MS = 60_000;
+    private static final int DEFAULT_MAX_PARKED_REQUESTS = 0;
+    private static final int DEFAULT_PARK_TIMEOUT_MS = 0;
+    private static final boolean DEFAULT_ALLOW_UNCONFIRMED_RELEASE = false;
+
+    /** Default options, with parking of requests disabled. */
     public static final GateOptions DEFAULTS = new GateOptions(
-            8_192,
-            5,
-            25,
-            1_000,
-            300,
-            50,
-            0,
-            5_000,
-            1_000,
-            600_000,
-            50_000,
-            16_777_216,
-            4_194_304,
-            60_000,
-            50_000,
-            250,
-            250,
-            60_000,
-            0,
-            0,
-            false);
+            DEFAULT_TASK_QUEUE_CAPACITY,
+            DEFAULT_BUSY_TICK_MS,
+            DEFAULT_IDLE_TICK_MS,
+            DEFAULT_GRANT_VALIDITY_MS,
+            DEFAULT_GRANT_TIMEOUT_MS,
+            DEFAULT_GRANT_RETRY_MS,
+            DEFAULT_GRANT_DELAY_MS,
+            DEFAULT_SLOW_START_MS,
+            DEFAULT_OVERLOAD_RECOVERY_MS,
+            DEFAULT_RECORD_RETENTION_MS,
+            DEFAULT_MAX_RECORDS,
+            DEFAULT_MAX_RECORD_BYTES,
+            DEFAULT_MAX_TRANSFER_BYTES,
+            DEFAULT_BARRED_ID_RETENTION_MS,
+            DEFAULT_MAX_BARRED_IDS,
+            DEFAULT_KEY_AGE_MARGIN_MS,
+            DEFAULT_DEADLINE_GRACE_MS,
+            DEFAULT_LOST_CALL_LIFETIME_MS,
+            DEFAULT_MAX_PARKED_REQUESTS,
+            DEFAULT_PARK_TIMEOUT_MS,
+            DEFAULT_ALLOW_UNCONFIRMED_RELEASE);
 
     public GateOptions {
-        checkPositive("ringCapacity", ringCapacity);
-        checkPositive("tickMs", tickMs);
+        checkPositive("taskQueueCapacity", taskQueueCapacity);
+        checkPositive("busyTickMs", busyTickMs);
         checkPositive("idleTickMs", idleTickMs);
         checkPositive("grantValidityMs", grantValidityMs);
         checkPositive("grantTimeoutMs", grantTimeoutMs);
         checkPositive("grantRetryMs", grantRetryMs);
         checkNotNegative("grantDelayMs", grantDelayMs);
-        checkNotNegative("rampMs", rampMs);
+        checkNotNegative("slowStartMs", slowStartMs);
         checkPositive("overloadRecoveryMs", overloadRecoveryMs);
         checkPositive("recordRetentionMs", recordRetentionMs);
         checkPositive("maxRecords", maxRecords);
         checkPositive("maxRecordBytes", maxRecordBytes);
         checkNotNegative("maxTransferBytes", maxTransferBytes);
-        checkPositive("barRetentionMs", barRetentionMs);
-        checkPositive("maxBars", maxBars);
-        checkNotNegative("ageMarginMs", ageMarginMs);
-        checkNotNegative("lostCallGraceMs", lostCallGraceMs);
+        checkPositive("barredIdRetentionMs", barredIdRetentionMs);
+        checkPositive("maxBarredIds", maxBarredIds);
+        checkNotNegative("keyAgeMarginMs", keyAgeMarginMs);
+        checkNotNegative("deadlineGraceMs", deadlineGraceMs);
         checkNotNegative("lostCallLifetimeMs", lostCallLifetimeMs);
-        checkNotNegative("maxParked", maxParked);
-        checkNotNegative("parkMs", parkMs);
+        checkNotNegative("maxParkedRequests", maxParkedRequests);
+        checkNotNegative("parkTimeoutMs", parkTimeoutMs);
     }
 
-    /** These options with other periods of ticks. */
-    public GateOptions withTicks(int newTickMs, int newIdleTickMs) {
-        return with(draft -> {
-            draft.tickMs = newTickMs;
-            draft.idleTickMs = newIdleTickMs;
+    /** Returns these options with other intervals between the periodic checks. */
+    public GateOptions withTickIntervals(int newBusyTickMs, int newIdleTickMs) {
+        return with(builder -> {
+            builder.busyTickMs = newBusyTickMs;
+            builder.idleTickMs = newIdleTickMs;
         });
     }
 
-    /** These options with other times of grants. */
-    public GateOptions withGrants(int newValidityMs, int newTimeoutMs, int newRetryMs, int newDelayMs) {
-        return with(draft -> {
-            draft.grantValidityMs = newValidityMs;
-            draft.grantTimeoutMs = newTimeoutMs;
-            draft.grantRetryMs = newRetryMs;
-            draft.grantDelayMs = newDelayMs;
+    /** Returns these options with other times for the grants to the backend server. */
+    public GateOptions withGrantTimings(int newValidityMs, int newTimeoutMs, int newRetryMs, int newDelayMs) {
+        return with(builder -> {
+            builder.grantValidityMs = newValidityMs;
+            builder.grantTimeoutMs = newTimeoutMs;
+            builder.grantRetryMs = newRetryMs;
+            builder.grantDelayMs = newDelayMs;
         });
     }
 
-    /** These options with other bounds of parked requests. */
-    public GateOptions withParking(int newMaxParked, int newParkMs) {
-        return with(draft -> {
-            draft.maxParked = newMaxParked;
-            draft.parkMs = newParkMs;
+    /** Returns these options with other limits for parked requests. */
+    public GateOptions withParkingLimits(int newMaxParkedRequests, int newParkTimeoutMs) {
+        return with(builder -> {
+            builder.maxParkedRequests = newMaxParkedRequests;
+            builder.parkTimeoutMs = newParkTimeoutMs;
         });
     }
 
-    public GateOptions withRampMs(int newRampMs) {
-        return with(draft -> draft.rampMs = newRampMs);
+    /** Returns these options with another slow start time; 0 allows all slots at once. */
+    public GateOptions withSlowStartMs(int newSlowStartMs) {
+        return with(builder -> builder.slowStartMs = newSlowStartMs);
     }
 
+    /** Returns these options with other limits for the outcome records. */
     public GateOptions withRecordLimits(int newRetentionMs, int newMaxRecords, long newMaxRecordBytes) {
-        return with(draft -> {
-            draft.recordRetentionMs = newRetentionMs;
-            draft.maxRecords = newMaxRecords;
-            draft.maxRecordBytes = newMaxRecordBytes;
+        return with(builder -> {
+            builder.recordRetentionMs = newRetentionMs;
+            builder.maxRecords = newMaxRecords;
+            builder.maxRecordBytes = newMaxRecordBytes;
         });
     }
 
-    public GateOptions withReleaseWithoutProof(boolean newReleaseWithoutProof) {
-        return with(draft -> draft.releaseWithoutProof = newReleaseWithoutProof);
+    /** Returns these options with another value of {@code allowUnconfirmedRelease}. */
+    public GateOptions withUnconfirmedRelease(boolean newAllowUnconfirmedRelease) {
+        return with(builder -> builder.allowUnconfirmedRelease = newAllowUnconfirmedRelease);
     }
 
-    /** Values of options that are being changed. Not thread safe. */
-    private static final class Draft {
-        private int ringCapacity;
-        private int tickMs;
+    /** Mutable copy of the options. Not thread safe. */
+    private static final class Builder {
+        private int taskQueueCapacity;
+        private int busyTickMs;
         private int idleTickMs;
         private int grantValidityMs;
         private int grantTimeoutMs;
         private int grantRetryMs;
         private int grantDelayMs;
-        private int rampMs;
+        private int slowStartMs;
         private int overloadRecoveryMs;
         private int recordRetentionMs;
         private int maxRecords;
         private long maxRecordBytes;
         private long maxTransferBytes;
-        private int barRetentionMs;
-        private int maxBars;
-        private int ageMarginMs;
-        private int lostCallGraceMs;
+        private int barredIdRetentionMs;
+        private int maxBarredIds;
+        private int keyAgeMarginMs;
+        private int deadlineGraceMs;
         private int lostCallLifetimeMs;
-        private int maxParked;
-        private int parkMs;
-        private boolean releaseWithoutProof;
+        private int maxParkedRequests;
+        private int parkTimeoutMs;
+        private boolean allowUnconfirmedRelease;
 
-        Draft(GateOptions from) {
-            ringCapacity = from.ringCapacity;
-            tickMs = from.tickMs;
+        Builder(GateOptions from) {
+            taskQueueCapacity = from.taskQueueCapacity;
+            busyTickMs = from.busyTickMs;
             idleTickMs = from.idleTickMs;
             grantValidityMs = from.grantValidityMs;
             grantTimeoutMs = from.grantTimeoutMs;
             grantRetryMs = from.grantRetryMs;
             grantDelayMs = from.grantDelayMs;
-            rampMs = from.rampMs;
+            slowStartMs = from.slowStartMs;
             overloadRecoveryMs = from.overloadRecoveryMs;
             recordRetentionMs = from.recordRetentionMs;
             maxRecords = from.maxRecords;
             maxRecordBytes = from.maxRecordBytes;
             maxTransferBytes = from.maxTransferBytes;
-            barRetentionMs = from.barRetentionMs;
-            maxBars = from.maxBars;
-            ageMarginMs = from.ageMarginMs;
-            lostCallGraceMs = from.lostCallGraceMs;
+            barredIdRetentionMs = from.barredIdRetentionMs;
+            maxBarredIds = from.maxBarredIds;
+            keyAgeMarginMs = from.keyAgeMarginMs;
+            deadlineGraceMs = from.deadlineGraceMs;
             lostCallLifetimeMs = from.lostCallLifetimeMs;
-            maxParked = from.maxParked;
-            parkMs = from.parkMs;
-            releaseWithoutProof = from.releaseWithoutProof;
+            maxParkedRequests = from.maxParkedRequests;
+            parkTimeoutMs = from.parkTimeoutMs;
+            allowUnconfirmedRelease = from.allowUnconfirmedRelease;
         }
 
         GateOptions build() {
             return new GateOptions(
-                    ringCapacity,
-                    tickMs,
+                    taskQueueCapacity,
+                    busyTickMs,
                     idleTickMs,
                     grantValidityMs,
                     grantTimeoutMs,
                     grantRetryMs,
                     grantDelayMs,
-                    rampMs,
+                    slowStartMs,
                     overloadRecoveryMs,
                     recordRetentionMs,
                     maxRecords,
                     maxRecordBytes,
                     maxTransferBytes,
-                    barRetentionMs,
-                    maxBars,
-                    ageMarginMs,
-                    lostCallGraceMs,
+                    barredIdRetentionMs,
+                    maxBarredIds,
+                    keyAgeMarginMs,
+                    deadlineGraceMs,
                     lostCallLifetimeMs,
-                    maxParked,
-                    parkMs,
-                    releaseWithoutProof);
+                    maxParkedRequests,
+                    parkTimeoutMs,
+                    allowUnconfirmedRelease);
         }
     }
 
-    private GateOptions with(Consumer<Draft> change) {
-        Draft draft = new Draft(this);
-        change.accept(draft);
-        return draft.build();
+    private GateOptions with(Consumer<Builder> change) {
+        Builder builder = new Builder(this);
+        change.accept(builder);
+        return builder.build();
     }
 
     private static void checkPositive(String field, long value) {
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/DrainState.java
@@ -3,58 +3,62 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.coriandercrank.gate.internal.Execution.Backend;
+import org.coriandercrank.gate.internal.Execution.AttachedBackend;
 
 /**
- * Whether the gate takes new work. A drain by call is final; one by a rule ends with the rule. The backend server is
- * told of a final drain when the queue is empty, because it may refuse what it gets afterwards. It is not told of a
- * rule, because it cannot be told of the end of a drain; the gate, its only source of work, refuses new work. Not
- * thread safe.
+ * Tracks whether the gate is draining, that is, refuses new requests.
+ *
+ * <p>A drain requested by {@link #requestDrain} is permanent; a drain by a rule of the configuration ends when the rule
+ * is withdrawn. The backend server is notified of a permanent drain once the queue is empty, because it may refuse the
+ * requests that it receives afterwards. It is not notified of a drain by rule, because the protocol cannot end a drain;
+ * refusing new requests is enough, since the backend server receives requests only from the gate. Not thread safe.
  */
 final class DrainState {
-    private final GateRuntime runtime;
-    private final List<CompletableFuture<Void>> waiting = new ArrayList<>();
-    private boolean requested;
-    private Backend told;
+    private final GateContext context;
+    private final List<CompletableFuture<Void>> pendingDrains = new ArrayList<>();
+    private boolean drainRequested;
+    private AttachedBackend notifiedBackend;
 
-    DrainState(GateRuntime runtime) {
-        this.runtime = runtime;
+    DrainState(GateContext context) {
+        this.context = context;
     }
 
-    CompletableFuture<Void> request() {
-        requested = true;
+    /** Starts a permanent drain. The future completes when nothing is queued or in flight. */
+    CompletableFuture<Void> requestDrain() {
+        drainRequested = true;
         CompletableFuture<Void> result = new CompletableFuture<>();
-        waiting.add(result);
+        pendingDrains.add(result);
         return result;
     }
 
-    boolean isDraining(Backend backend) {
-        return requested
+    boolean isDraining(AttachedBackend backend) {
+        return drainRequested
                 || (backend != null
-                        && runtime.routing()
+                        && context.routing()
                                 .configuration()
                                 .isDraining(backend.info().name()));
     }
 
-    void advance(Backend backend, int queued, int inFlight) {
+    /** Notifies the backend server and completes the pending drains as soon as this is possible. */
+    void update(AttachedBackend backend, int queued, int inFlight) {
         if (queued > 0 || !isDraining(backend)) {
             return;
         }
-        if (requested && backend != null && !backend.equals(told)) {
-            told = backend;
-            runtime.logDecision(() -> "event=drain backend=" + backend.info().name());
-            runtime.call(() -> backend.server().drain(), (done, failure) -> onTold(backend, failure));
+        if (drainRequested && backend != null && !backend.equals(notifiedBackend)) {
+            notifiedBackend = backend;
+            context.logDecision(() -> "event=drain backend=" + backend.info().name());
+            context.call(() -> backend.server().drain(), (done, failure) -> onDrainResult(backend, failure));
         }
         if (inFlight == 0) {
-            List<CompletableFuture<Void>> complete = List.copyOf(waiting);
-            waiting.clear();
-            complete.forEach(c -> c.complete(null));
+            List<CompletableFuture<Void>> completed = List.copyOf(pendingDrains);
+            pendingDrains.clear();
+            completed.forEach(c -> c.complete(null));
         }
     }
 
-    private void onTold(Backend backend, Throwable failure) {
+    private void onDrainResult(AttachedBackend backend, Throwable failure) {
         if (failure != null) {
-            runtime.logDecision(
+            context.logDecision(
                     () -> "event=drain-not-told backend=" + backend.info().name() + " cause=" + failure);
         }
     }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/ParkedRequests.java
@@ -15,74 +15,82 @@
 import org.coriandercrank.kernel.request.CallerRequest;
 
 /**
- * Requests whose range is assigned to this member and not held by the backend server yet. They wait here, so that callers'
- * daemons need not repeat them while a range moves. Bounded by number and time; not thread safe.
+ * Requests whose range is assigned to this member but not served now, because it is not acquired yet or the backend
+ * server rejected its fencing token. The requests wait here, so that the daemons of the callers need not retry them
+ * while a range moves. Limited in number and waiting time. Not thread safe.
  */
 final class ParkedRequests {
-    /** A request that waits for its range. Immutable. */
-    record Parked(CallerRequest request, KeyHash hash, Waiter waiter, long untilNanos) {}
+    /** A request that waits until its range is served. Immutable. */
+    record ParkedRequest(CallerRequest request, KeyHash hash, Waiter waiter, long expiresAtNanos) {}
 
-    private final GateRuntime runtime;
+    private final GateContext context;
     private final RangeTable ranges;
-    private final Map<RequestId, Parked> parked = new LinkedHashMap<>();
+    private final Map<RequestId, ParkedRequest> parkedById = new LinkedHashMap<>();
 
-    ParkedRequests(GateRuntime runtime, RangeTable ranges) {
-        this.runtime = runtime;
+    ParkedRequests(GateContext context, RangeTable ranges) {
+        this.context = context;
         this.ranges = ranges;
     }
 
-    /** Parks a request if its range is to be served here soon and there is room. */
+    /**
+     * Parks a request if its range is assigned to this member but not served now, and the limit is not reached. Returns
+     * whether the request was parked.
+     */
     boolean park(CallerRequest request, KeyHash hash, Waiter waiter, long nowNanos) {
-        boolean room = parked.size() < runtime.options().maxParked();
-        if (!room || isServed(hash) || !isAssigned(hash)) {
+        boolean hasCapacity = parkedById.size() < context.options().maxParkedRequests();
+        if (!hasCapacity || isServed(hash) || !isAssigned(hash)) {
             return false;
         }
-        long longestNanos =
-                nowNanos + TimeUnit.MILLISECONDS.toNanos(runtime.options().parkMs());
-        long untilNanos = longestNanos - waiter.deadlineNanos() < 0 ? longestNanos : waiter.deadlineNanos();
-        parked.put(waiter.id(), new Parked(request, hash, waiter, untilNanos));
+        long timeoutNanos =
+                nowNanos + TimeUnit.MILLISECONDS.toNanos(context.options().parkTimeoutMs());
+        long expiresAtNanos = timeoutNanos - waiter.deadlineNanos() < 0 ? timeoutNanos : waiter.deadlineNanos();
+        parkedById.put(waiter.id(), new ParkedRequest(request, hash, waiter, expiresAtNanos));
         return true;
     }
 
     private boolean isServed(KeyHash hash) {
-        return ranges.serving(hash).filter(entry -> !entry.isRejected()).isPresent();
+        return ranges.serving(hash).filter(entry -> !entry.needsRegrant()).isPresent();
     }
 
     private boolean isAssigned(KeyHash hash) {
-        RoutingSnapshot routing = runtime.routing();
-        return routing.table(runtime.inputs().service())
+        RoutingSnapshot routing = context.routing();
+        return routing.table(context.dependencies().service())
                 .flatMap(table -> table.find(hash))
                 .map(assignment -> assignment.owner().equals(routing.self()))
                 .orElse(false);
     }
 
     boolean contains(RequestId id) {
-        return parked.containsKey(id);
+        return parkedById.containsKey(id);
     }
 
-    Optional<Parked> take(RequestId id) {
-        return Optional.ofNullable(parked.remove(id));
+    Optional<ParkedRequest> remove(RequestId id) {
+        return Optional.ofNullable(parkedById.remove(id));
     }
 
     /** Removes and returns the requests whose range is served now, in order of arrival. */
-    List<Parked> takeServed() {
-        return take(p -> isServed(p.hash()));
+    List<ParkedRequest> removeServed() {
+        return remove(parked -> isServed(parked.hash()));
     }
 
-    /** Removes and returns the requests that wait no longer. */
-    List<Parked> takeOver(long nowNanos, boolean hasServer) {
-        return take(p -> !hasServer || nowNanos - p.untilNanos() >= 0 || !isAssigned(p.hash()));
+    /**
+     * Removes and returns the requests that timed out or whose range is no longer assigned to this member, or all
+     * requests if no backend server is available.
+     */
+    List<ParkedRequest> removeExpired(long nowNanos, boolean serverAvailable) {
+        return remove(
+                parked -> !serverAvailable || nowNanos - parked.expiresAtNanos() >= 0 || !isAssigned(parked.hash()));
     }
 
-    private List<Parked> take(Predicate<Parked> condition) {
-        List<Parked> taken = new ArrayList<>();
-        for (Iterator<Parked> i = parked.values().iterator(); i.hasNext(); ) {
-            Parked request = i.next();
-            if (condition.test(request)) {
-                i.remove();
-                taken.add(request);
+    private List<ParkedRequest> remove(Predicate<ParkedRequest> condition) {
+        List<ParkedRequest> removed = new ArrayList<>();
+        for (Iterator<ParkedRequest> iterator = parkedById.values().iterator(); iterator.hasNext(); ) {
+            ParkedRequest parked = iterator.next();
+            if (condition.test(parked)) {
+                iterator.remove();
+                removed.add(parked);
             }
         }
-        return taken;
+        return removed;
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/QueueOrder.java
@@ -6,52 +6,64 @@
 import org.coriandercrank.kernel.config.RequestRules;
 
 /**
- * Which of two waiting requests goes first. Stateless.
+ * Order in which queued requests are started. Stateless.
  *
- * <p>The higher rank goes first. Within a rank those that can still be answered within their latency objective go before
- * those that cannot, and then the one whose objective ends first; so an overload makes some requests late and not all.
- * Requests without rules keep the order of their arrival.
+ * <p>Requests are ordered by priority. Within a priority, requests that can still be answered within their latency
+ * objective precede those that cannot, and then the request whose objective ends first precedes; so during overload
+ * only some of the requests miss their objective. Requests without rules have the highest priority and keep their order
+ * of arrival.
  */
 public final class QueueOrder {
     private QueueOrder() {}
 
-    /** What decides about the place of a request. Immutable. */
-    public record Place(int priority, boolean late, long objectiveEndNanos) {
-        /** The place of requests without rules. */
-        static final Place NEUTRAL = new Place(0, false, 0);
+    /**
+     * Sort key of a queued request. Immutable.
+     *
+     * @param priority priority of the request; a smaller number is a higher priority
+     * @param missesObjective whether the request cannot be answered within its latency objective any more
+     * @param objectiveDeadlineNanos monotonic time at which the latency objective ends
+     */
+    public record SortKey(int priority, boolean missesObjective, long objectiveDeadlineNanos) {
+        /** Sort key of requests without rules. */
+        static final SortKey DEFAULT = new SortKey(0, false, 0);
 
-        /** Behind all others. */
-        static final Place LAST = new Place(Integer.MAX_VALUE, true, 0);
+        /** Sort key that no other key follows. */
+        static final SortKey LAST = new SortKey(Integer.MAX_VALUE, true, 0);
 
-        /** Whether this place is before another one; false for equal ones. */
-        public boolean isBefore(Place other) {
+        /** Whether a request with this key is started before one with the other key; false for equal keys. */
+        public boolean precedes(SortKey other) {
             if (priority != other.priority) {
                 return priority < other.priority;
             }
-            if (late != other.late) {
-                return other.late;
+            if (missesObjective != other.missesObjective) {
+                return other.missesObjective;
             }
-            return objectiveEndNanos - other.objectiveEndNanos < 0;
+            return objectiveDeadlineNanos - other.objectiveDeadlineNanos < 0;
         }
     }
 
     /**
-     * The place of a request at a time.
+     * Returns the sort key of a request at a time.
      *
-     * @param serviceMs expected time of the request at the server
+     * @param expectedServiceMs expected execution time of the request at the backend server
      */
-    public static Place place(Optional<RequestRules> rules, long arrivedAtNanos, double serviceMs, long nowNanos) {
-        if (rules.isEmpty()) {
-            return Place.NEUTRAL;
+    public static SortKey sortKey(
+            Optional<RequestRules> requestRules, long arrivedAtNanos, double expectedServiceMs, long nowNanos) {
+        if (requestRules.isEmpty()) {
+            return SortKey.DEFAULT;
         }
-        long objectiveEndNanos =
-                arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(rules.get().latencyObjectiveMs());
-        long endNanos = nowNanos + (long) (serviceMs * TimeUnit.MILLISECONDS.toNanos(1));
-        return new Place(rules.get().priority(), endNanos - objectiveEndNanos > 0, objectiveEndNanos);
+        long objectiveDeadlineNanos = arrivedAtNanos
+                + TimeUnit.MILLISECONDS.toNanos(requestRules.get().latencyObjectiveMs());
+        long expectedEndNanos = nowNanos + (long) (expectedServiceMs * TimeUnit.MILLISECONDS.toNanos(1));
+        return new SortKey(
+                requestRules.get().priority(), expectedEndNanos - objectiveDeadlineNanos > 0, objectiveDeadlineNanos);
     }
 
-    static Place place(Execution execution, ToDoubleFunction<Execution> serviceMs, long nowNanos) {
-        return place(
-                execution.request().rules(), execution.arrivedAtNanos(), serviceMs.applyAsDouble(execution), nowNanos);
+    static SortKey sortKey(Execution execution, ToDoubleFunction<Execution> expectedServiceMs, long nowNanos) {
+        return sortKey(
+                execution.request().rules(),
+                execution.arrivedAtNanos(),
+                expectedServiceMs.applyAsDouble(execution),
+                nowNanos);
     }
 }
--- a/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
+++ b/org.coriandercrank.gate/src/main/java/org/coriandercrank/gate/internal/RangeEntry.java
@@ -7,79 +7,86 @@
 import org.coriandercrank.kernel.backend.Grant.GrantedRange;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.Generation;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.table.KeyRange;
 
 /**
- * A range under one fence at this gate. A range acquired again is another entry, so the two are never confused.
+ * A key range that this gate holds under one fencing token. Acquiring the range again, under a newer token or after a
+ * failed acquire, creates another entry, so the two are never confused.
  *
- * <p>States follow each other in the order of {@link State}. Not thread safe.
+ * <p>The state only moves forward in the order of {@link State}. Not thread safe.
  */
 public final class RangeEntry {
     /** Progress of a range at this gate. */
     public enum State {
         ACQUIRING,
         SERVING,
-        /** No admission any more; still granted for the requests in flight. */
+        /** New requests are refused, but the range is still granted for the requests in flight. */
         RELEASING,
-        /** Left out of new grants. */
+        /** New grants do not contain the range; the backend server may still hold it. */
         REVOKING,
-        /** The backend server can start nothing for this entry any more. */
+        /** The backend server cannot start a request under the fencing token of this entry any more. */
         REVOKED
     }
 
     private final KeyRange range;
     private final Generation fence;
-    private final InheritedRecords inherited;
+    private final TransferredRecords transferred;
     private final CompletableFuture<Void> acquired;
-    private final LoadMeter load;
+    private final RangeLoadMeter loadMeter;
     private final Set<Generation> replacedFences = new HashSet<>();
     private State state;
-    private Horizon horizon;
-    private Horizon dropHorizon = Horizon.UNLIMITED;
+    private RecordHorizon recordHorizon;
+    private RecordHorizon removalHorizon = RecordHorizon.UNLIMITED;
     private long servingSinceNanos;
     private boolean acquireFailed;
     private boolean everGranted;
-    private long heldUntilNanos;
+    private long grantExpiresAtNanos;
     private OptionalLong rejectedAtNanos = OptionalLong.empty();
 
     private RangeEntry(
             KeyRange range,
             Generation fence,
-            InheritedRecords inherited,
+            TransferredRecords transferred,
             CompletableFuture<Void> acquired,
-            LoadMeter load,
-            Horizon horizon) {
+            RangeLoadMeter loadMeter,
+            RecordHorizon recordHorizon) {
         this.range = range;
         this.fence = fence;
-        this.inherited = inherited;
+        this.transferred = transferred;
         this.acquired = acquired;
-        this.load = load;
-        this.horizon = horizon;
+        this.loadMeter = loadMeter;
+        this.recordHorizon = recordHorizon;
         state = State.ACQUIRING;
     }
 
+    /** Creates an entry in state ACQUIRING for a range whose records are complete since a horizon. */
     public static RangeEntry acquiring(
-            KeyRange range, Generation fence, InheritedRecords inherited, Horizon horizon, long nowNanos) {
-        RangeEntry entry =
-                new RangeEntry(range, fence, inherited, new CompletableFuture<>(), new LoadMeter(nowNanos), horizon);
+            KeyRange range,
+            Generation fence,
+            TransferredRecords transferred,
+            RecordHorizon recordHorizon,
+            long nowNanos) {
+        RangeEntry entry = new RangeEntry(
+                range, fence, transferred, new CompletableFuture<>(), new RangeLoadMeter(nowNanos), recordHorizon);
         entry.servingSinceNanos = nowNanos;
         return entry;
     }
 
-    /** A part of this entry with the same fence, state and memory. */
-    RangeEntry part(KeyRange partRange) {
-        double share = partRange.share() / range.share();
-        RangeEntry part = new RangeEntry(partRange, fence, inherited, acquired, load.part(share), horizon);
-        part.state = state;
-        part.servingSinceNanos = servingSinceNanos;
-        part.acquireFailed = acquireFailed;
-        part.dropHorizon = dropHorizon;
-        part.replacedFences.addAll(replacedFences);
-        part.everGranted = everGranted;
-        part.heldUntilNanos = heldUntilNanos;
-        part.rejectedAtNanos = rejectedAtNanos;
-        return part;
+    /** Creates an entry for a part of this range with the same fencing token, state and history. */
+    RangeEntry subrange(KeyRange newRange) {
+        double share = newRange.share() / range.share();
+        RangeEntry result =
+                new RangeEntry(newRange, fence, transferred, acquired, loadMeter.forSubrange(share), recordHorizon);
+        result.state = state;
+        result.servingSinceNanos = servingSinceNanos;
+        result.acquireFailed = acquireFailed;
+        result.removalHorizon = removalHorizon;
+        result.replacedFences.addAll(replacedFences);
+        result.everGranted = everGranted;
+        result.grantExpiresAtNanos = grantExpiresAtNanos;
+        result.rejectedAtNanos = rejectedAtNanos;
+        return result;
     }
 
     public KeyRange range() {
@@ -90,66 +97,72 @@
         return fence;
     }
 
-    public InheritedRecords inherited() {
-        return inherited;
+    /** Outcome records and handover tokens that were passed on with the range. */
+    public TransferredRecords transferred() {
+        return transferred;
     }
 
-    /** Completes when the range is served. */
+    /** Completes when the range is served; fails if the acquire fails. */
     public CompletableFuture<Void> acquired() {
         return acquired;
     }
 
-    public LoadMeter load() {
-        return load;
+    public RangeLoadMeter loadMeter() {
+        return loadMeter;
     }
 
     public State state() {
         return state;
     }
 
-    public Horizon horizon() {
-        return horizon;
+    /** Horizon since which this gate has all outcome records of the range. */
+    public RecordHorizon recordHorizon() {
+        return recordHorizon;
     }
 
     /**
-     * Time since when no record was dropped by this gate or the owner before it. Unlike {@link #horizon()} it does not
-     * start with a takeover, which happens seconds after the last execution of the lost owner.
+     * Horizon since which neither this gate nor the previous owner has removed an outcome record of the range. Unlike
+     * {@link #recordHorizon()} it is not limited by a takeover, because a takeover happens seconds after the last
+     * execution by the lost owner.
      */
-    public Horizon dropHorizon() {
-        return dropHorizon;
+    public RecordHorizon removalHorizon() {
+        return removalHorizon;
     }
 
-    public void moveHorizon(long sinceNanos) {
-        horizon = horizon.later(Horizon.since(sinceNanos));
-        dropHorizon = dropHorizon.later(Horizon.since(sinceNanos));
+    /** Advances both horizons to the creation time of a removed record. */
+    public void advanceHorizons(long sinceNanos) {
+        recordHorizon = recordHorizon.later(RecordHorizon.startingAt(sinceNanos));
+        removalHorizon = removalHorizon.later(RecordHorizon.startingAt(sinceNanos));
     }
 
-    public void limitDropHorizon(Horizon limit) {
-        dropHorizon = dropHorizon.later(limit);
+    /** Advances the removal horizon to a limit if the limit is more recent. */
+    public void limitRemovalHorizon(RecordHorizon limit) {
+        removalHorizon = removalHorizon.later(limit);
     }
 
-    /** Time since when this gate has seen every request of the range. */
+    /** Monotonic time since which this gate has received every request for the range. */
     public long servingSinceNanos() {
         return servingSinceNanos;
     }
 
-    public void keepServingSince(long earlierNanos) {
-        servingSinceNanos = earlierNanos;
+    public void setServingSince(long sinceNanos) {
+        servingSinceNanos = sinceNanos;
     }
 
-    public void advance(State newState) {
+    /** Moves to a later state; throws {@link IllegalStateException} if the new state is not later. */
+    public void transitionTo(State newState) {
         if (newState.compareTo(state) <= 0) {
-            throw new IllegalStateException("range " + range + " cannot go from " + state + " to " + newState);
+            throw new IllegalStateException("range " + range + " cannot change from " + state + " to " + newState);
         }
         state = newState;
     }
 
     /**
-     * Ends an acquire that did not succeed; the backend server may have the grant, so it is revoked. The range may be
-     * acquired again under the same fence, unless it is released meanwhile.
+     * Fails an acquire. The backend server may have received the grant, so the range is revoked. It may be acquired
+     * again under the same fencing token unless it is released before.
      */
     public void failAcquire(CrankException failure) {
-        advance(State.REVOKING);
+        transitionTo(State.REVOKING);
         acquireFailed = true;
         acquired.completeExceptionally(failure);
     }
@@ -158,54 +171,55 @@
         return acquireFailed;
     }
 
-    /** Notes that the range is released, so that the fence is used up. */
+    /** Starts the release of the range; afterwards it cannot be acquired again under this fencing token. */
     public void startRelease() {
         acquireFailed = false;
         if (state.compareTo(State.RELEASING) < 0) {
-            advance(State.RELEASING);
+            transitionTo(State.RELEASING);
         }
     }
 
-    /** Takes over what the backend server may hold of a part of the range that this entry replaces. */
-    void inheritHold(RangeEntry replaced) {
+    /** Inherits the fencing tokens and the grant expiry of an entry that this entry replaces. */
+    void inheritGrantExpiry(RangeEntry replaced) {
         replacedFences.add(replaced.fence);
         replacedFences.addAll(replaced.replacedFences);
         if (replaced.everGranted) {
-            hold(replaced.heldUntilNanos);
+            extendGrantExpiry(replaced.grantExpiresAtNanos);
         }
     }
 
-    /** Whether a granted range gives rights to part of this entry, under its fence or one that it replaced. */
-    public boolean isHeldThrough(GrantedRange granted) {
+    /** Whether a granted range overlaps this entry and has its fencing token or that of an entry that it replaced. */
+    public boolean isGrantedBy(GrantedRange granted) {
         return granted.range().overlaps(range)
                 && (granted.fence().equals(fence) || replacedFences.contains(granted.fence()));
     }
 
-    /** Notes that the backend server may believe until a time that it holds the range. */
-    public void hold(long untilNanos) {
-        heldUntilNanos = everGranted && heldUntilNanos - untilNanos > 0 ? heldUntilNanos : untilNanos;
+    /** Records until when a grant of the range may be valid at the backend server; an earlier time has no effect. */
+    public void extendGrantExpiry(long expiresAtNanos) {
+        grantExpiresAtNanos =
+                everGranted && grantExpiresAtNanos - expiresAtNanos > 0 ? grantExpiresAtNanos : expiresAtNanos;
         everGranted = true;
     }
 
-    /** Notes that the backend server does not hold the range although its grant was acknowledged. */
-    public void reject(long nowNanos) {
+    /** Records that the backend server rejected the fencing token although it had acknowledged the grant. */
+    public void markRejected(long nowNanos) {
         rejectedAtNanos = OptionalLong.of(nowNanos);
     }
 
-    /** Whether the backend server must be given the range again before it gets further requests of it. */
-    public boolean isRejected() {
+    /** Whether the backend server must acknowledge another grant of the range before it gets further requests. */
+    public boolean needsRegrant() {
         return rejectedAtNanos.isPresent();
     }
 
-    /** Notes that the backend server acknowledged a grant with the range that was sent at a time. */
-    public void acknowledge(long sentAtNanos) {
+    /** Ends the need for another grant unless the acknowledged grant of the range was sent before the rejection. */
+    public void onGrantAcknowledged(long sentAtNanos) {
         if (rejectedAtNanos.isPresent() && sentAtNanos - rejectedAtNanos.getAsLong() >= 0) {
             rejectedAtNanos = OptionalLong.empty();
         }
     }
 
-    /** Whether the validity given last has lapsed at the backend server. */
-    public boolean isHoldLapsed(long nowNanos) {
-        return !everGranted || nowNanos - heldUntilNanos >= 0;
+    /** Whether all grants of the range have certainly expired at the backend server. */
+    public boolean isGrantExpired(long nowNanos) {
+        return !everGranted || nowNanos - grantExpiresAtNanos >= 0;
     }
 }
--- a/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/HttpAbortException.java
@@ -3,31 +3,31 @@
 import java.util.Optional;
 
 /**
- * A handler's future that fails with this exception closes the connection without a complete answer. Used by
- * stand-ins to produce lost and cut answers. Immutable.
+ * Makes the server close the connection without a complete response, if the future returned by an {@link HttpHandler}
+ * fails with it. Simulated backend servers and stores use it to inject lost and truncated responses. Immutable.
  */
 public final class HttpAbortException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient HttpReply cutReply;
+    private final transient HttpResponse truncatedResponse;
 
-    private HttpAbortException(HttpReply cutReply) {
-        super("connection closed on purpose", null, false, false);
-        this.cutReply = cutReply;
+    private HttpAbortException(HttpResponse truncatedResponse) {
+        super("connection closed without a complete response", null, false, false);
+        this.truncatedResponse = truncatedResponse;
     }
 
-    /** Closes the connection without writing any byte. */
-    public static HttpAbortException unanswered() {
+    /** Closes the connection without writing any byte of a response. */
+    public static HttpAbortException withoutResponse() {
         return new HttpAbortException(null);
     }
 
-    /** Writes the head of a reply and half of its body, then closes the connection. */
-    public static HttpAbortException midAnswer(HttpReply reply) {
-        return new HttpAbortException(reply);
+    /** Writes the head of a response and half of its body, then closes the connection. */
+    public static HttpAbortException midResponse(HttpResponse response) {
+        return new HttpAbortException(response);
     }
 
-    /** The reply of which half is written. */
-    public Optional<HttpReply> cutReply() {
-        return Optional.ofNullable(cutReply);
+    /** The response of which only a part is written; empty if nothing is written. */
+    public Optional<HttpResponse> truncatedResponse() {
+        return Optional.ofNullable(truncatedResponse);
     }
 }
--- /dev/null
+++ b/org.coriandercrank.http/src/main/java/org/coriandercrank/http/ResponseMatcher.java
@@ -0,0 +1,16 @@
+package org.coriandercrank.http;
+
+/**
+ * Checks whether a response belongs to a request, for servers that may send the response to another request. Must be
+ * thread safe.
+ */
+@FunctionalInterface
+public interface ResponseMatcher {
+    ResponseMatcher ACCEPT_ALL = (request, response) -> true;
+
+    /**
+     * Whether the response belongs to the request. If not, the client closes the connection and fails the request with
+     * {@link HttpClientException.Stage#SENT}.
+     */
+    boolean matches(HttpRequest request, HttpResponse response);
+}
--- a/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
+++ b/org.coriandercrank.ingress/src/main/java/org/coriandercrank/ingress/internal/protocol/NativeProtocol.java
@@ -1,8 +1,8 @@
 package org.coriandercrank.ingress.internal.protocol;
 
 import java.util.Optional;
-import org.coriandercrank.http.HttpCall;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpRequest;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.ingress.CallerProtocol;
 import org.coriandercrank.ingress.ParsedRequest;
 import org.coriandercrank.ingress.RequestIds;
@@ -11,24 +11,24 @@
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.request.CallerAnswer;
 
-/** The product's own protocol, as {@code docs/PROTOCOL_CALLERS.md} has it. Thread safe. */
+/** The native caller protocol of this project, specified in {@code docs/PROTOCOL_CALLERS.md}. Thread safe. */
 public final class NativeProtocol implements CallerProtocol {
     private final RequestParser parser;
     private final AnswerRenderer renderer;
 
-    /** @param defaultRetryAfterMs {@code Retry-After} of refusals that name none */
-    public NativeProtocol(RequestIds ids, long defaultRetryAfterMs) {
-        parser = new RequestParser(ids);
+    /** @param defaultRetryAfterMs {@code Retry-After} of refusals that state none */
+    public NativeProtocol(RequestIds requestIds, long defaultRetryAfterMs) {
+        parser = new RequestParser(requestIds);
         renderer = new AnswerRenderer(defaultRetryAfterMs);
     }
 
     @Override
-    public ParsedRequest parse(HttpCall call, RoutingSnapshot snapshot) {
-        return parser.parse(call, snapshot);
+    public ParsedRequest parse(HttpRequest request, RoutingSnapshot snapshot) {
+        return parser.parse(request, snapshot);
     }
 
     @Override
-    public HttpReply render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
+    public HttpResponse render(RequestId id, CallerAnswer answer, Optional<MemberId> owner, boolean closeConnection) {
         return renderer.render(id, answer, owner, closeConnection);
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/message/RefusalRequest.java
@@ -3,5 +3,8 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
 
-/** A taker asks a witness to refuse a member at a record revision. Immutable. */
+/**
+ * Sent by a daemon that takes over a member: asks a witness to acknowledge no further heartbeat with this record
+ * revision of the member or an older one. Immutable.
+ */
 public record RefusalRequest(MemberId member, Revision recordRevision) implements Message {}
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ownership/RoutingSnapshot.java
@@ -10,17 +10,19 @@
 import org.coriandercrank.kernel.table.Member;
 
 /**
- * What a daemon knows of the control objects at one moment. Immutable.
+ * The control objects that a daemon knows at one moment. Immutable.
  *
  * @param self member id of this daemon
  * @param configurationRevision {@link Revision#NONE} until a configuration has been read
+ * @param tables assignment tables by service
+ * @param members member records by id
  */
 public record RoutingSnapshot(
         MemberId self,
         Revision configurationRevision,
         Configuration configuration,
         Map<ServiceName, AssignmentTable> tables,
-        Map<MemberId, KnownMember> members) {
+        Map<MemberId, VersionedMember> members) {
     public RoutingSnapshot {
         tables = Map.copyOf(tables);
         members = Map.copyOf(members);
@@ -35,6 +37,6 @@
     }
 
     public Optional<Member> member(MemberId id) {
-        return Optional.ofNullable(members.get(id)).map(KnownMember::member);
+        return Optional.ofNullable(members.get(id)).map(VersionedMember::member);
     }
 }
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/ring/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Threads for duties, joined by bounded rings. */
-package org.coriandercrank.kernel.ring;
--- a/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
+++ b/org.coriandercrank.kernel/src/main/java/org/coriandercrank/kernel/settings/CommandLine.java
@@ -11,38 +11,43 @@
  * The command line of a program: its settings, {@code --help} and {@code --version}. Immutable.
  *
  * @param program name of the program
- * @param synopsis what follows the name in the first line of the usage
- * @param out where usage and version go
- * @param err where faults go
+ * @param synopsis text that follows the name in the first line of the usage
+ * @param out receives usage and version
+ * @param err receives error messages
  */
 public record CommandLine(String program, String synopsis, PrintStream out, PrintStream err) {
-    /** Exit code for faulty settings or usage. */
+    /** Exit code for invalid settings or arguments. */
     public static final int EXIT_USAGE = 2;
 
     private static final String HELP = "--help";
     private static final String VERSION = "--version";
 
-    /** The command line of a program that takes only flags. */
+    /** The command line of a program that accepts only flags. */
     public static CommandLine of(String program) {
         return new CommandLine(program, "[--FLAG VALUE]...", System.out, System.err);
     }
 
-    /** Loads the settings of a program; prints and ends the process if there is nothing to run. */
-    public static <T extends Settings> T loadOrExit(String program, T bean, String[] arguments) {
-        OptionalInt exitCode = of(program).load(bean, List.of(arguments), System.getenv());
+    /**
+     * Loads the settings of a program, or ends the process if they are invalid or only help or version was requested.
+     */
+    public static <T extends Settings> T loadOrExit(String program, T settings, String[] arguments) {
+        OptionalInt exitCode = of(program).load(settings, List.of(arguments), System.getenv());
         if (exitCode.isPresent()) {
             System.exit(exitCode.getAsInt());
         }
-        return bean;
+        return settings;
     }
 
-    /** Loads settings; returns an exit code if the program is not to run, because it has printed all there is to say. */
-    public OptionalInt load(Settings bean, List<String> arguments, Map<String, String> environment) {
+    /**
+     * Loads settings. Returns an exit code if the program must not run, because its output is already complete; empty
+     * otherwise.
+     */
+    public OptionalInt load(Settings settings, List<String> arguments, Map<String, String> environment) {
         if (arguments.contains(HELP)) {
             out.println("usage: " + program + " " + synopsis);
             out.println("Each flag may also be given as an environment variable, such as "
-                    + SettingsLoader.variableName(SettingsLoader.flags(bean).get(0)) + ".");
-            out.println(SettingsLoader.usage(bean));
+                    + SettingsLoader.variableName(SettingsLoader.flags(settings).get(0)) + ".");
+            out.println(SettingsLoader.usage(settings));
             return OptionalInt.of(0);
         }
         if (arguments.contains(VERSION)) {
@@ -50,7 +55,7 @@
             return OptionalInt.of(0);
         }
         try {
-            SettingsLoader.load(bean, arguments, environment);
+            SettingsLoader.load(settings, arguments, environment);
             return OptionalInt.empty();
         } catch (CrankException e) {
             err.println(e.code() + " (" + e.code().number() + "):\n" + e.getMessage());
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/LeaseHolder.java
@@ -8,28 +8,36 @@
 import java.util.Set;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.Member;
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * The lease of one incarnation as its holder sees it.
+ * State machine of the member that holds the lease of one incarnation.
  *
- * <p>Invariants: every write that may still take effect is conditional on the revision of the confirmed record, so at
- * most one of them takes effect; the lease needs a majority in the confirmed witness set and in the set of each such
- * write; at most one store operation is in flight. Each event returns the actions to carry out; the driver publishes
+ * <p>Each event method returns the actions that the driver must carry out. The driver publishes
  * {@link #validUntilNanos()} before it carries them out.
  *
- * <p>A holder may resume an incarnation of which a former process of the same host left a record. The lease of a resumed
- * incarnation holds only from its first own write on: that write proves that none of the former process can take effect.
+ * <p>Invariants:
  *
- * <p>Not thread safe. All times are of one monotonic clock, in nanoseconds.
+ * <ul>
+ *   <li>Every pending write is conditional on the revision of the confirmed record, so at most one of them takes
+ *       effect.
+ *   <li>The lease needs a majority of votes in the confirmed witness set and in the witness set of each pending write.
+ *   <li>At most one store operation is in flight.
+ * </ul>
+ *
+ * <p>A holder may resume an incarnation whose record was written by an earlier process of the same host. The lease of a
+ * resumed incarnation is not valid before the first successful write of this process, because that write guarantees
+ * that no write of the earlier process can still take effect.
+ *
+ * <p>Not thread safe. All times are in nanoseconds of the same monotonic clock.
  */
 public final class LeaseHolder {
-    /** Limit of memory while the store answers reads but no writes. */
+    /** Bounds the memory used while the store answers reads but not writes. */
     private static final int MAX_PENDING_WRITES = 8;
 
-    /** A write that may have taken effect or may do so later. */
+    /** A write whose outcome is not known: it may have taken effect or may still do so. */
     private record PendingWrite(Member record, long sentAtNanos) {}
 
     private final LeaseTiming timing;
@@ -39,20 +47,23 @@
     private final StoreBackoff backoff;
 
     private final boolean mayResume;
-    private Optional<KnownMember> confirmed = Optional.empty();
+    private Optional<VersionedMember> confirmed = Optional.empty();
 
-    /** Revision of the record that a former process left. */
-    private Revision leftRevision = Revision.NONE;
+    /** Revision of the record that an earlier process wrote; {@link Revision#NONE} if no such record was found. */
+    private Revision inheritedRevision = Revision.NONE;
 
     private Member desired;
+
+    /** Newest record revision at which a witness refuses this member. */
     private Revision refusedUpTo = Revision.NONE;
-    private long operation;
+
+    private long lastOperation;
     private boolean operationInFlight;
-    private boolean unresolved;
+    private boolean writeOutcomeUnknown;
     private OptionalLong lastWriteNanos = OptionalLong.empty();
     private boolean ended;
 
-    /** Starts an incarnation; the first {@link #tick} writes the record. */
+    /** Starts a new incarnation; the first {@link #tick} writes its record. */
     public LeaseHolder(LeaseTiming timing, Member initial, long nowNanos) {
         this(timing, initial, nowNanos, false);
     }
@@ -60,8 +71,8 @@
     /**
      * Starts or resumes an incarnation.
      *
-     * @param mayResume whether a record of the same id was left by a former process of this host, which has certainly
-     *     ended
+     * @param mayResume whether the store may hold a record with the same id from an earlier process of this host; that
+     *     process must have ended
      */
     public LeaseHolder(LeaseTiming timing, Member initial, long nowNanos, boolean mayResume) {
         this.timing = timing;
@@ -72,24 +83,25 @@
         this.backoff = new StoreBackoff(timing, nowNanos, initial.id().hashCode());
     }
 
-    /** Time until which the lease holds; in the past if it does not. */
+    /** Returns the time until which the lease is valid; it lies in the past if the lease is not valid. */
     public long validUntilNanos() {
         if (ended || confirmed.isEmpty() || desired.state() == MemberState.SEALED) {
             return startNanos;
         }
-        long until = votes.validUntilNanos(confirmed.get().member().witnesses());
+        long untilNanos = votes.validUntilNanos(confirmed.get().member().witnesses());
         for (PendingWrite write : pendingWrites) {
-            until = Nanos.earlier(until, votes.validUntilNanos(write.record().witnesses()));
+            untilNanos = Nanos.earlier(
+                    untilNanos, votes.validUntilNanos(write.record().witnesses()));
         }
-        return until;
+        return untilNanos;
     }
 
-    /** The record that the store is known to have had last. */
-    public Optional<KnownMember> confirmed() {
+    /** Returns the latest record that the store is known to have held; empty before the first confirmed write. */
+    public Optional<VersionedMember> confirmed() {
         return confirmed;
     }
 
-    /** The content that the record is to have. */
+    /** Returns the record content that this holder tries to write. */
     public Member desired() {
         return desired;
     }
@@ -98,23 +110,27 @@
         return ended;
     }
 
-    /** When the heartbeat of the latest vote of a witness was sent. */
+    /** Returns when the heartbeat was sent that the witness acknowledged last. */
     public OptionalLong lastVoteNanos(MemberId witness) {
         return votes.lastVoteNanos(witness);
     }
 
     /**
-     * Sets the wanted content of the record. A new witness set is written once it has voted, so that the change does
-     * not interrupt the lease. {@link MemberState#SEALED} makes the lease invalid at once.
+     * Sets the desired content of the record.
+     *
+     * <p>A new witness set is written only after its members have voted, so that the change does not interrupt the
+     * lease. {@link MemberState#SEALED} invalidates the lease immediately.
+     *
+     * @throws IllegalArgumentException if the record belongs to another member
      */
     public void setDesired(Member newDesired) {
         if (!newDesired.id().equals(desired.id())) {
-            throw new IllegalArgumentException("record of another member: " + newDesired.id());
+            throw new IllegalArgumentException("the record belongs to another member: " + newDesired.id());
         }
         desired = newDesired;
     }
 
-    /** Sends due heartbeats and starts a due store operation. */
+    /** Sends heartbeats and starts a store operation if they are due. */
     public List<HolderAction> tick(long nowNanos) {
         List<HolderAction> actions = new ArrayList<>();
         if (ended) {
@@ -127,7 +143,7 @@
         return actions;
     }
 
-    /** Sends heartbeats at once, for example because they carry news. */
+    /** Sends heartbeats before they are due, for example to announce an update to the witnesses. */
     public List<HolderAction> heartbeatNow(long nowNanos) {
         List<HolderAction> actions = new ArrayList<>();
         if (!ended && confirmed.isPresent()) {
@@ -136,65 +152,71 @@
         return actions;
     }
 
-    /** Answer of a witness; unknown or old sequences have no effect. */
+    /** Handles the answer of a witness to a heartbeat; an answer to an unknown or old sequence number has no effect. */
     public List<HolderAction> heartbeatAnswered(MemberId witness, long sequence, boolean granted, long nowNanos) {
         if (granted) {
-            votes.granted(witness, sequence);
+            votes.recordVote(witness, sequence);
             return List.of();
         }
-        return refused(votes.revisionOf(sequence), nowNanos);
+        return refusalReceived(votes.revisionOf(sequence), nowNanos);
     }
 
-    /** A witness refused the member at a record revision. */
-    public List<HolderAction> refused(Revision recordRevision, long nowNanos) {
+    /** Handles the notice that a witness refuses this member at a record revision; the record is then rewritten. */
+    public List<HolderAction> refusalReceived(Revision recordRevision, long nowNanos) {
         if (recordRevision.isNewerThan(refusedUpTo)) {
             refusedUpTo = recordRevision;
         }
         return tick(nowNanos);
     }
 
-    /** The write took effect and got a revision. */
+    /** Handles a write that took effect and got a revision. */
     public List<HolderAction> writeSucceeded(long answeredOperation, Revision revision, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
         PendingWrite write = pendingWrites.get(pendingWrites.size() - 1);
-        return confirm(new KnownMember(write.record(), revision), write.sentAtNanos(), nowNanos);
+        return confirm(new VersionedMember(write.record(), revision), write.sentAtNanos(), nowNanos);
     }
 
-    /** The write certainly had no effect. */
+    /** Handles a write that had no effect and will have none. */
     public void writeFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             pendingWrites.remove(pendingWrites.size() - 1);
             backoff.failed(nowNanos);
         }
     }
 
-    /** The write may have taken effect or may do so later. */
+    /** Handles a write without an answer: it may have taken effect or may still do so. */
     public List<HolderAction> writeUnanswered(long answeredOperation, long nowNanos) {
-        return readBack(answeredOperation, nowNanos);
+        return scheduleReadBack(answeredOperation, nowNanos);
     }
 
     /**
-     * The record had another revision than expected. The write stays pending until the record is read, because a
-     * conflict can also be the answer to a second copy of a write that took effect.
+     * Handles a write that was rejected because the record had another revision than expected.
+     *
+     * <p>The write stays pending until the record has been read, because a write that took effect may have been
+     * delivered twice, and the answer to the second copy is a conflict.
      */
     public List<HolderAction> writeConflicted(long answeredOperation, long nowNanos) {
-        return readBack(answeredOperation, nowNanos);
+        return scheduleReadBack(answeredOperation, nowNanos);
     }
 
-    /** Result of reading the own record; empty if it does not exist. */
-    public List<HolderAction> readSucceeded(long answeredOperation, Optional<KnownMember> read, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    /**
+     * Handles the result of reading the own record.
+     *
+     * @param read empty if the record does not exist
+     */
+    public List<HolderAction> readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
-        Revision known = confirmed.map(KnownMember::revision).orElse(Revision.NONE);
-        Revision found = read.map(KnownMember::revision).orElse(Revision.NONE);
+        Revision knownRevision = confirmed.map(VersionedMember::revision).orElse(Revision.NONE);
+        Revision foundRevision = read.map(VersionedMember::revision).orElse(Revision.NONE);
         if (confirmed.isEmpty() && mayResume && read.isPresent()) {
             return resume(read.get(), nowNanos);
         }
-        if (found.equals(known)) {
-            unresolved = false;
+        if (foundRevision.equals(knownRevision)) {
+            writeOutcomeUnknown = false;
             backoff.failed(nowNanos);
             return List.of();
         }
@@ -204,60 +226,67 @@
         if (read.get().member().state() == MemberState.SEALED) {
             return end("sealed");
         }
-        OptionalLong sentAtNanos = earliestPending(read.get().member());
+        OptionalLong sentAtNanos = earliestPendingSendNanos(read.get().member());
         if (sentAtNanos.isEmpty()) {
             return end("replaced");
         }
         return confirm(read.get(), sentAtNanos.getAsLong(), nowNanos);
     }
 
+    /** Handles a failed read of the own record; the read is repeated later. */
     public void readFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
-    private List<HolderAction> resume(KnownMember left, long nowNanos) {
-        if (left.member().state() == MemberState.SEALED) {
+    /**
+     * Handles a record that was read while no write of this process is confirmed. The record is confirmed if it has the
+     * content of a pending write of this process and an older inherited record is known. Otherwise it is treated as the
+     * record of the earlier process, which the next write replaces.
+     */
+    private List<HolderAction> resume(VersionedMember inherited, long nowNanos) {
+        if (inherited.member().state() == MemberState.SEALED) {
             return end("sealed");
         }
-        OptionalLong sentAtNanos = earliestPending(left.member());
+        OptionalLong sentAtNanos = earliestPendingSendNanos(inherited.member());
         if (sentAtNanos.isPresent()
-                && left.revision().isNewerThan(leftRevision)
-                && !leftRevision.equals(Revision.NONE)) {
-            return confirm(left, sentAtNanos.getAsLong(), nowNanos);
+                && inherited.revision().isNewerThan(inheritedRevision)
+                && !inheritedRevision.equals(Revision.NONE)) {
+            return confirm(inherited, sentAtNanos.getAsLong(), nowNanos);
         }
-        leftRevision = left.revision();
-        unresolved = false;
+        inheritedRevision = inherited.revision();
+        writeOutcomeUnknown = false;
         return tick(nowNanos);
     }
 
-    /** The own record was seen as sealed. */
-    public List<HolderAction> sealSeen() {
+    /** Handles the observation that the own record is sealed; ends the incarnation. */
+    public List<HolderAction> recordSealed() {
         return ended ? List.of() : end("sealed");
     }
 
-    private List<HolderAction> readBack(long answeredOperation, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    private List<HolderAction> scheduleReadBack(long answeredOperation, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
-        unresolved = true;
+        writeOutcomeUnknown = true;
         return tick(nowNanos);
     }
 
-    private boolean finishes(long answeredOperation) {
-        if (ended || !operationInFlight || answeredOperation != operation) {
+    /** Marks the store operation in flight as completed; returns false if the answer is not for that operation. */
+    private boolean completeOperation(long answeredOperation) {
+        if (ended || !operationInFlight || answeredOperation != lastOperation) {
             return false;
         }
         operationInFlight = false;
         return true;
     }
 
-    private List<HolderAction> confirm(KnownMember record, long sentAtNanos, long nowNanos) {
+    private List<HolderAction> confirm(VersionedMember record, long sentAtNanos, long nowNanos) {
         confirmed = Optional.of(record);
         pendingWrites.clear();
-        unresolved = false;
-        votes.storeVoted(sentAtNanos);
+        writeOutcomeUnknown = false;
+        votes.recordStoreVote(sentAtNanos);
         backoff.succeeded(nowNanos);
         if (record.member().state() == MemberState.SEALED) {
             return end("self-sealed");
@@ -270,7 +299,7 @@
         return List.of(new HolderAction.End(reason));
     }
 
-    private OptionalLong earliestPending(Member record) {
+    private OptionalLong earliestPendingSendNanos(Member record) {
         return pendingWrites.stream()
                 .filter(write -> write.record().equals(record))
                 .mapToLong(PendingWrite::sentAtNanos)
@@ -290,7 +319,7 @@
                 new LinkedHashSet<>(confirmed.orElseThrow().member().witnesses());
         pendingWrites.forEach(write -> targets.addAll(write.record().witnesses()));
         targets.addAll(desired.witnesses());
-        votes.retain(targets);
+        votes.retainVotes(targets);
         return targets;
     }
 
@@ -298,24 +327,24 @@
         if (operationInFlight || !backoff.isDue(nowNanos)) {
             return;
         }
-        if (unresolved) {
-            operation++;
+        if (writeOutcomeUnknown) {
+            lastOperation++;
             operationInFlight = true;
-            actions.add(new HolderAction.ReadRecord(operation));
+            actions.add(new HolderAction.ReadRecord(lastOperation));
             return;
         }
         Optional<Member> record = confirmed.isEmpty() ? Optional.of(desired) : recordToWrite(nowNanos);
         if (record.isPresent()) {
-            operation++;
+            lastOperation++;
             operationInFlight = true;
             lastWriteNanos = OptionalLong.of(nowNanos);
             addPending(new PendingWrite(record.get(), nowNanos));
-            Revision expected = confirmed.map(KnownMember::revision).orElse(leftRevision);
-            actions.add(new HolderAction.WriteRecord(operation, record.get(), expected));
+            Revision expected = confirmed.map(VersionedMember::revision).orElse(inheritedRevision);
+            actions.add(new HolderAction.WriteRecord(lastOperation, record.get(), expected));
         }
     }
 
-    /** Adds a write as the latest; of unanswered writes of the same content only the earliest and latest are kept. */
+    /** Appends a pending write. Of pending writes with the same content, only the earliest and the latest are kept. */
     private void addPending(PendingWrite write) {
         List<PendingWrite> same = pendingWrites.stream()
                 .filter(pending -> pending.record().equals(write.record()))
@@ -324,6 +353,7 @@
         pendingWrites.add(write);
     }
 
+    /** Returns the record to write now; empty if no write is due. */
     private Optional<Member> recordToWrite(long nowNanos) {
         Member current = confirmed.orElseThrow().member();
         if (pendingWrites.size() >= MAX_PENDING_WRITES) {
@@ -332,35 +362,42 @@
         if (desired.state() == MemberState.SEALED) {
             return Optional.of(desired);
         }
-        Member sameWitnesses = desired.withWitnesses(current.witnesses());
-        boolean refused = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
-        boolean witnessChange = !desired.witnesses().equals(current.witnesses());
-        if (witnessChange && canSwitch(nowNanos)) {
+        Member desiredWithCurrentWitnesses = desired.withWitnesses(current.witnesses());
+        boolean revisionRefused = !confirmed.orElseThrow().revision().isNewerThan(refusedUpTo);
+        boolean witnessesChanged = !desired.witnesses().equals(current.witnesses());
+        if (witnessesChanged && canChangeWitnesses(nowNanos)) {
             return Optional.of(desired);
         }
-        boolean contentChange = !sameWitnesses.equals(current);
-        if (refused || contentChange || !pendingWrites.isEmpty() || isRenewalDue(current, witnessChange, nowNanos)) {
-            return Optional.of(sameWitnesses);
+        boolean contentChanged = !desiredWithCurrentWitnesses.equals(current);
+        if (revisionRefused
+                || contentChanged
+                || !pendingWrites.isEmpty()
+                || isRenewalDue(current, witnessesChanged, nowNanos)) {
+            return Optional.of(desiredWithCurrentWitnesses);
         }
         return Optional.empty();
     }
 
-    /** Whether the new witnesses have voted, or there is no lease that a change could interrupt. */
-    private boolean canSwitch(long nowNanos) {
+    /** Whether the new witnesses have voted, or there is no valid lease that the change could interrupt. */
+    private boolean canChangeWitnesses(long nowNanos) {
         return validUntilNanos() - nowNanos <= 0
                 || votes.validUntilNanos(desired.witnesses()) - nowNanos > timing.ttlNanos() / 2;
     }
 
-    /** A change to a set that lacks votes is preceded by a renewal, because the vote of the store may complete it. */
-    private boolean isRenewalDue(Member current, boolean witnessChange, long nowNanos) {
-        if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.renewalNanos()) {
+    /**
+     * Whether the record must be rewritten to renew the vote of the store. A change to witnesses that lack votes is
+     * preceded by a renewal, because the vote of the store may complete their majority.
+     */
+    private boolean isRenewalDue(Member current, boolean witnessesChanged, long nowNanos) {
+        if (lastWriteNanos.isPresent() && nowNanos - lastWriteNanos.getAsLong() < timing.minRenewalIntervalNanos()) {
             return false;
         }
-        return isShortOfVotes(current.witnesses(), nowNanos)
-                || (witnessChange && isShortOfVotes(desired.witnesses(), nowNanos));
+        return isWitnessMajorityExpiring(current.witnesses(), nowNanos)
+                || (witnessesChanged && isWitnessMajorityExpiring(desired.witnesses(), nowNanos));
     }
 
-    private boolean isShortOfVotes(List<MemberId> witnesses, long nowNanos) {
+    /** Whether the witnesses alone guarantee a majority for less than half the TTL. */
+    private boolean isWitnessMajorityExpiring(List<MemberId> witnesses, long nowNanos) {
         return votes.witnessMajorityUntilNanos(witnesses) - nowNanos < timing.ttlNanos() / 2;
     }
 }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Takeover.java
@@ -9,19 +9,21 @@
 import java.util.Set;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Takeover of one suspected member.
+ * State machine of a daemon that takes over one suspected member.
  *
- * <p>Invariants: a seal is conditional on a record revision v that this taker has known for longer than the expiry time,
- * and is sent only with the refusals at v that {@link Quorum#refusals} asks for. A newer record starts everything again.
+ * <p>Invariants: the seal is conditional on a record revision v that this daemon has known for longer than the expiry
+ * time, and it is sent only after {@link Quorum#requiredRefusals} witnesses granted a refusal at v. A newer record
+ * restarts the takeover.
  *
- * <p>Not thread safe. Times are monotonic, in nanoseconds.
+ * <p>Each event method that returns actions expects its driver to carry them out. Not thread safe. Times are monotonic,
+ * in nanoseconds.
  */
 public final class Takeover {
-    /** Result of a takeover. */
+    /** Progress of a takeover. */
     public enum State {
         RUNNING,
         /** The record is sealed, by this taker or another. */
@@ -34,10 +36,10 @@
     private final long startAtNanos;
     private final StoreBackoff backoff;
     private final Set<MemberId> refusals = new HashSet<>();
-    private final Map<MemberId, Long> askAgainNanos = new HashMap<>();
-    private KnownMember target;
+    private final Map<MemberId, Long> nextRequestNanos = new HashMap<>();
+    private VersionedMember target;
     private long knownSinceNanos;
-    private long operation;
+    private long lastOperation;
     private boolean operationInFlight;
     private boolean readNeeded;
     private State state = State.RUNNING;
@@ -45,10 +47,10 @@
     /**
      * Starts a takeover.
      *
-     * @param knownSinceNanos when this daemon learned of this revision of the record
+     * @param knownSinceNanos when this daemon first saw this revision of the record
      * @param startAtNanos earliest time of the first action
      */
-    public Takeover(LeaseTiming timing, KnownMember target, long knownSinceNanos, long startAtNanos) {
+    public Takeover(LeaseTiming timing, VersionedMember target, long knownSinceNanos, long startAtNanos) {
         this.timing = timing;
         this.target = target;
         this.knownSinceNanos = knownSinceNanos;
@@ -60,7 +62,7 @@
         return state;
     }
 
-    public KnownMember target() {
+    public VersionedMember target() {
         return target;
     }
 
@@ -68,33 +70,36 @@
         return refusals.size();
     }
 
-    /** Asks witnesses, seals or reads the record, as due. */
+    /** Requests refusals and starts a seal or a read of the record, each if it is due. */
     public List<TakeoverAction> tick(long nowNanos) {
         List<TakeoverAction> actions = new ArrayList<>();
         if (state != State.RUNNING || nowNanos - startAtNanos < 0) {
             return actions;
         }
-        int needed = Quorum.refusals(target.member().witnesses().size());
-        if (refusals.size() < needed) {
-            askWitnesses(nowNanos, actions);
+        int requiredCount = Quorum.requiredRefusals(target.member().witnesses().size());
+        if (refusals.size() < requiredCount) {
+            requestRefusals(nowNanos, actions);
         }
         if (operationInFlight || !backoff.isDue(nowNanos)) {
             return actions;
         }
         if (readNeeded) {
-            operation++;
+            lastOperation++;
             operationInFlight = true;
-            actions.add(new TakeoverAction.ReadRecord(operation));
-        } else if (refusals.size() >= needed && nowNanos - knownSinceNanos > timing.expiryNanos()) {
-            operation++;
+            actions.add(new TakeoverAction.ReadRecord(lastOperation));
+        } else if (refusals.size() >= requiredCount && nowNanos - knownSinceNanos > timing.expiryNanos()) {
+            lastOperation++;
             operationInFlight = true;
             actions.add(new TakeoverAction.Seal(
-                    operation, target.member().withState(MemberState.SEALED), target.revision()));
+                    lastOperation, target.member().withState(MemberState.SEALED), target.revision()));
         }
         return actions;
     }
 
-    /** Answer of a witness; ignored if it is for another revision than the current one. */
+    /**
+     * Handles the answer of a witness; an answer for another revision than that of the target has no effect. A witness
+     * that did not grant the refusal is asked again after its retry delay, but not before half a heartbeat interval.
+     */
     public List<TakeoverAction> refusalAnswered(
             MemberId witness, Revision recordRevision, boolean granted, long retryAfterNanos, long nowNanos) {
         if (!recordRevision.equals(target.revision())) {
@@ -103,51 +108,59 @@
         if (granted && target.member().witnesses().contains(witness)) {
             refusals.add(witness);
         } else {
-            askAgainNanos.put(witness, nowNanos + Math.max(retryAfterNanos, timing.heartbeatNanos() / 2));
+            nextRequestNanos.put(witness, nowNanos + Math.max(retryAfterNanos, timing.heartbeatNanos() / 2));
         }
         return tick(nowNanos);
     }
 
-    /** A record of the member was learned by other means; older ones are ignored. */
-    public void recordLearned(KnownMember record, long nowNanos) {
+    /** Restarts the takeover with a newer record of the member; an older record has no effect. */
+    public void recordUpdated(VersionedMember record, long nowNanos) {
         if (!record.revision().isNewerThan(target.revision())) {
             return;
         }
         target = record;
         knownSinceNanos = nowNanos;
         refusals.clear();
-        askAgainNanos.clear();
+        nextRequestNanos.clear();
         readNeeded = false;
         if (record.member().state() == MemberState.SEALED) {
             state = State.SEALED;
         }
     }
 
-    /** The seal took effect. */
+    /** Handles a seal that took effect and got a revision. */
     public void sealSucceeded(long answeredOperation, Revision revision, long nowNanos) {
-        if (finishes(answeredOperation)) {
-            recordLearned(new KnownMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
+        if (completeOperation(answeredOperation)) {
+            recordUpdated(new VersionedMember(target.member().withState(MemberState.SEALED), revision), nowNanos);
         }
     }
 
-    /** The record has another revision, or it is unknown whether the seal took effect; the record is read. */
-    public List<TakeoverAction> sealUnresolved(long answeredOperation, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    /**
+     * Handles a seal that was rejected because the record has another revision, or whose outcome is unknown. The record
+     * is read before anything else is written.
+     */
+    public List<TakeoverAction> sealNotConfirmed(long answeredOperation, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return List.of();
         }
         readNeeded = true;
         return tick(nowNanos);
     }
 
-    /** The seal or the read certainly had no effect. */
+    /** Handles a failed read, or a seal that had no effect and will have none. */
     public void storeFailed(long answeredOperation, long nowNanos) {
-        if (finishes(answeredOperation)) {
+        if (completeOperation(answeredOperation)) {
             backoff.failed(nowNanos);
         }
     }
 
-    public void readSucceeded(long answeredOperation, Optional<KnownMember> read, long nowNanos) {
-        if (!finishes(answeredOperation)) {
+    /**
+     * Handles the result of reading the record.
+     *
+     * @param read empty if the record does not exist
+     */
+    public void readSucceeded(long answeredOperation, Optional<VersionedMember> read, long nowNanos) {
+        if (!completeOperation(answeredOperation)) {
             return;
         }
         readNeeded = false;
@@ -156,24 +169,25 @@
         } else if (read.get().revision().equals(target.revision())) {
             backoff.failed(nowNanos);
         } else {
-            recordLearned(read.get(), nowNanos);
+            recordUpdated(read.get(), nowNanos);
         }
     }
 
-    private boolean finishes(long answeredOperation) {
-        if (!operationInFlight || answeredOperation != operation) {
+    /** Marks the store operation in flight as completed; returns false if the answer is not for that operation. */
+    private boolean completeOperation(long answeredOperation) {
+        if (!operationInFlight || answeredOperation != lastOperation) {
             return false;
         }
         operationInFlight = false;
         return true;
     }
 
-    private void askWitnesses(long nowNanos, List<TakeoverAction> actions) {
+    private void requestRefusals(long nowNanos, List<TakeoverAction> actions) {
         for (MemberId witness : target.member().witnesses()) {
-            Long againNanos = askAgainNanos.get(witness);
-            if (!refusals.contains(witness) && (againNanos == null || nowNanos - againNanos >= 0)) {
-                askAgainNanos.put(witness, nowNanos + timing.heartbeatNanos());
-                actions.add(new TakeoverAction.AskRefusal(witness, target.revision()));
+            Long nextNanos = nextRequestNanos.get(witness);
+            if (!refusals.contains(witness) && (nextNanos == null || nowNanos - nextNanos >= 0)) {
+                nextRequestNanos.put(witness, nowNanos + timing.heartbeatNanos());
+                actions.add(new TakeoverAction.RequestRefusal(witness, target.revision()));
             }
         }
     }
--- a/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
+++ b/org.coriandercrank.lease/src/main/java/org/coriandercrank/lease/Witness.java
@@ -8,21 +8,24 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Votes of one daemon on the leases of others.
+ * State machine of a daemon that votes on the leases of other members.
  *
- * <p>Invariants: a refusal is given only if the last acknowledgement to the member is older than the expiry time; after a
- * refusal at revision v no heartbeat at v or older is acknowledged. Memory is bounded: the member that was idle longest is
- * forgotten, and limits that hold for every unknown member stand in for it.
+ * <p>Invariants: a refusal is granted only if the last acknowledgement to the member is older than the expiry time;
+ * after a refusal at revision v, no heartbeat at v or an older revision is acknowledged.
+ *
+ * <p>Memory is bounded: the least recently used member is evicted. Its acknowledgement and refusal are merged into
+ * limits that apply to every member without an entry, so both invariants also hold for evicted members.
  *
  * <p>Not thread safe. Times are monotonic, in nanoseconds.
  */
 public final class Witness {
     /**
-     * Answer to a taker. Immutable.
+     * Answer to a taker's request for a refusal. Immutable.
      *
-     * @param retryAfterNanos time after which a refusal may be possible; 0 if granted
+     * @param granted whether the witness refuses the member from now on
+     * @param retryAfterNanos delay before the taker should ask again; 0 if granted
      */
-    public record Decision(boolean granted, long retryAfterNanos) {}
+    public record RefusalDecision(boolean granted, long retryAfterNanos) {}
 
     private static final class Entry {
         private OptionalLong lastAckNanos = OptionalLong.empty();
@@ -32,10 +35,21 @@
 
     private final LeaseTiming timing;
     private final int maxMembers;
+
+    /** Entries in access order: the least recently used member comes first. */
     private final LinkedHashMap<MemberId, Entry> entries = new LinkedHashMap<>(16, 0.75f, true);
-    private OptionalLong forgottenAckNanos = OptionalLong.empty();
-    private Revision forgottenRefusal = Revision.NONE;
 
+    /** Latest acknowledgement to any evicted member. */
+    private OptionalLong evictedAckNanos = OptionalLong.empty();
+
+    /** Newest record revision at which any evicted member was refused. */
+    private Revision evictedRefusal = Revision.NONE;
+
+    /**
+     * Creates a witness.
+     *
+     * @param maxMembers maximum number of members whose votes are remembered individually
+     */
     public Witness(LeaseTiming timing, int maxMembers) {
         if (maxMembers < 1) {
             throw new IllegalArgumentException("maxMembers must be at least 1");
@@ -44,8 +58,11 @@
         this.maxMembers = maxMembers;
     }
 
-    /** Whether a heartbeat is acknowledged. The caller sends the acknowledgement after this call. */
-    public boolean heartbeat(MemberId member, Revision recordRevision, long nowNanos) {
+    /**
+     * Returns whether the heartbeat is acknowledged, and records the acknowledgement. The caller must send the
+     * acknowledgement only after this call.
+     */
+    public boolean acceptHeartbeat(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (!recordRevision.isNewerThan(entry.refusedUpTo)) {
             return false;
@@ -57,56 +74,56 @@
         return true;
     }
 
-    /** Whether the member is refused at a record revision; a taker with an outdated revision gets no refusal. */
-    public Decision refuse(MemberId member, Revision recordRevision, long nowNanos) {
+    /** Decides whether to refuse the member at a record revision; a taker with an outdated revision gets no refusal. */
+    public RefusalDecision requestRefusal(MemberId member, Revision recordRevision, long nowNanos) {
         Entry entry = entry(member);
         if (entry.highestSeen.isNewerThan(recordRevision)) {
-            return new Decision(false, timing.expiryNanos());
+            return new RefusalDecision(false, timing.expiryNanos());
         }
         if (entry.lastAckNanos.isPresent()) {
             long ageNanos = nowNanos - entry.lastAckNanos.getAsLong();
             if (ageNanos <= timing.expiryNanos()) {
-                return new Decision(false, timing.expiryNanos() - ageNanos + 1);
+                return new RefusalDecision(false, timing.expiryNanos() - ageNanos + 1);
             }
         }
         if (recordRevision.isNewerThan(entry.refusedUpTo)) {
             entry.refusedUpTo = recordRevision;
         }
-        return new Decision(true, 0);
+        return new RefusalDecision(true, 0);
     }
 
-    /** When this witness last acknowledged a heartbeat of a member; empty if it has not or no longer knows. */
+    /** Returns when this witness last acknowledged a heartbeat of a member; empty if it never did or was evicted. */
     public OptionalLong lastAckNanos(MemberId member) {
         Entry entry = entries.get(member);
         return entry == null ? OptionalLong.empty() : entry.lastAckNanos;
     }
 
     private Entry entry(MemberId member) {
-        Entry known = entries.get(member);
-        if (known != null) {
-            return known;
+        Entry existingEntry = entries.get(member);
+        if (existingEntry != null) {
+            return existingEntry;
         }
-        Entry fresh = new Entry();
-        fresh.lastAckNanos = forgottenAckNanos;
-        fresh.refusedUpTo = forgottenRefusal;
-        entries.put(member, fresh);
+        Entry added = new Entry();
+        added.lastAckNanos = evictedAckNanos;
+        added.refusedUpTo = evictedRefusal;
+        entries.put(member, added);
         if (entries.size() > maxMembers) {
-            forgetOldest();
+            evictLeastRecentlyUsed();
         }
-        return fresh;
+        return added;
     }
 
-    private void forgetOldest() {
+    private void evictLeastRecentlyUsed() {
         Iterator<Map.Entry<MemberId, Entry>> oldest = entries.entrySet().iterator();
         Entry entry = oldest.next().getValue();
         oldest.remove();
         if (entry.lastAckNanos.isPresent()) {
-            long ack = entry.lastAckNanos.getAsLong();
-            forgottenAckNanos = OptionalLong.of(
-                    forgottenAckNanos.isPresent() ? Nanos.later(ack, forgottenAckNanos.getAsLong()) : ack);
+            long ackNanos = entry.lastAckNanos.getAsLong();
+            evictedAckNanos = OptionalLong.of(
+                    evictedAckNanos.isPresent() ? Nanos.later(ackNanos, evictedAckNanos.getAsLong()) : ackNanos);
         }
-        if (entry.refusedUpTo.isNewerThan(forgottenRefusal)) {
-            forgottenRefusal = entry.refusedUpTo;
+        if (entry.refusedUpTo.isNewerThan(evictedRefusal)) {
+            evictedRefusal = entry.refusedUpTo;
         }
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/CrankLoad.java
@@ -13,10 +13,10 @@
 import org.coriandercrank.load.internal.LoadDriver;
 import org.coriandercrank.load.internal.LoadPlan;
 import org.coriandercrank.load.internal.LoadSettings;
-import org.coriandercrank.load.internal.PlanRun;
-import org.coriandercrank.load.internal.ReportFiles;
+import org.coriandercrank.load.internal.PlanResult;
+import org.coriandercrank.load.internal.ReportWriter;
 
-/** The program {@code crank-load}. Exit code 0: no violation; 1: violations; 2: faulty settings. */
+/** The load generator {@code crank-load}. Exit code 0: no violation; 1: violations; 2: invalid settings. */
 public final class CrankLoad {
     private static final int EXIT_VIOLATIONS = 1;
     private static final int IO_THREADS = 2;
@@ -29,43 +29,46 @@
         System.exit(run(settings) ? 0 : EXIT_VIOLATIONS);
     }
 
-    /** Runs the load and reports it; whether no violation was found. */
+    /** Runs the load and prints reports; returns whether no violation was found. */
     private static boolean run(LoadSettings settings) throws IOException {
-        LoadDriver.CallForm form = settings.direct() ? LoadDriver::direct : LoadDriver::routed;
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
+        LoadDriver.RequestFactory requestFactory =
+                settings.direct() ? LoadDriver::directRequest : LoadDriver::routedRequest;
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
         try {
-            List<LoadPlan> warmup = settings.warmupPlans();
-            if (!warmup.isEmpty()) {
-                PlanRun.runAll(group, settings.targets(), warmup, form);
+            List<LoadPlan> warmupPlans = settings.warmupPlans();
+            if (!warmupPlans.isEmpty()) {
+                PlanResult.runAll(eventLoopGroup, settings.targets(), warmupPlans, requestFactory);
             }
-            settings.heading().ifPresent(System.out::println);
-            return report(settings, PlanRun.runAll(group, settings.targets(), settings.plans(), form));
+            settings.scenarioHeading().ifPresent(System.out::println);
+            return reportResults(
+                    settings, PlanResult.runAll(eventLoopGroup, settings.targets(), settings.plans(), requestFactory));
         } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
     /**
-     * One report for each service, if there are several, and one in total. The total covers all executions of the
-     * ledgers, so that ownership is checked across all callers.
+     * Prints one report per service, if there are several, and one for all services; returns whether no violation was
+     * found. The total covers all executions of the ledgers, so that ownership is checked across all callers.
      */
-    private static boolean report(LoadSettings settings, List<PlanRun> runs) throws IOException {
-        Optional<List<Execution>> executions =
-                settings.ledgers().isEmpty() ? Optional.empty() : Optional.of(LedgerReader.read(settings.ledgers()));
-        if (runs.size() > 1) {
-            for (PlanRun run : runs) {
-                print(settings, run.service(), run.report(executions.map(run::ownExecutions)));
+    private static boolean reportResults(LoadSettings settings, List<PlanResult> results) throws IOException {
+        Optional<List<Execution>> executions = settings.ledgerFiles().isEmpty()
+                ? Optional.empty()
+                : Optional.of(LedgerReader.read(settings.ledgerFiles()));
+        if (results.size() > 1) {
+            for (PlanResult result : results) {
+                printReport(settings, result.service(), result.toReport(executions.map(result::executionsOfCalls)));
             }
         }
-        LoadReport total = PlanRun.total(runs).report(executions);
-        print(settings, runs.size() > 1 ? "total" : "", total);
+        LoadReport total = PlanResult.merge(results).toReport(executions);
+        printReport(settings, results.size() > 1 ? "total" : "", total);
         return total.violations().isEmpty();
     }
 
-    private static void print(LoadSettings settings, String name, LoadReport report) throws IOException {
-        report.lines().forEach(line -> System.out.println(name.isEmpty() ? line : name + ": " + line));
-        if (!settings.report().isEmpty()) {
-            ReportFiles.write(settings.report() + (name.isEmpty() ? "" : "-" + name), report);
+    private static void printReport(LoadSettings settings, String name, LoadReport report) throws IOException {
+        report.toLines().forEach(line -> System.out.println(name.isEmpty() ? line : name + ": " + line));
+        if (!settings.reportPathPrefix().isEmpty()) {
+            ReportWriter.write(settings.reportPathPrefix() + (name.isEmpty() ? "" : "-" + name), report);
         }
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/LoadReport.java
@@ -13,13 +13,15 @@
 import org.coriandercrank.kernel.code.ResultCode;
 
 /**
- * Figures of one run. Immutable.
+ * Measurements of one run. Immutable. Latency counts from the scheduled start of a call.
  *
- * @param outcomes number of calls by what they said, {@code no-answer} included
- * @param unavailableKeySeconds sum over keys of the time between the instant a failed or late call was due and the
- *     next success of that key
+ * @param outcomes number of calls by stated outcome; {@code no-answer} for calls without an outcome
+ * @param resultCodes number of calls by result code; {@code NO_ANSWER} for calls that failed without one
+ * @param unavailableKeySeconds total time over all keys in which a key was not served: from the scheduled start of a
+ *     failed or late call to the next success of its key, or to the end of the last call for its key if none succeeds
  * @param longestGapMs longest such time of one key
- * @param imbalance mean over seconds of the busiest server's executions over the mean of all servers; 0 without ledgers
+ * @param imbalance number of executions of the busiest server divided by the mean of all servers, averaged over the
+ *     seconds with executions; 0 without ledgers
  * @param perSecond time series for the plot
  */
 public record LoadReport(
@@ -34,65 +36,75 @@
         double unavailableKeySeconds,
         double longestGapMs,
         double imbalance,
-        List<Second> perSecond,
+        List<SecondStats> perSecond,
         List<Violation> violations) {
     private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(2);
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 3;
+    private static final int MAX_PRINTED_VIOLATIONS = 5;
+    private static final double US_PER_MS = 1e3;
     private static final double NANOS_PER_MS = 1e6;
 
-    /** The target for the unavailable time of a planned move; a key that is served later counts as not served. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /**
+     * A key counts as not served if no call for it succeeds within this time after the scheduled start of one of its
+     * calls. This is the target for the unavailable time of a planned move.
+     */
+    private static final long LATE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** One second of a run. Immutable. */
-    public record Second(long second, long succeeded, long failed, double imbalance) {}
+    /**
+     * Measurements of one second of a run. Immutable.
+     *
+     * @param second number of the second from the start of the run, from 0
+     */
+    public record SecondStats(long second, long succeeded, long failed, double imbalance) {}
 
     public LoadReport {
         perSecond = List.copyOf(perSecond);
         violations = List.copyOf(violations);
     }
 
-    /** Figures of a run that started at a monotonic time. */
+    /** Returns the report of a run. The start is on the clock of the calls and executions. */
     public static LoadReport of(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
         return of(startedNanos, calls, executions, HistoryChecker.check(calls, executions));
     }
 
-    /** Figures of a run whose ledgers are not available. */
+    /** Returns the report of a run whose ledgers are not available. */
     public static LoadReport withoutLedgers(long startedNanos, List<CallRecord> calls) {
         return of(startedNanos, calls, List.of(), HistoryChecker.checkWithoutLedgers(calls));
     }
 
     private static LoadReport of(
             long startedNanos, List<CallRecord> calls, List<Execution> executions, List<Violation> violations) {
-        Histogram latencyUs = new Histogram(MAX_LATENCY_US, 3);
+        Histogram latencyHistogramUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_SIGNIFICANT_DIGITS);
         Map<String, Long> outcomes = new TreeMap<>();
-        Map<String, Long> codes = new TreeMap<>();
+        Map<String, Long> resultCodes = new TreeMap<>();
         long succeeded = 0;
         long lastNanos = startedNanos + 1;
         for (CallRecord call : calls) {
-            long us = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
-            latencyUs.recordValue(Math.min(Math.max(us, 0), MAX_LATENCY_US));
-            outcomes.merge(call.outcome().map(o -> o.headerValue()).orElse("no-answer"), 1L, Long::sum);
-            codes.merge(codeName(call.resultCode()), 1L, Long::sum);
+            long callLatencyUs = TimeUnit.NANOSECONDS.toMicros(call.endedNanos() - call.intendedNanos());
+            latencyHistogramUs.recordValue(Math.min(Math.max(callLatencyUs, 0), MAX_LATENCY_US));
+            outcomes.merge(call.outcome().map(outcome -> outcome.headerValue()).orElse("no-answer"), 1L, Long::sum);
+            resultCodes.merge(codeName(call.resultCode()), 1L, Long::sum);
             succeeded += call.succeeded() ? 1 : 0;
             lastNanos = Math.max(lastNanos, call.endedNanos());
         }
-        List<Long> gapsNanos = gaps(calls);
-        List<Second> seconds = seconds(startedNanos, calls, executions);
+        List<Long> unavailableNanos = unavailableNanos(calls);
+        List<SecondStats> seconds = perSecondStats(startedNanos, calls, executions);
         return new LoadReport(
                 calls.size(),
                 succeeded,
                 succeeded / ((lastNanos - startedNanos) / NANOS_PER_SECOND),
-                latencyUs.getValueAtPercentile(50) / 1e3,
-                latencyUs.getValueAtPercentile(99) / 1e3,
-                latencyUs.getMaxValue() / 1e3,
+                latencyHistogramUs.getValueAtPercentile(50) / US_PER_MS,
+                latencyHistogramUs.getValueAtPercentile(99) / US_PER_MS,
+                latencyHistogramUs.getMaxValue() / US_PER_MS,
                 outcomes,
-                codes,
-                gapsNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
-                gapsNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
+                resultCodes,
+                unavailableNanos.stream().mapToLong(Long::longValue).sum() / NANOS_PER_SECOND,
+                unavailableNanos.stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS,
                 seconds.stream()
-                        .mapToDouble(Second::imbalance)
-                        .filter(v -> v > 0)
+                        .mapToDouble(SecondStats::imbalance)
+                        .filter(imbalance -> imbalance > 0)
                         .average()
                         .orElse(0),
                 seconds,
@@ -103,70 +115,77 @@
         return ResultCode.ofNumber(number).map(ResultCode::name).orElse("NO_ANSWER");
     }
 
-    private static List<Long> gaps(List<CallRecord> calls) {
-        List<Long> gaps = new ArrayList<>();
+    private static List<Long> unavailableNanos(List<CallRecord> calls) {
+        List<Long> unavailableNanos = new ArrayList<>();
         calls.stream()
                 .filter(call -> !call.key().isEmpty())
                 .collect(Collectors.groupingBy(CallRecord::key))
                 .values()
-                .forEach(ofKey -> addGaps(ofKey, gaps));
-        return gaps;
+                .forEach(callsOfKey -> addUnavailableNanos(callsOfKey, unavailableNanos));
+        return unavailableNanos;
     }
 
     /**
-     * Adds the times in which a key was not served: from the instant at which a failed or late call was due to the first
-     * success of the key after it. Overlapping times are merged.
+     * Adds the periods in which a key was not served: from the scheduled start of a failed or late call to the next
+     * success of the key, or to the end of its last call if none succeeds. Overlapping periods are merged.
      */
-    private static void addGaps(List<CallRecord> ofKey, List<Long> gaps) {
-        TreeSet<Long> served = ofKey.stream()
+    private static void addUnavailableNanos(List<CallRecord> callsOfKey, List<Long> unavailableNanos) {
+        TreeSet<Long> successEndNanos = callsOfKey.stream()
                 .filter(CallRecord::succeeded)
                 .map(CallRecord::endedNanos)
                 .collect(Collectors.toCollection(TreeSet::new));
         long lastEndNanos =
-                ofKey.stream().mapToLong(CallRecord::endedNanos).max().orElse(0);
-        List<CallRecord> ordered = new ArrayList<>(ofKey);
+                callsOfKey.stream().mapToLong(CallRecord::endedNanos).max().orElse(0);
+        List<CallRecord> ordered = new ArrayList<>(callsOfKey);
         ordered.sort(Comparator.comparingLong(CallRecord::intendedNanos));
         long coveredUntilNanos = Long.MIN_VALUE;
         for (CallRecord call : ordered) {
-            Long servedNanos = served.ceiling(call.intendedNanos());
-            long untilNanos = servedNanos == null ? lastEndNanos : servedNanos;
-            boolean notServed = !call.succeeded() || untilNanos - call.intendedNanos() > LATE_NANOS;
+            Long nextSuccessNanos = successEndNanos.ceiling(call.intendedNanos());
+            long untilNanos = nextSuccessNanos == null ? lastEndNanos : nextSuccessNanos;
+            boolean notServed = !call.succeeded() || untilNanos - call.intendedNanos() > LATE_THRESHOLD_NANOS;
             if (notServed && untilNanos > coveredUntilNanos) {
-                gaps.add(untilNanos - call.intendedNanos());
+                unavailableNanos.add(untilNanos - call.intendedNanos());
                 coveredUntilNanos = untilNanos;
             }
         }
     }
 
-    private static List<Second> seconds(long startedNanos, List<CallRecord> calls, List<Execution> executions) {
-        Map<Long, long[]> counts = new TreeMap<>();
+    private static List<SecondStats> perSecondStats(
+            long startedNanos, List<CallRecord> calls, List<Execution> executions) {
+        Map<Long, long[]> callCountsBySecond = new TreeMap<>();
         for (CallRecord call : calls) {
             long second = (call.intendedNanos() - startedNanos) / (long) NANOS_PER_SECOND;
-            counts.computeIfAbsent(second, s -> new long[2])[call.succeeded() ? 0 : 1]++;
+            callCountsBySecond.computeIfAbsent(second, s -> new long[2])[call.succeeded() ? 0 : 1]++;
         }
-        Map<Long, Map<String, Long>> perServer = new HashMap<>();
+        Map<Long, Map<String, Long>> executionsBySecondAndServer = new HashMap<>();
         long servers = executions.stream().map(Execution::server).distinct().count();
         for (Execution execution : executions) {
             long second = Math.floorDiv(execution.endNanos() - startedNanos, (long) NANOS_PER_SECOND);
-            perServer.computeIfAbsent(second, s -> new HashMap<>()).merge(execution.server(), 1L, Long::sum);
+            executionsBySecondAndServer
+                    .computeIfAbsent(second, s -> new HashMap<>())
+                    .merge(execution.server(), 1L, Long::sum);
         }
-        List<Second> seconds = new ArrayList<>();
-        counts.forEach((second, count) ->
-                seconds.add(new Second(second, count[0], count[1], imbalance(perServer.get(second), servers))));
+        List<SecondStats> seconds = new ArrayList<>();
+        callCountsBySecond.forEach((second, callCounts) -> seconds.add(new SecondStats(
+                second, callCounts[0], callCounts[1], imbalance(executionsBySecondAndServer.get(second), servers))));
         return seconds;
     }
 
-    private static double imbalance(Map<String, Long> executions, long servers) {
-        if (executions == null || executions.isEmpty()) {
+    private static double imbalance(Map<String, Long> executionsByServer, long servers) {
+        if (executionsByServer == null || executionsByServer.isEmpty()) {
             return 0;
         }
-        long sum = executions.values().stream().mapToLong(Long::longValue).sum();
-        long max = executions.values().stream().mapToLong(Long::longValue).max().orElse(0);
-        return max * servers / (double) sum;
+        long total =
+                executionsByServer.values().stream().mapToLong(Long::longValue).sum();
+        long busiest = executionsByServer.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
+        return busiest * servers / (double) total;
     }
 
-    /** A short text for people. */
-    public List<String> lines() {
+    /** Returns a short summary as text. */
+    public List<String> toLines() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format("calls %d, succeeded %d, goodput %.1f/s", calls, succeeded, goodputPerSecond));
         lines.add(String.format(
@@ -177,7 +196,9 @@
                 "unavailable %.3f key-seconds, longest gap of a key %.0f ms, imbalance %.3f",
                 unavailableKeySeconds, longestGapMs, imbalance));
         lines.add("violations " + violations.size());
-        violations.stream().limit(5).forEach(v -> lines.add("  " + v.kind() + " " + v.detail()));
+        violations.stream()
+                .limit(MAX_PRINTED_VIOLATIONS)
+                .forEach(violation -> lines.add("  " + violation.kind() + " " + violation.detail()));
         return lines;
     }
 }
--- a/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
+++ b/org.coriandercrank.load/src/main/java/org/coriandercrank/load/internal/LoadSettings.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.coriandercrank.kernel.id.HostAddress;
-import org.coriandercrank.kernel.settings.Faults;
 import org.coriandercrank.kernel.settings.Settings;
-import org.coriandercrank.load.internal.Scenario.Part;
+import org.coriandercrank.kernel.settings.ValidationErrors;
+import org.coriandercrank.load.internal.Scenario.ServiceShare;
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.ExplicitBooleanOptionHandler;
 
@@ -17,13 +17,16 @@
     private static final long MAX_DURATION_MS = 3_600_000;
     private static final long WARMUP_SEED_OFFSET = 1_000_003;
 
-    @Option(name = "--targets", metaVar = "IP:PORT,...", usage = "callers' addresses of daemons")
+    @Option(
+            name = "--targets",
+            metaVar = "IP:PORT,...",
+            usage = "addresses at which daemons accept requests of callers")
     private String targets;
 
     @Option(
             name = "--scenario",
             metaVar = "NAME",
-            usage = "authority or tincturia: its services in place of --service, --keyed and --write-percent")
+            usage = "authority or tincturia; replaces --service, --keyed and --write-percent")
     private String scenario = "";
 
     @Option(name = "--service", metaVar = "NAME", usage = "name of the service")
@@ -34,7 +37,7 @@
 
     @Option(
             name = "--direct",
-            usage = "whether targets are backend servers that check nothing",
+            usage = "whether targets are backend servers without ownership checks instead of daemons",
             handler = ExplicitBooleanOptionHandler.class)
     private boolean direct;
 
@@ -44,7 +47,7 @@
     @Option(name = "--duration-ms", metaVar = "MS", usage = "length of the schedule")
     private long durationMs = 10_000;
 
-    @Option(name = "--warmup-ms", metaVar = "MS", usage = "length of a run before it that is not reported")
+    @Option(name = "--warmup-ms", metaVar = "MS", usage = "length of a warm-up run that is not reported; 0: none")
     private long warmupMs = 0;
 
     @Option(name = "--keys", metaVar = "N", usage = "number of keys")
@@ -68,45 +71,45 @@
     @Option(name = "--deadline-ms", metaVar = "MS", usage = "deadline of requests")
     private long deadlineMs = 2_000;
 
-    @Option(name = "--max-repeats", metaVar = "N", usage = "further attempts of an operation without success")
-    private int maxRepeats = 0;
+    @Option(name = "--max-repeats", metaVar = "N", usage = "largest number of retries of an operation without success")
+    private int maxRetries = 0;
 
     @Option(name = "--seed", metaVar = "N", usage = "seed of keys and arrivals")
     private long seed = 1;
 
     @Option(name = "--ledgers", metaVar = "PATH,...", usage = "ledger files of the backend servers")
-    private String ledgers = "";
+    private String ledgerFiles = "";
 
-    @Option(name = "--report", metaVar = "PATH", usage = "start of the names of the report files; empty: none")
-    private String report = "";
+    @Option(name = "--report", metaVar = "PATH", usage = "path prefix of the report files; empty: none")
+    private String reportPathPrefix = "";
 
     private final List<HostAddress> parsedTargets = new ArrayList<>();
     private Optional<Scenario> parsedScenario = Optional.empty();
 
     @Override
-    public void check(Faults faults) {
+    public void validate(ValidationErrors errors) {
         if (targets == null || targets.isEmpty()) {
-            faults.add("--targets", "is required");
+            errors.add("--targets", "is required");
         } else {
             for (String target : targets.split(",")) {
-                parsedTargets.add(faults.parse("--targets", target, HostAddress::parse));
+                parsedTargets.add(errors.parse("--targets", target, HostAddress::parse));
             }
         }
         if (!scenario.isEmpty()) {
-            parsedScenario = Optional.ofNullable(faults.parse("--scenario", scenario, LoadSettings::parseScenario));
+            parsedScenario = Optional.ofNullable(errors.parse("--scenario", scenario, LoadSettings::parseScenario));
         }
-        faults.requireRange("--rate", ratePerSecond, 1, 1_000_000);
-        faults.requireRange("--duration-ms", durationMs, 1, MAX_DURATION_MS);
-        faults.requireRange("--warmup-ms", warmupMs, 0, MAX_DURATION_MS);
-        faults.requireRange("--keys", keys, 1, 10_000_000);
-        faults.requireRange("--hot-keys", hotKeys, 0, keys);
-        faults.requireRange("--hot-change-ms", hotChangeMs, 1, MAX_DURATION_MS);
-        faults.requireRange("--write-percent", writePercent, 0, 100);
-        faults.requireRange("--body-bytes", bodyBytes, 0, 1_048_576);
-        faults.requireRange("--deadline-ms", deadlineMs, 1, 600_000);
-        faults.requireRange("--max-repeats", maxRepeats, 0, 100);
+        errors.requireRange("--rate", ratePerSecond, 1, 1_000_000);
+        errors.requireRange("--duration-ms", durationMs, 1, MAX_DURATION_MS);
+        errors.requireRange("--warmup-ms", warmupMs, 0, MAX_DURATION_MS);
+        errors.requireRange("--keys", keys, 1, 10_000_000);
+        errors.requireRange("--hot-keys", hotKeys, 0, keys);
+        errors.requireRange("--hot-change-ms", hotChangeMs, 1, MAX_DURATION_MS);
+        errors.requireRange("--write-percent", writePercent, 0, 100);
+        errors.requireRange("--body-bytes", bodyBytes, 0, 1_048_576);
+        errors.requireRange("--deadline-ms", deadlineMs, 1, 600_000);
+        errors.requireRange("--max-repeats", maxRetries, 0, 100);
         if (zipfExponent < 0 || zipfExponent > 3) {
-            faults.add("--zipf", "must be between 0 and 3");
+            errors.add("--zipf", "must be between 0 and 3");
         }
     }
 
@@ -118,66 +121,66 @@
         return direct;
     }
 
-    /** A line above the reports of a scenario. */
-    public Optional<String> heading() {
-        return parsedScenario.map(
-                known -> "scenario " + scenario + ", for servers with " + known.slotsPerServer() + " slots");
+    /** Returns the line printed above the reports of a scenario; empty without a scenario. */
+    public Optional<String> scenarioHeading() {
+        return parsedScenario.map(knownScenario ->
+                "scenario " + scenario + ", for servers with " + knownScenario.slotsPerServer() + " slots");
     }
 
-    /** The plans of the run, which start together: one, or one for each service of the scenario. */
+    /** Returns the plans of the measured run, which start together: one, or one per service of the scenario. */
     public List<LoadPlan> plans() {
         return plans(durationMs, seed);
     }
 
-    /** The plans of the run before the measured one; empty if there is none. */
+    /** Returns the plans of the warm-up run; empty if there is none. */
     public List<LoadPlan> warmupPlans() {
         return warmupMs == 0 ? List.of() : plans(warmupMs, seed + WARMUP_SEED_OFFSET);
     }
 
     private List<LoadPlan> plans(long planDurationMs, long firstSeed) {
         if (parsedScenario.isEmpty()) {
-            return List.of(plan(new Part(service, keyed, 100, writePercent), planDurationMs, firstSeed));
+            return List.of(plan(new ServiceShare(service, keyed, 100, writePercent), planDurationMs, firstSeed));
         }
         List<LoadPlan> plans = new ArrayList<>();
-        for (Part part : parsedScenario.get().parts()) {
-            plans.add(plan(part, planDurationMs, firstSeed + plans.size()));
+        for (ServiceShare share : parsedScenario.get().serviceShares()) {
+            plans.add(plan(share, planDurationMs, firstSeed + plans.size()));
         }
         return plans;
     }
 
-    private LoadPlan plan(Part part, long planDurationMs, long planSeed) {
+    private LoadPlan plan(ServiceShare share, long planDurationMs, long planSeed) {
         return new LoadPlan(
-                part.service(),
-                part.keyed(),
-                Math.max(1, ratePerSecond * part.ratePercent() / 100),
+                share.service(),
+                share.keyed(),
+                Math.max(1, ratePerSecond * share.ratePercent() / 100),
                 planDurationMs,
                 keys,
                 zipfExponent,
                 hotKeys,
                 hotChangeMs,
-                part.writePercent(),
+                share.writePercent(),
                 bodyBytes,
                 deadlineMs,
-                maxRepeats,
+                maxRetries,
                 planSeed);
     }
 
     private static Scenario parseScenario(String name) {
-        for (Scenario known : Scenario.values()) {
-            if (known.name().toLowerCase(Locale.ROOT).equals(name)) {
-                return known;
+        for (Scenario candidate : Scenario.values()) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(name)) {
+                return candidate;
             }
         }
         throw new IllegalArgumentException("must be authority or tincturia, got " + name);
     }
 
-    public List<Path> ledgers() {
-        return ledgers.isEmpty()
+    public List<Path> ledgerFiles() {
+        return ledgerFiles.isEmpty()
                 ? List.of()
-                : List.of(ledgers.split(",")).stream().map(Path::of).toList();
+                : List.of(ledgerFiles.split(",")).stream().map(Path::of).toList();
     }
 
-    public String report() {
-        return report;
+    public String reportPathPrefix() {
+        return reportPathPrefix;
     }
 }
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteFaultsTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteErrorsTest.java
@@ -13,28 +13,28 @@
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.ServiceName;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteApplication.Environment;
+import org.coriandercrank.note.NoteApplier.Environment;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against notes that are accepted in part, or refused without naming each fault. */
-class NoteFaultsTest {
+/** Guards against notes that are applied partially, or rejected without a report of every error. */
+class NoteErrorsTest {
     private static final ServiceName DESK = new ServiceName("counter-desk");
     private static final Configuration BASE = new Configuration(
             List.of(ServiceConfig.withDefaults(DESK, true)), List.of(new BackendRule("desk-1", 100, false)), List.of());
     private static final Environment ENVIRONMENT =
             new Environment(Set.of(DESK), Set.of("availability", "low-churn"), Set.of("two-choices"));
 
-    private final List<NoteFault> faults = new ArrayList<>();
+    private final List<NoteError> errors = new ArrayList<>();
 
     private Optional<Configuration> apply(String json) {
         NoteParser parser = new NoteParser();
         Optional<ReleaseNote> note = parser.parse(json);
-        faults.addAll(parser.faults());
-        NoteApplication application = new NoteApplication(BASE, ENVIRONMENT);
-        Optional<Configuration> result = note.flatMap(application::apply);
-        faults.addAll(application.faults());
+        errors.addAll(parser.errors());
+        NoteApplier applier = new NoteApplier(BASE, ENVIRONMENT);
+        Optional<Configuration> result = note.flatMap(applier::apply);
+        errors.addAll(applier.errors());
         return result;
     }
 
@@ -75,26 +75,26 @@
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1","drain":1}]}} | change.backends[0].drain | WRONG_TYPE
             {"id":"n","basedOn":1,"change":{"backends":[{"backendName":"desk-1"}]},"withdraw":{"backends":["desk-1"]}} | withdraw.backends[0] | CONFLICTING_ENTRIES
             """)
-    void refusesAndNamesTheFault(String json, String path, NoteFault.Kind kind) {
+    void rejectsNoteAndReportsError(String json, String path, NoteError.Kind kind) {
         Optional<Configuration> result = apply(json);
 
         assertThat(result).isEmpty();
-        assertThat(faults).anySatisfy(fault -> {
-            assertThat(fault.path()).isEqualTo(path == null ? "" : path);
-            assertThat(fault.kind()).isEqualTo(kind);
+        assertThat(errors).anySatisfy(error -> {
+            assertThat(error.path()).isEqualTo(path == null ? "" : path);
+            assertThat(error.kind()).isEqualTo(kind);
         });
     }
 
     @Test
-    void reportsAllFaultsTogether() {
+    void reportsAllErrorsTogether() {
         apply("{\"id\":\"n\",\"basedOn\":1,\"change\":{\"services\":[{\"name\":\"counter-desk\","
                 + "\"maxBodyBytes\":-1,\"maxQueueLength\":-1}],\"backends\":[{\"backendName\":\"x\"}]}}");
 
-        assertThat(faults).hasSize(3);
+        assertThat(errors).hasSize(3);
     }
 
     @Test
-    void appliesAValidNoteAsAWhole() {
+    void appliesValidNoteCompletely() {
         Configuration result = apply("{\"id\":\"n\",\"basedOn\":1,"
                         + "\"add\":{\"services\":[{\"name\":\"cashbook\",\"keyed\":false}]},"
                         + "\"change\":{\"services\":[{\"name\":\"counter-desk\",\"placementPolicy\":\"low-churn\"}],"
@@ -102,9 +102,10 @@
                 .orElseThrow();
 
         assertThat(result.service(new ServiceName("cashbook")))
-                .hasValueSatisfying(s -> assertThat(s.keyed()).isFalse());
+                .hasValueSatisfying(service -> assertThat(service.keyed()).isFalse());
         assertThat(result.service(DESK))
-                .hasValueSatisfying(s -> assertThat(s.placementPolicy()).isEqualTo("low-churn"));
+                .hasValueSatisfying(
+                        service -> assertThat(service.placementPolicy()).isEqualTo("low-churn"));
         assertThat(result.isDraining("desk-1")).isTrue();
         assertThat(result.recentNotes()).hasSize(1);
     }
@@ -113,7 +114,7 @@
     @CsvSource(
             nullValues = "-",
             value = {"-,DOMAIN_FIRST", "any,ANY", "region-first,REGION_FIRST", "domain-first,DOMAIN_FIRST"})
-    void localityIsTakenFromTheNoteAndKeptInTheStoredForm(String text, Locality expected) {
+    void localityOfNoteIsStored(String text, Locality expected) {
         String field = text == null ? "" : ",\"locality\":\"" + text + "\"";
         Configuration result = apply("{\"id\":\"n\",\"basedOn\":1,\"add\":{\"services\":[{\"name\":\"cashbook\","
                         + "\"keyed\":false" + field + "}]}}")
@@ -122,17 +123,17 @@
 
         assertThat(stored).isEqualTo(result);
         assertThat(stored.service(new ServiceName("cashbook")))
-                .hasValueSatisfying(s -> assertThat(s.locality()).isEqualTo(expected));
+                .hasValueSatisfying(service -> assertThat(service.locality()).isEqualTo(expected));
     }
 
-    /** Guards against daemons that cannot read a configuration written before the field existed. */
+    /** Guards against daemons that cannot read a configuration that was written before the field existed. */
     @Test
     void configurationWithoutLocalityIsRead() {
-        String before = new String(JsonCodec.encode(BASE), StandardCharsets.UTF_8);
-        String old = before.replace(",\"locality\":\"domain-first\"", "");
+        String current = new String(JsonCodec.encode(BASE), StandardCharsets.UTF_8);
+        String withoutLocality = current.replace(",\"locality\":\"domain-first\"", "");
 
-        assertThat(old).isNotEqualTo(before);
-        assertThat(JsonCodec.decode(old.getBytes(StandardCharsets.UTF_8), Configuration.class))
+        assertThat(withoutLocality).isNotEqualTo(current);
+        assertThat(JsonCodec.decode(withoutLocality.getBytes(StandardCharsets.UTF_8), Configuration.class))
                 .isEqualTo(BASE);
     }
 }
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/SubmitNoteTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/NoteSubmitterTest.java
@@ -13,17 +13,17 @@
 import org.coriandercrank.kernel.id.Revision;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
-import org.coriandercrank.note.NoteApplication.Environment;
+import org.coriandercrank.note.NoteApplier.Environment;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against notes that are applied twice, lost, or reported with another result than they had. */
-class SubmitNoteTest {
+/** Guards against notes that are applied twice, are lost, or get a wrong result. */
+class NoteSubmitterTest {
     private static final Environment ENVIRONMENT = new Environment(Set.of(), Set.of(), Set.of());
     private static final long TIMEOUT_MS = 1_300;
-    private static final long SETTLE_MS = 1_800;
+    private static final long DELAYED_WRITES_MS = 1_800;
 
     private final FaultyStore store = new FaultyStore();
 
@@ -33,7 +33,7 @@
     }
 
     private SubmitResult submit(String text) {
-        return new SubmitNote(store, () -> ENVIRONMENT, TIMEOUT_MS).call(text);
+        return new NoteSubmitter(store, () -> ENVIRONMENT, TIMEOUT_MS).submit(text);
     }
 
     private static String note(String id, Revision basedOn, String backend) {
@@ -50,7 +50,7 @@
 
     private List<String> acceptedIds() {
         return history().configuration().recentNotes().stream()
-                .map(accepted -> accepted.id().value())
+                .map(acceptedNote -> acceptedNote.id().value())
                 .toList();
     }
 
@@ -77,40 +77,41 @@
             write   | {"kind":"delayed-write","delayMs":1600}                             | WRITE_UNANSWERED
             write   | {"kind":"delayed-write","delayMs":300,"count":1};{"kind":"slow","delayMs":1500} | WRITE_UNANSWERED
             """)
-    void reportsWhatIsCertainAndAppliesOnce(String at, String faults, ResultCode expected) throws Exception {
+    void reportsDefiniteResultAndAppliesOnce(String injectedAt, String faults, ResultCode expected) throws Exception {
         String text = note("n", Revision.NONE, "desk-1");
-        if ("start".equals(at)) {
-            store.fault(faults);
+        if ("start".equals(injectedAt)) {
+            store.injectFault(faults);
         } else {
-            store.faultsAtConfigurationWrite(List.of(faults.split(";")));
+            store.injectFaultsAtConfigurationWrite(List.of(faults.split(";")));
         }
 
         assertThat(submit(text).code()).isEqualTo(expected);
-        store.fault("{\"kind\":\"up\"}");
+        store.injectFault("{\"kind\":\"up\"}");
         if (faults.contains("delayMs")) {
-            Thread.sleep(SETTLE_MS);
+            Thread.sleep(DELAYED_WRITES_MS);
         }
         if (expected != ResultCode.WRITE_UNANSWERED) {
             assertThat(acceptedIds()).isEqualTo(expected == ResultCode.OK ? List.of("n") : List.of());
         }
 
-        SubmitResult again = submit(text);
-        assertThat(again.code()).isEqualTo(ResultCode.OK);
-        assertThat(again.revision()).isEqualTo(history().revision());
+        SubmitResult repeated = submit(text);
+        assertThat(repeated.code()).isEqualTo(ResultCode.OK);
+        assertThat(repeated.revision()).isEqualTo(history().revision());
         assertThat(acceptedIds()).containsExactly("n");
     }
 
     @Test
-    void findsTheRevisionOfAnUnansweredNoteBelowALaterOne() {
-        String first = note("n-1", Revision.NONE, "desk-1");
-        store.faultsAtConfigurationWrite(List.of("{\"kind\":\"unanswered\"}", "{\"kind\":\"slow\",\"delayMs\":1500}"));
-        ResultCode unanswered = submit(first).code();
-        store.fault("{\"kind\":\"up\"}");
-        Revision accepted = awaitRevision();
-        ResultCode second = submit(note("n-2", accepted, "desk-2")).code();
-
-        assertThat(List.of(unanswered, second)).containsExactly(ResultCode.WRITE_UNANSWERED, ResultCode.OK);
-        assertThat(submit(first).revision()).isEqualTo(accepted);
+    void findsRevisionOfUnansweredNoteBeforeLaterNote() {
+        String firstNote = note("n-1", Revision.NONE, "desk-1");
+        store.injectFaultsAtConfigurationWrite(
+                List.of("{\"kind\":\"unanswered\"}", "{\"kind\":\"slow\",\"delayMs\":1500}"));
+        ResultCode firstCode = submit(firstNote).code();
+        store.injectFault("{\"kind\":\"up\"}");
+        Revision acceptedRevision = awaitRevision();
+        ResultCode secondCode = submit(note("n-2", acceptedRevision, "desk-2")).code();
+
+        assertThat(List.of(firstCode, secondCode)).containsExactly(ResultCode.WRITE_UNANSWERED, ResultCode.OK);
+        assertThat(submit(firstNote).revision()).isEqualTo(acceptedRevision);
         assertThat(acceptedIds()).containsExactly("n-2", "n-1");
     }
 
@@ -122,22 +123,24 @@
     }
 
     @Test
-    void conflictingNoteHasNoEffectHoweverOftenItIsSubmitted() {
+    void repeatedConflictingNoteHasNoEffect() {
         Revision current = submit(note("n-1", Revision.NONE, "desk-1")).revision();
-        String late = note("n-2", Revision.NONE, "desk-2");
+        String conflictingNote = note("n-2", Revision.NONE, "desk-2");
 
         for (int i = 0; i < 3; i++) {
-            SubmitResult conflict = submit(late);
+            SubmitResult conflict = submit(conflictingNote);
             assertThat(conflict.code()).isEqualTo(ResultCode.NOTE_CONFLICT);
             assertThat(conflict.revision()).isEqualTo(current);
-            assertThat(conflict.newerNotes()).extracting(n -> n.id().value()).containsExactly("n-1");
+            assertThat(conflict.newerNotes())
+                    .extracting(newerNote -> newerNote.id().value())
+                    .containsExactly("n-1");
         }
         assertThat(acceptedIds()).containsExactly("n-1");
         assertThat(submit(note("n-2", current, "desk-2")).code()).isEqualTo(ResultCode.OK);
     }
 
     @Test
-    void invalidNoteLeavesItsIdFree() {
+    void invalidNoteDoesNotClaimId() {
         String invalid = "{\"id\":\"n\",\"basedOn\":0,\"withdraw\":{\"backends\":[\"desk-1\"]}}";
 
         assertThat(submit(invalid).code()).isEqualTo(ResultCode.NOTE_INVALID);
@@ -146,7 +149,7 @@
     }
 
     @Test
-    void idOfAnAcceptedNoteIsRefusedForAnotherText() {
+    void idOfAcceptedNoteIsRejectedForOtherText() {
         Revision current = submit(note("n", Revision.NONE, "desk-1")).revision();
 
         assertThat(submit(note("n", Revision.NONE, "desk-2")).code()).isEqualTo(ResultCode.NOTE_ID_REUSED);
@@ -155,12 +158,12 @@
     }
 
     @Test
-    void idOfAGivenUpNoteIsFreeOnceItCannotBeAccepted() {
-        store.faultsAtConfigurationWrite(List.of("{\"kind\":\"down\"}"));
-        ResultCode givenUp = submit(note("n", Revision.NONE, "desk-1")).code();
-        store.fault("{\"kind\":\"up\"}");
+    void idOfAbandonedNoteIsReusableOnceNoteCannotBeAccepted() {
+        store.injectFaultsAtConfigurationWrite(List.of("{\"kind\":\"down\"}"));
+        ResultCode abandoned = submit(note("n", Revision.NONE, "desk-1")).code();
+        store.injectFault("{\"kind\":\"up\"}");
 
-        assertThat(givenUp).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        assertThat(abandoned).isEqualTo(ResultCode.STORE_UNAVAILABLE);
         assertThat(submit(note("n", Revision.NONE, "desk-2")).code()).isEqualTo(ResultCode.NOTE_ID_REUSED);
         Revision current = submit(note("other", Revision.NONE, "desk-3")).revision();
         assertThat(submit(note("n", current, "desk-2")).code()).isEqualTo(ResultCode.OK);
@@ -169,32 +172,33 @@
 
     @ParameterizedTest
     @CsvSource({"up,0", "unanswered,0", "delayed-write,150"})
-    void racingSubmissionsOfOneTextGetOneRevision(String kind, int delayMs) {
+    void concurrentSubmissionsOfOneTextGetOneRevision(String kind, int delayMs) {
         String text = note("n", Revision.NONE, "desk-1");
-        store.fault("{\"kind\":\"" + kind + "\",\"delayMs\":" + delayMs + ",\"count\":3}");
+        store.injectFault("{\"kind\":\"" + kind + "\",\"delayMs\":" + delayMs + ",\"count\":3}");
 
-        List<CompletableFuture<SubmitResult>> race = IntStream.range(0, 4)
+        List<CompletableFuture<SubmitResult>> submissions = IntStream.range(0, 4)
                 .mapToObj(i -> CompletableFuture.supplyAsync(() -> submit(text)))
                 .toList();
-        List<SubmitResult> results = race.stream().map(CompletableFuture::join).toList();
+        List<SubmitResult> results =
+                submissions.stream().map(CompletableFuture::join).toList();
 
         assertThat(results).containsOnly(SubmitResult.accepted(history().revision()));
         assertThat(acceptedIds()).containsExactly("n");
     }
 
-    /** A full list of later notes hides an acceptance; the record decides, or the result stays open. */
+    /** The list of recent notes is full of later notes; the record of the note decides, or the result stays unknown. */
     @ParameterizedTest
     @CsvSource({"ACCEPTED,OK", "SUBMITTED,WRITE_UNANSWERED", "REFUSED,NOTE_CONFLICT"})
-    void usesTheRecordOnceLaterNotesHideTheResult(NoteRecord.Fate fate, ResultCode expected) {
+    void usesRecordIfLaterNotesDisplacedAcceptance(NoteRecord.State recordedState, ResultCode expected) {
         String text = note("n", Revision.NONE, "desk-1");
         NoteId id = new NoteId("n");
-        NoteRecord record = new NoteRecord(id, fate, Revision.NONE, new Revision(7), text);
+        NoteRecord record = new NoteRecord(id, recordedState, Revision.NONE, new Revision(7), text);
         store.put(ObjectNames.note(id), JsonCodec.encode(record), Revision.NONE).join();
-        List<AcceptedNote> later = IntStream.range(0, Configuration.MAX_RECENT_NOTES)
+        List<AcceptedNote> laterNotes = IntStream.range(0, Configuration.MAX_RECENT_NOTES)
                 .mapToObj(i -> new AcceptedNote(new NoteId("later-" + i), new Revision(1_000 - i), List.of()))
                 .toList();
-        Configuration full = new Configuration(List.of(), List.of(), later);
-        store.put(ObjectNames.CONFIGURATION, JsonCodec.encode(full), Revision.NONE)
+        Configuration configuration = new Configuration(List.of(), List.of(), laterNotes);
+        store.put(ObjectNames.CONFIGURATION, JsonCodec.encode(configuration), Revision.NONE)
                 .join();
 
         assertThat(submit(text).code()).isEqualTo(expected);
--- a/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
+++ b/org.coriandercrank.note.test/src/test/java/org/coriandercrank/note/internal/DocumentedNotesTest.java
@@ -15,8 +15,8 @@
 import java.util.regex.Pattern;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.store.JsonCodec;
-import org.coriandercrank.note.NoteApplication;
-import org.coriandercrank.note.NoteFault;
+import org.coriandercrank.note.NoteApplier;
+import org.coriandercrank.note.NoteError;
 import org.coriandercrank.note.NoteParser;
 import org.coriandercrank.note.ReleaseNote;
 import org.coriandercrank.note.ReleaseNote.Subject;
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against a schema and a page of release notes that differ from what is accepted. */
+/** Guards against a schema or a documentation page of release notes that differs from the implementation. */
 class DocumentedNotesTest {
     private static final Path DOCS = Path.of("../docs");
     private static final Pattern EXAMPLE = Pattern.compile("```json\n(.*?)```", Pattern.DOTALL);
 
     @ParameterizedTest
     @CsvSource({"SERVICE,service", "BACKEND,backend"})
-    void schemaAndPageHaveTheFieldsAndLimitsOfEntries(Subject subject, String definition) throws IOException {
+    void schemaAndPageListFieldsAndLimitsOfEntries(Subject subject, String definition) throws IOException {
         JsonNode properties = schema().path("$defs").path(definition).path("properties");
         String page = Files.readString(DOCS.resolve("RELEASE_NOTES.md"));
         assertThat(names(properties))
@@ -44,11 +44,11 @@
                 int min = property.path("minimum").asInt();
                 int max = property.path("maximum").asInt();
                 assertThat(List.of(min, max))
-                        .allSatisfy(n -> assertThat(accepts(spec, IntNode.valueOf(n)))
+                        .allSatisfy(number -> assertThat(accepts(spec, IntNode.valueOf(number)))
                                 .as(spec.name())
                                 .isTrue());
                 assertThat(List.of(min - 1, max + 1))
-                        .allSatisfy(n -> assertThat(accepts(spec, IntNode.valueOf(n)))
+                        .allSatisfy(number -> assertThat(accepts(spec, IntNode.valueOf(number)))
                                 .as(spec.name())
                                 .isFalse());
             }
@@ -64,31 +64,31 @@
     }
 
     private static boolean accepts(FieldSpec spec, JsonNode value) {
-        return spec.check().apply(value).isEmpty();
+        return spec.validator().apply(value).isEmpty();
     }
 
     @Test
-    void schemaHasTheFieldsOfANote() throws IOException {
+    void schemaListsFieldsOfNote() throws IOException {
         List<String> fields = names(schema().path("properties"));
         NoteParser parser = new NoteParser();
         parser.parse("{\"absent\":1}");
 
-        assertThat(parser.faults())
-                .filteredOn(fault -> fault.kind() == NoteFault.Kind.UNKNOWN_FIELD)
-                .extracting(NoteFault::message)
+        assertThat(parser.errors())
+                .filteredOn(error -> error.kind() == NoteError.Kind.UNKNOWN_FIELD)
+                .extracting(NoteError::message)
                 .containsExactly("known fields: " + fields.stream().sorted().toList());
     }
 
     @Test
-    void pageListsTheKindsOfFaults() throws IOException {
+    void pageListsKindsOfErrors() throws IOException {
         String page = Files.readString(DOCS.resolve("RELEASE_NOTES.md"));
 
-        assertThat(NoteFault.Kind.values())
+        assertThat(NoteError.Kind.values())
                 .allSatisfy(kind -> assertThat(page).contains("| " + kind.number() + " | `" + kind.name() + "`"));
     }
 
     @Test
-    void examplesAreAcceptedOneAfterTheOther() throws IOException {
+    void examplesAreAcceptedInOrder() throws IOException {
         Set<String> placement = Set.of("availability");
         Set<String> balancing = Set.of("two-choices");
         Matcher examples = EXAMPLE.matcher(Files.readString(DOCS.resolve("RELEASE_NOTES.md")));
@@ -96,10 +96,10 @@
         while (examples.find()) {
             NoteParser parser = new NoteParser();
             ReleaseNote note = parser.parse(examples.group(1)).orElseThrow();
-            NoteApplication application =
-                    new NoteApplication(configuration, new NoteApplication.Environment(Set.of(), placement, balancing));
-            configuration = application.apply(note).orElse(configuration);
-            assertThat(application.faults()).isEmpty();
+            NoteApplier applier =
+                    new NoteApplier(configuration, new NoteApplier.Environment(Set.of(), placement, balancing));
+            configuration = applier.apply(note).orElse(configuration);
+            assertThat(applier.errors()).isEmpty();
         }
         assertThat(configuration.recentNotes()).hasSize(3);
     }
--- a/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
+++ b/org.coriandercrank.placement.test/src/test/java/org/coriandercrank/placement/FakeDaemons.java
@@ -15,6 +15,7 @@
 import org.coriandercrank.kernel.backend.BackendServer;
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.code.ResultCode;
+import org.coriandercrank.kernel.concurrent.SingleThreadExecutor;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.id.Generation;
 import org.coriandercrank.kernel.id.MemberId;
@@ -25,18 +26,17 @@
 import org.coriandercrank.kernel.message.OutcomeAnswer;
 import org.coriandercrank.kernel.message.OutcomeQuery;
 import org.coriandercrank.kernel.ownership.GateStatus;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
-import org.coriandercrank.kernel.ownership.KnownMember;
 import org.coriandercrank.kernel.ownership.OwnerGate;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
 import org.coriandercrank.kernel.ownership.RoutingView;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.peer.PeerClient;
 import org.coriandercrank.kernel.peer.PeerHandlers;
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.placement.RangeLoad;
 import org.coriandercrank.kernel.request.CallerAnswer;
 import org.coriandercrank.kernel.request.CallerRequest;
-import org.coriandercrank.kernel.ring.DutyThread;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -51,26 +51,29 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 import org.coriandercrank.kernel.time.TimerService;
 
-/** Stand-ins of the other parts in one process: store, views, links and gates. Thread safe. */
+/**
+ * Fakes of the components that placement depends on, for several daemons in one process: store, routing views, peer
+ * connections and owner gates. Thread safe.
+ */
 final class FakeDaemons {
     final Store store = new Store();
     final Map<MemberId, Gate> gates = new ConcurrentHashMap<>();
-    private final Map<MemberId, PeerHandlers> handlers = new ConcurrentHashMap<>();
+    private final Map<MemberId, PeerHandlers> handlersByMember = new ConcurrentHashMap<>();
 
-    PlacementContext context(MemberId self, TimerService timers) {
-        PeerHandlers own = new PeerHandlers();
-        handlers.put(self, own);
+    PlacementDependencies dependencies(MemberId self, TimerService timers) {
+        PeerHandlers ownHandlers = new PeerHandlers();
+        handlersByMember.put(self, ownHandlers);
         gates.put(self, new Gate());
-        return new PlacementContext(
+        return new PlacementDependencies(
                 self,
                 store,
                 new View(self),
                 new Peers(self),
-                own,
+                ownHandlers,
                 timers,
                 new DecisionLog(0, MonotonicClock.SYSTEM),
                 new SimpleMeterRegistry(),
-                DutyThread::new);
+                SingleThreadExecutor::new);
     }
 
     void write(String name, byte[] value) {
@@ -85,13 +88,13 @@
     AssignmentTable table() {
         return store.get(ObjectNames.assignments(TestFleet.SERVICE))
                 .join()
-                .map(o -> TableCodec.decode(o.value()))
+                .map(object -> TableCodec.decode(object.value()))
                 .orElse(AssignmentTable.empty(TestFleet.SERVICE));
     }
 
     /**
-     * An object store in memory; each write tells the views. One write of a planner in four takes effect without an
-     * answer.
+     * An in-memory object store; each write notifies the views. Every fourth write of a planner takes effect, but fails
+     * as unanswered.
      */
     static final class Store implements ObjectStore {
         private final Map<String, StoredObject> objects = new TreeMap<>();
@@ -117,8 +120,8 @@
             Revision written;
             boolean unanswered;
             synchronized (this) {
-                StoredObject old = objects.get(name);
-                if (!expected.equals(old == null ? Revision.NONE : old.revision())) {
+                StoredObject existing = objects.get(name);
+                if (!expected.equals(existing == null ? Revision.NONE : existing.revision())) {
                     return CompletableFuture.failedFuture(new CrankException(ResultCode.REVISION_CONFLICT, name));
                 }
                 written = new Revision(++revision);
@@ -150,6 +153,7 @@
         public void close() {}
     }
 
+    /** Computes snapshots from the current content of the store. */
     private final class View implements RoutingView {
         private final MemberId self;
 
@@ -159,10 +163,10 @@
 
         @Override
         public RoutingSnapshot current() {
-            Map<MemberId, KnownMember> members = new HashMap<>();
+            Map<MemberId, VersionedMember> members = new HashMap<>();
             for (StoredObject o : store.list(ObjectNames.MEMBERS_PREFIX).join().changes()) {
                 Member member = JsonCodec.decode(o.value(), Member.class);
-                members.put(member.id(), new KnownMember(member, o.revision()));
+                members.put(member.id(), new VersionedMember(member, o.revision()));
             }
             Optional<StoredObject> stored = store.get(ObjectNames.CONFIGURATION).join();
             return new RoutingSnapshot(
@@ -181,10 +185,12 @@
 
         @Override
         public CompletableFuture<RoutingSnapshot> await(Predicate<RoutingSnapshot> condition, long waitMs) {
-            return CompletableFuture.failedFuture(new CrankException(ResultCode.CALL_TIMEOUT, "not used"));
+            return CompletableFuture.failedFuture(
+                    new CrankException(ResultCode.CALL_TIMEOUT, "await is not supported by this fake"));
         }
     }
 
+    /** Calls the handlers of other daemons directly; messages without an answer are lost. */
     private final class Peers implements PeerClient {
         private final MemberId self;
 
@@ -195,7 +201,8 @@
         @Override
         public <A extends Message> CompletableFuture<A> call(
                 PeerTarget target, Message message, Class<A> answerType, long timeoutMs) {
-            return handlers.get(target.member())
+            return handlersByMember
+                    .get(target.member())
                     .find(message)
                     .orElseThrow()
                     .handle(self, message)
@@ -206,35 +213,35 @@
         public void send(PeerTarget target, Message message) {}
     }
 
-    /** A gate that only notes what it serves. */
+    /** A gate that only records which ranges it serves. */
     static final class Gate implements OwnerGate {
         private List<RangeLoad> serving = new ArrayList<>();
 
         @Override
         public synchronized CompletableFuture<Void> acquire(
-                KeyRange range, Generation fence, InheritedRecords inherited) {
+                KeyRange range, Generation fence, TransferredRecords transferred) {
             remove(range);
             serving.add(new RangeLoad(range, fence, true, 0, List.of()));
             return CompletableFuture.completedFuture(null);
         }
 
         @Override
-        public synchronized CompletableFuture<InheritedRecords> release(KeyRange range) {
+        public synchronized CompletableFuture<TransferredRecords> release(KeyRange range) {
             remove(range);
-            return CompletableFuture.completedFuture(InheritedRecords.NONE);
+            return CompletableFuture.completedFuture(TransferredRecords.NONE);
         }
 
         private void remove(KeyRange range) {
             List<RangeLoad> next = new ArrayList<>();
-            for (RangeLoad s : serving) {
-                KeyRanges.subtract(s.range(), List.of(range))
-                        .forEach(r -> next.add(new RangeLoad(r, s.fence(), true, 0, List.of())));
+            for (RangeLoad load : serving) {
+                KeyRanges.subtract(load.range(), List.of(range))
+                        .forEach(part -> next.add(new RangeLoad(part, load.fence(), true, 0, List.of())));
             }
             serving = next;
         }
 
         @Override
-        public synchronized List<RangeLoad> loads() {
+        public synchronized List<RangeLoad> rangeLoads() {
             return List.copyOf(serving);
         }
 
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/Planner.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicLong;
 import org.coriandercrank.kernel.code.CrankException;
+import org.coriandercrank.kernel.concurrent.SerialExecutor;
 import org.coriandercrank.kernel.config.Configuration;
 import org.coriandercrank.kernel.config.ServiceConfig;
 import org.coriandercrank.kernel.id.Generation;
@@ -24,7 +25,6 @@
 import org.coriandercrank.kernel.peer.PeerTarget;
 import org.coriandercrank.kernel.placement.PlacementPolicy;
 import org.coriandercrank.kernel.plugin.PluginRegistry;
-import org.coriandercrank.kernel.ring.Duty;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.StoredObject;
@@ -39,130 +39,152 @@
 import org.coriandercrank.placement.internal.PlacementMeters;
 import org.coriandercrank.placement.internal.PlannerElection;
 import org.coriandercrank.placement.internal.PlannerRole;
+import org.coriandercrank.placement.internal.RebalanceParameters;
 import org.coriandercrank.placement.internal.RebalancePolicy;
-import org.coriandercrank.placement.internal.RebalanceRules;
-import org.coriandercrank.placement.internal.ServicePlan;
-import org.coriandercrank.placement.internal.ServiceTrack;
+import org.coriandercrank.placement.internal.ServicePlanningState;
 import org.coriandercrank.placement.internal.TableBuilder;
+import org.coriandercrank.placement.internal.TablePlanner;
 import org.coriandercrank.placement.internal.TableWriter;
 
 /**
- * Holds the planner role when it is free, and then places the ranges of every keyed service.
+ * Competes for the planner role and, while this daemon holds it, assigns the key ranges of every keyed service.
  *
- * <p>Thread safe. All state is touched only on the duty thread {@code planner}. Any number of planners may run at once:
- * each table is written only by a conditional write on the revision that the decision was made on.
+ * <p>Thread safe: all state is confined to the serial executor {@code planner}. Several planners may be active at the
+ * same time, because each table is written only if the stored table still has the revision that the decision is based
+ * on.
  */
 public final class Planner implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_CAPACITY = 16_384;
-    private static final long POST_RETRY_MS = 1;
-    private static final long WRITE_RETRY_MS = 200;
-    private static final long LOAD_ANSWER_DIVISOR = 4;
+    private static final int TASK_QUEUE_CAPACITY = 16_384; // tasks
+    private static final long ENQUEUE_RETRY_MS = 1;
+    private static final long TABLE_WRITE_RETRY_MS = 200;
+
+    /**
+     * After load queries are sent, planning waits for the load query interval divided by this number, so that the load
+     * reports can arrive.
+     */
+    private static final long LOAD_REPORT_WAIT_DIVISOR = 4;
+
+    /** Load of the most loaded server, in percent of its fair load, above which a table counts as imbalanced. */
     private static final long IMBALANCE_TARGET_PERCENT = 125;
 
-    private final PlacementContext context;
+    private final PlacementDependencies dependencies;
     private final PluginRegistry plugins;
     private final PlannerOptions options;
-    private final Duty duty;
+    private final SerialExecutor executor;
     private final PlannerRole role;
     private volatile boolean holdsRole;
-    private final LoadCollector loads;
-    private final TableWriter writer;
-    private final MemberCleaner cleaner;
-    private final MemberLookup lookup;
+    private final LoadCollector loadCollector;
+    private final TableWriter tableWriter;
+    private final MemberCleaner memberCleaner;
+    private final MemberLookup memberLookup;
     private final PlacementMeters meters;
-    private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceRules.AVAILABILITY);
-    private final Map<ServiceName, ServiceTrack> tracks = new HashMap<>();
-    private final AtomicLong inputs = new AtomicLong();
-    private TimerService.Subscription tick = () -> {};
-    private TimerService.Subscription loadTick = () -> {};
+    private final PlacementPolicy fallbackPolicy = new RebalancePolicy(RebalanceParameters.AVAILABILITY);
+    private final Map<ServiceName, ServicePlanningState> serviceStates = new HashMap<>();
+
+    /** Incremented with each snapshot and each round of load reports. */
+    private final AtomicLong inputVersion = new AtomicLong();
 
-    public Planner(PlacementContext context, PluginRegistry plugins, PlannerOptions options) {
-        this.context = context;
-        duty = context.duties().create("planner", RING_CAPACITY);
+    private TimerService.Subscription tickTimer = () -> {};
+    private TimerService.Subscription loadQueryTimer = () -> {};
+
+    public Planner(PlacementDependencies dependencies, PluginRegistry plugins, PlannerOptions options) {
+        this.dependencies = dependencies;
+        executor = dependencies.executorFactory().create("planner", TASK_QUEUE_CAPACITY);
         this.plugins = plugins;
         this.options = options;
-        PlannerElection.Delays delays = new PlannerElection.Delays(
-                options.renewMs(),
-                options.takeAfterMs(),
+        PlannerElection.Options electionOptions = new PlannerElection.Options(
+                options.renewIntervalMs(),
+                options.roleTimeoutMs(),
                 options.rankDelayMs(),
-                options.idleReadMs(),
-                options.readers());
-        role = new PlannerRole(context.self(), context.store(), context.timers().clock(), this::post, delays);
-        loads = new LoadCollector(
-                context.self(), context.peers(), context.handlers(), this::post, options.loadTimeoutMs());
-        writer = new TableWriter(context.store(), this::tellNewOwners);
-        cleaner = new MemberCleaner(context.store(), options.sealedKeepMs());
-        lookup = new MemberLookup(context.store(), this::post);
-        meters = new PlacementMeters(context.meters());
+                options.slowReadIntervalMs(),
+                options.fastReaders());
+        role = new PlannerRole(
+                dependencies.self(),
+                dependencies.store(),
+                dependencies.timers().clock(),
+                this::enqueue,
+                electionOptions);
+        loadCollector = new LoadCollector(
+                dependencies.self(),
+                dependencies.peerClient(),
+                dependencies.peerHandlers(),
+                this::enqueue,
+                options.loadQueryTimeoutMs());
+        tableWriter = new TableWriter(dependencies.store(), this::sendToNewOwners);
+        memberCleaner = new MemberCleaner(dependencies.store(), options.sealedRetentionMs());
+        memberLookup = new MemberLookup(dependencies.store(), this::enqueue);
+        meters = new PlacementMeters(dependencies.meterRegistry());
     }
 
-    /** Whether this daemon held the planner role at its latest step. */
+    /** Whether this daemon held the planner role when it last checked. */
     public boolean holdsRole() {
         return holdsRole;
     }
 
-    /** Begins to compete for the role; called once, after the handlers of this daemon are registered. */
+    /** Starts to compete for the planner role. Call once, after the peer handlers of this daemon are registered. */
     public void start() {
-        context.view().subscribe(snapshot -> {
-            inputs.incrementAndGet();
-            duty.offer(this::step);
+        dependencies.routingView().subscribe(snapshot -> {
+            inputVersion.incrementAndGet();
+            executor.offer(this::updateRoleAndPlan);
         });
-        tick = context.timers().every(options.tickMs(), duty, this::step);
-        loadTick = context.timers().every(options.loadPeriodMs(), duty, this::loadStep);
+        tickTimer = dependencies.timers().every(options.tickIntervalMs(), executor, this::updateRoleAndPlan);
+        loadQueryTimer = dependencies.timers().every(options.loadQueryIntervalMs(), executor, this::collectLoads);
     }
 
     /**
-     * Sends a table to the members that get ranges by it, so that they ask for them before other daemons send requests
-     * there. A lost message costs no more than the time of dissemination.
+     * Sends a new table to the members that it assigns ranges to, so that they request the release of these ranges
+     * before other daemons route requests to them. If the message is lost, the member receives the table a little later
+     * by normal dissemination.
      */
-    private void tellNewOwners(AssignmentTable table, StoredObject object) {
-        RoutingSnapshot snapshot = context.view().current();
+    private void sendToNewOwners(AssignmentTable table, StoredObject object) {
+        RoutingSnapshot snapshot = dependencies.routingView().current();
         ObjectData data = new ObjectData(FetchObject.Kind.ASSIGNMENTS, Revision.NONE, false, List.of(object));
         table.assignments().stream()
                 .filter(assignment -> assignment.fence().equals(table.generation()))
                 .map(RangeAssignment::owner)
                 .distinct()
                 .flatMap(owner -> snapshot.member(owner).stream())
-                .forEach(owner -> context.peers().send(PeerTarget.of(owner), data));
+                .forEach(owner -> dependencies.peerClient().send(PeerTarget.of(owner), data));
     }
 
-    /** Stops renewing the role, so that another daemon takes it after {@link PlannerOptions#takeAfterMs}. */
+    /** Stops renewing the planner role; another daemon takes it over after {@link PlannerOptions#roleTimeoutMs}. */
     @Override
     public void close() {
-        tick.cancel();
-        loadTick.cancel();
-        duty.close();
+        tickTimer.cancel();
+        loadQueryTimer.cancel();
+        executor.close();
     }
 
-    private void post(Runnable task) {
-        if (!duty.offer(task)) {
-            context.timers().once(POST_RETRY_MS, duty, task);
+    /** Queues a task that must not be lost, and retries while the task queue is full. */
+    private void enqueue(Runnable task) {
+        if (!executor.offer(task)) {
+            dependencies.timers().once(ENQUEUE_RETRY_MS, executor, task);
         }
     }
 
     private long nowMs() {
-        return context.timers().clock().nowMs();
+        return dependencies.timers().clock().nowMs();
     }
 
-    private void step() {
-        long input = inputs.get();
-        RoutingSnapshot snapshot = context.view().current();
-        role.step(snapshot);
-        meters.role(role.isHolder());
+    private void updateRoleAndPlan() {
+        long version = inputVersion.get();
+        RoutingSnapshot snapshot = dependencies.routingView().current();
+        role.update(snapshot);
+        meters.setRoleHeld(role.isHolder());
         holdsRole = role.isHolder();
         if (!role.isHolder()) {
-            tracks.clear();
-            loads.clear();
+            serviceStates.clear();
+            loadCollector.clear();
             return;
         }
         if (snapshot.configurationRevision().equals(Revision.NONE)) {
             return;
         }
-        services(snapshot).forEach(service -> plan(snapshot, input, service));
+        keyedServices(snapshot).forEach(service -> plan(snapshot, version, service));
     }
 
-    private static Set<ServiceName> services(RoutingSnapshot snapshot) {
+    private static Set<ServiceName> keyedServices(RoutingSnapshot snapshot) {
         Set<ServiceName> services = new TreeSet<>(snapshot.tables().keySet());
         snapshot.configuration().services().stream()
                 .filter(ServiceConfig::keyed)
@@ -171,166 +193,185 @@
         return services;
     }
 
-    private void loadStep() {
+    private void collectLoads() {
         if (!role.isHolder()) {
             return;
         }
-        RoutingSnapshot snapshot = context.view().current();
-        tracks.forEach((service, track) -> {
-            ServicePlan.View view = view(snapshot, track, track.table());
-            double imbalance = ServicePlan.imbalance(view);
-            track.noteImbalance(imbalance, nowMs());
-            meters.table(service, track.table(), imbalance);
-            meters.unserved(service, track.table(), view.reports(), options.loadPeriodMs() / 1_000.0);
+        RoutingSnapshot snapshot = dependencies.routingView().current();
+        serviceStates.forEach((service, state) -> {
+            TablePlanner.Input input = planningInput(snapshot, state, state.table());
+            double imbalance = TablePlanner.imbalance(input);
+            state.updateImbalance(imbalance, nowMs());
+            meters.setTable(service, state.table(), imbalance);
+            meters.recordUnserved(service, state.table(), input.reports(), options.loadQueryIntervalMs() / 1_000.0);
         });
-        loads.query(snapshot);
-        context.timers().once(options.loadPeriodMs() / LOAD_ANSWER_DIVISOR, duty, () -> {
-            inputs.incrementAndGet();
-            step();
+        loadCollector.query(snapshot);
+        dependencies.timers().once(options.loadQueryIntervalMs() / LOAD_REPORT_WAIT_DIVISOR, executor, () -> {
+            inputVersion.incrementAndGet();
+            updateRoleAndPlan();
         });
-        lookup.expireFound();
-        cleaner.step(snapshot, nowMs());
+        memberLookup.clearFoundMembers();
+        memberCleaner.deleteExpired(snapshot, nowMs());
     }
 
-    private void plan(RoutingSnapshot snapshot, long input, ServiceName service) {
-        ServiceTrack track =
-                tracks.computeIfAbsent(service, s -> new ServiceTrack(s, IMBALANCE_TARGET_PERCENT, nowMs()));
-        snapshot.table(service).ifPresent(track::learn);
-        track.noteCandidates(ServicePlan.candidates(view(snapshot, track, track.table())), nowMs());
-        if (!track.isReady(input, nowMs()) || !lookup.resolveAbsent(snapshot, track.table())) {
+    private void plan(RoutingSnapshot snapshot, long version, ServiceName service) {
+        ServicePlanningState state = serviceStates.computeIfAbsent(
+                service, s -> new ServicePlanningState(s, IMBALANCE_TARGET_PERCENT, nowMs()));
+        snapshot.table(service).ifPresent(state::updateTable);
+        state.updateCandidates(TablePlanner.candidates(planningInput(snapshot, state, state.table())), nowMs());
+        if (!state.shouldDecide(version, nowMs()) || !memberLookup.resolveMissing(snapshot, state.table())) {
             return;
         }
-        if (decide(view(snapshot, track, track.table())).isEmpty()) {
-            track.noteDecided(input);
+        if (decide(planningInput(snapshot, state, state.table())).isEmpty()) {
+            state.recordDecided(version);
             return;
         }
-        track.begin();
-        writer.write(service, this::post, table -> decideOn(track, table))
-                .whenComplete((outcome, failure) -> post(() -> {
+        state.beginWrite();
+        tableWriter
+                .write(service, this::enqueue, table -> decideOnStoredTable(state, table))
+                .whenComplete((outcome, failure) -> enqueue(() -> {
                     if (failure != null) {
                         CrankException cause = CrankException.of(failure);
                         logger.atWarning().log(
                                 "event=table-write-failed service=%s result=%s reason=%s",
                                 service, cause.code(), cause.getMessage());
-                        track.end(nowMs() + WRITE_RETRY_MS);
+                        state.endWrite(nowMs() + TABLE_WRITE_RETRY_MS);
                         return;
                     }
-                    track.learn(outcome.table());
-                    track.end(outcome.written().isPresent() ? nowMs() : nowMs() + WRITE_RETRY_MS);
-                    outcome.written().ifPresent(decision -> written(track, decision));
+                    state.updateTable(outcome.table());
+                    state.endWrite(outcome.written().isPresent() ? nowMs() : nowMs() + TABLE_WRITE_RETRY_MS);
+                    outcome.written().ifPresent(decision -> tableWritten(state, decision));
                 }));
     }
 
-    private void written(ServiceTrack track, ServicePlan.Decision decision) {
+    private void tableWritten(ServicePlanningState state, TablePlanner.Decision decision) {
         ServiceName service = decision.table().service();
-        meters.changes(service, decision.changes());
-        if (decision.kind() == ServicePlan.Kind.POLICY) {
-            track.noteChange(nowMs());
+        meters.countChanges(service, decision.changes());
+        if (decision.kind() == TablePlanner.Kind.POLICY) {
+            state.recordPolicyChange(nowMs());
         }
         for (TableBuilder.Change change : decision.changes()) {
-            context.log().log(() -> String.format(
-                    "event=place service=%s range=%s from=%s to=%s fence=%s reason=%s",
-                    service,
-                    change.range(),
-                    change.from().map(MemberId::value).orElse("none"),
-                    change.to(),
-                    change.fence(),
-                    change.reason()));
+            dependencies
+                    .decisionLog()
+                    .log(() -> String.format(
+                            "event=place service=%s range=%s from=%s to=%s fence=%s reason=%s",
+                            service,
+                            change.range(),
+                            change.from().map(MemberId::value).orElse("none"),
+                            change.to(),
+                            change.fence(),
+                            change.reason()));
         }
-        if (decision.kind() == ServicePlan.Kind.WITHDRAW) {
-            context.log().log(() -> String.format(
-                    "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
-                    service, decision.table().generation()));
+        if (decision.kind() == TablePlanner.Kind.WITHDRAW) {
+            dependencies
+                    .decisionLog()
+                    .log(() -> String.format(
+                            "event=place service=%s range=all from=all to=none fence=%s reason=withdrawn",
+                            service, decision.table().generation()));
         }
-        step();
+        updateRoleAndPlan();
     }
 
-    /** Decides again on the table read from the store, with the facts that the decision must not have wrong. */
-    private CompletableFuture<Optional<ServicePlan.Decision>> decideOn(ServiceTrack track, AssignmentTable table) {
-        RoutingSnapshot snapshot = context.view().current();
-        if (!lookup.resolveAbsent(snapshot, table)) {
+    /**
+     * Decides on the table that was just read from the store. A decision that must not rest on an outdated snapshot is
+     * also checked against the members or the configuration in the store.
+     */
+    private CompletableFuture<Optional<TablePlanner.Decision>> decideOnStoredTable(
+            ServicePlanningState state, AssignmentTable table) {
+        RoutingSnapshot snapshot = dependencies.routingView().current();
+        if (!memberLookup.resolveMissing(snapshot, table)) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        ServicePlan.View view = view(snapshot, track, table);
-        Optional<ServicePlan.Decision> decision = decide(view);
+        TablePlanner.Input input = planningInput(snapshot, state, table);
+        Optional<TablePlanner.Decision> decision = decide(input);
         if (decision.isEmpty()) {
             return CompletableFuture.completedFuture(decision);
         }
-        boolean recreated = decision.get().kind() == ServicePlan.Kind.FIRST_TABLE
+        boolean recreatesTable = decision.get().kind() == TablePlanner.Kind.FIRST_TABLE
                 && !table.generation().equals(Generation.NONE);
-        if (recreated) {
-            return lookup.listMembers().thenApply(members -> decide(withMembers(view, members)));
+        if (recreatesTable) {
+            return memberLookup.listMembers().thenApply(members -> decide(withStoredMembers(input, members)));
         }
-        if (decision.get().kind() == ServicePlan.Kind.WITHDRAW) {
-            return context.store()
+        if (decision.get().kind() == TablePlanner.Kind.WITHDRAW) {
+            return dependencies
+                    .store()
                     .get(ObjectNames.CONFIGURATION)
                     .thenApply(found -> isWithdrawn(table.service(), found) ? decision : Optional.empty());
         }
         return CompletableFuture.completedFuture(decision);
     }
 
-    /** The snapshot may be older than a note that added the service again, so the store is asked. */
-    private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> found) {
-        return found.map(o -> JsonCodec.decode(o.value(), Configuration.class))
-                .map(c -> c.service(service).filter(ServiceConfig::keyed).isEmpty())
+    /**
+     * Checks the stored configuration, because the snapshot may be older than a change that added the service again.
+     */
+    private static boolean isWithdrawn(ServiceName service, Optional<StoredObject> storedConfiguration) {
+        return storedConfiguration
+                .map(object -> JsonCodec.decode(object.value(), Configuration.class))
+                .map(configuration -> configuration
+                        .service(service)
+                        .filter(ServiceConfig::keyed)
+                        .isEmpty())
                 .orElse(false);
     }
 
-    /** Members that the snapshot lacks may still hold ranges of the table before the withdrawal. */
-    private static ServicePlan.View withMembers(ServicePlan.View view, List<Member> stored) {
-        Map<MemberId, Member> members = new HashMap<>(view.members());
-        stored.forEach(m -> members.putIfAbsent(m.id(), m));
-        return new ServicePlan.View(
-                view.configuration(),
+    /** Adds the stored members that the snapshot lacks; they may still hold ranges from before the withdrawal. */
+    private static TablePlanner.Input withStoredMembers(TablePlanner.Input input, List<Member> storedMembers) {
+        Map<MemberId, Member> members = new HashMap<>(input.members());
+        storedMembers.forEach(m -> members.putIfAbsent(m.id(), m));
+        return new TablePlanner.Input(
+                input.configuration(),
                 members,
-                view.gone(),
-                view.table(),
-                view.reports(),
-                view.nowMs(),
-                view.lastChangeMs(),
-                view.imbalancedSinceMs(),
-                view.candidatesSinceMs());
+                input.removed(),
+                input.table(),
+                input.reports(),
+                input.nowMs(),
+                input.lastChangeMs(),
+                input.imbalancedSinceMs(),
+                input.candidatesSinceMs());
     }
 
-    private Optional<ServicePlan.Decision> decide(ServicePlan.View view) {
-        ServiceName service = view.table().service();
+    private Optional<TablePlanner.Decision> decide(TablePlanner.Input input) {
+        ServiceName service = input.table().service();
         try {
-            return new ServicePlan(policy(view.configuration(), service), options.settleMs()).decide(view);
+            return new TablePlanner(policyOf(input.configuration(), service), options.firstTableDelayMs())
+                    .decide(input);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=policy-failed service=%s", service);
-            return new ServicePlan(fallbackPolicy, options.settleMs()).decide(view);
+            return new TablePlanner(fallbackPolicy, options.firstTableDelayMs()).decide(input);
         }
     }
 
-    private PlacementPolicy policy(Configuration configuration, ServiceName service) {
+    private PlacementPolicy policyOf(Configuration configuration, ServiceName service) {
         return configuration
                 .service(service)
                 .map(s -> plugins.get(PluginRegistry.Kind.PLACEMENT, s.placementPolicy()))
                 .orElse(fallbackPolicy);
     }
 
-    private ServicePlan.View view(RoutingSnapshot snapshot, ServiceTrack track, AssignmentTable table) {
-        Map<MemberId, Member> members = new HashMap<>(lookup.found());
-        Set<MemberId> gone = new HashSet<>(lookup.gone());
-        snapshot.members().forEach((id, known) -> {
-            members.put(id, known.member());
-            if (known.member().state() == MemberState.SEALED) {
-                gone.add(id);
+    private TablePlanner.Input planningInput(
+            RoutingSnapshot snapshot, ServicePlanningState state, AssignmentTable table) {
+        Map<MemberId, Member> members = new HashMap<>(memberLookup.foundMembers());
+        Set<MemberId> removed = new HashSet<>(memberLookup.removedMembers());
+        snapshot.members().forEach((id, versioned) -> {
+            members.put(id, versioned.member());
+            if (versioned.member().state() == MemberState.SEALED) {
+                removed.add(id);
             }
         });
-        Map<MemberId, LoadReport> reports = loads.reports();
+        Map<MemberId, LoadReport> reports = loadCollector.reports();
         reports.values().removeIf(r -> !r.service().equals(table.service()));
-        boolean complete =
-                table.assignments().stream().allMatch(a -> reports.containsKey(a.owner()) || gone.contains(a.owner()));
-        return new ServicePlan.View(
+        // While a load report is missing, the time of the last change is set to now, so that no load is moved.
+        boolean allReported = table.assignments().stream()
+                .allMatch(a -> reports.containsKey(a.owner()) || removed.contains(a.owner()));
+        return new TablePlanner.Input(
                 snapshot.configuration(),
                 members,
-                gone,
+                removed,
                 table,
                 reports,
                 nowMs(),
-                complete ? track.lastChangeMs() : nowMs(),
-                track.imbalancedSinceMs(nowMs()),
-                track.candidatesSinceMs());
+                allReported ? state.lastChangeMs() : nowMs(),
+                state.imbalancedSinceMs(nowMs()),
+                state.candidatesSinceMs());
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/PlannerOptions.java
@@ -1,39 +1,71 @@
 package org.coriandercrank.placement;
 
 /**
- * Options of {@link Planner}; all times in milliseconds. Immutable.
+ * Options of {@link Planner}; all times are in milliseconds. Immutable.
  *
- * @param renewMs period at which the holder renews the planner object
- * @param takeAfterMs time without renewal after which another daemon takes it
- * @param rankDelayMs additional wait per rank among the candidates
- * @param idleReadMs period at which daemons of higher rank read the planner object
- * @param readers number of daemons that read it every {@code renewMs}
- * @param tickMs period of checks that need no event
- * @param settleMs how long the members of a service must be stable before its first table
- * @param loadPeriodMs period of load queries
- * @param loadTimeoutMs time limit of one load query
- * @param sealedKeepMs how long a sealed member that no table mentions is kept
+ * @param renewIntervalMs interval at which the holder of the planner role renews the planner object in the store
+ * @param roleTimeoutMs time without a renewal after which another daemon takes over the planner role
+ * @param rankDelayMs additional time per rank that a daemon waits before it takes over the role
+ * @param slowReadIntervalMs interval at which daemons read the planner object if their rank is {@code fastReaders} or
+ *     higher
+ * @param fastReaders number of daemons that read the planner object every {@code renewIntervalMs}
+ * @param tickIntervalMs interval of periodic checks
+ * @param firstTableDelayMs how long the candidates of a service must stay the same before its first table is written
+ * @param loadQueryIntervalMs interval of load queries
+ * @param loadQueryTimeoutMs timeout of one load query
+ * @param sealedRetentionMs how long the record of a sealed member is kept while no table references it
  */
 public record PlannerOptions(
-        long renewMs,
-        long takeAfterMs,
+        long renewIntervalMs,
+        long roleTimeoutMs,
         long rankDelayMs,
-        long idleReadMs,
-        int readers,
-        long tickMs,
-        long settleMs,
-        long loadPeriodMs,
-        long loadTimeoutMs,
-        long sealedKeepMs) {
-    public static final PlannerOptions DEFAULTS =
-            new PlannerOptions(500, 1_500, 200, 10_000, 3, 100, 1_000, 2_000, 1_500, 60_000);
+        long slowReadIntervalMs,
+        int fastReaders,
+        long tickIntervalMs,
+        long firstTableDelayMs,
+        long loadQueryIntervalMs,
+        long loadQueryTimeoutMs,
+        long sealedRetentionMs) {
+    private static final long DEFAULT_RENEW_INTERVAL_MS = 500;
+    private static final long DEFAULT_ROLE_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_RANK_DELAY_MS = 200;
+    private static final long DEFAULT_SLOW_READ_INTERVAL_MS = 10_000;
+    private static final int DEFAULT_FAST_READERS = 3;
+    private static final long DEFAULT_TICK_INTERVAL_MS = 100;
+    private static final long DEFAULT_FIRST_TABLE_DELAY_MS = 1_000;
+    private static final long DEFAULT_LOAD_QUERY_INTERVAL_MS = 2_000;
+    private static final long DEFAULT_LOAD_QUERY_TIMEOUT_MS = 1_500;
+    private static final long DEFAULT_SEALED_RETENTION_MS = 60_000;
+
+    public static final PlannerOptions DEFAULTS = new PlannerOptions(
+            DEFAULT_RENEW_INTERVAL_MS,
+            DEFAULT_ROLE_TIMEOUT_MS,
+            DEFAULT_RANK_DELAY_MS,
+            DEFAULT_SLOW_READ_INTERVAL_MS,
+            DEFAULT_FAST_READERS,
+            DEFAULT_TICK_INTERVAL_MS,
+            DEFAULT_FIRST_TABLE_DELAY_MS,
+            DEFAULT_LOAD_QUERY_INTERVAL_MS,
+            DEFAULT_LOAD_QUERY_TIMEOUT_MS,
+            DEFAULT_SEALED_RETENTION_MS);
 
     public PlannerOptions {
-        if (renewMs < 1 || takeAfterMs <= renewMs || idleReadMs < renewMs || readers < 1) {
-            throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
+        if (renewIntervalMs < 1
+                || roleTimeoutMs <= renewIntervalMs
+                || slowReadIntervalMs < renewIntervalMs
+                || fastReaders < 1) {
+            throw new IllegalArgumentException(
+                    "renewIntervalMs and fastReaders must be positive, roleTimeoutMs must exceed renewIntervalMs,"
+                            + " and slowReadIntervalMs must be at least renewIntervalMs");
         }
-        if (tickMs < 1 || loadPeriodMs < 1 || loadTimeoutMs < 1 || settleMs < 0 || sealedKeepMs < 0) {
-            throw new IllegalArgumentException("periods must be positive and delays not negative");
+        if (tickIntervalMs < 1
+                || loadQueryIntervalMs < 1
+                || loadQueryTimeoutMs < 1
+                || firstTableDelayMs < 0
+                || sealedRetentionMs < 0) {
+            throw new IllegalArgumentException(
+                    "tickIntervalMs, loadQueryIntervalMs and loadQueryTimeoutMs must be positive,"
+                            + " and firstTableDelayMs and sealedRetentionMs must not be negative");
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/RangeOwnershipOptions.java
@@ -1,34 +1,55 @@
 package org.coriandercrank.placement;
 
 /**
- * Options of {@link RangeOwnership}. Immutable.
+ * Options of {@link RangeOwnership}; all times are in milliseconds. Immutable.
  *
- * @param releaseTimeoutMs time limit of one release request
- * @param minRetryMs delay before a release request is repeated for the first time; doubled each time
- * @param maxRetryMs longest delay between release requests, and delay after a failed call to the gate
- * @param lingerMs how long a range that a table takes away is served until its new owner asks for it
- * @param answerWaitMs longest time that a release request from another member waits before it is answered as not yet
- *     released; less than {@code releaseTimeoutMs}
- * @param tickMs period of checks that need no event
- * @param maxKeptRecords bound on outcome records kept for next owners, per service
+ * @param releaseTimeoutMs timeout of one release request
+ * @param minRetryDelayMs delay before a release request is repeated for the first time; doubles with each attempt
+ * @param maxRetryDelayMs longest delay between release requests, and delay after a failed call to the gate
+ * @param releaseGraceMs how long a range that a newer table assigns to another member stays served while that member
+ *     has not requested its release
+ * @param maxAnswerDelayMs how long a release request from another member waits for the release before it is answered as
+ *     not released; less than {@code releaseTimeoutMs}
+ * @param tickIntervalMs interval of periodic checks
+ * @param maxRetainedRecords bound on the outcome records retained for the next owners of released ranges, per service
  */
 public record RangeOwnershipOptions(
         long releaseTimeoutMs,
-        long minRetryMs,
-        long maxRetryMs,
-        long lingerMs,
-        long answerWaitMs,
-        long tickMs,
-        int maxKeptRecords) {
-    public static final RangeOwnershipOptions DEFAULTS =
-            new RangeOwnershipOptions(1_000, 10, 500, 500, 250, 250, 100_000);
+        long minRetryDelayMs,
+        long maxRetryDelayMs,
+        long releaseGraceMs,
+        long maxAnswerDelayMs,
+        long tickIntervalMs,
+        int maxRetainedRecords) {
+    private static final long DEFAULT_RELEASE_TIMEOUT_MS = 1_000;
+    private static final long DEFAULT_MIN_RETRY_DELAY_MS = 10;
+    private static final long DEFAULT_MAX_RETRY_DELAY_MS = 500;
+    private static final long DEFAULT_RELEASE_GRACE_MS = 500;
+    private static final long DEFAULT_MAX_ANSWER_DELAY_MS = 250;
+    private static final long DEFAULT_TICK_INTERVAL_MS = 250;
+    private static final int DEFAULT_MAX_RETAINED_RECORDS = 100_000;
+
+    public static final RangeOwnershipOptions DEFAULTS = new RangeOwnershipOptions(
+            DEFAULT_RELEASE_TIMEOUT_MS,
+            DEFAULT_MIN_RETRY_DELAY_MS,
+            DEFAULT_MAX_RETRY_DELAY_MS,
+            DEFAULT_RELEASE_GRACE_MS,
+            DEFAULT_MAX_ANSWER_DELAY_MS,
+            DEFAULT_TICK_INTERVAL_MS,
+            DEFAULT_MAX_RETAINED_RECORDS);
 
     public RangeOwnershipOptions {
-        if (lingerMs < 0 || minRetryMs < 1 || maxRetryMs < minRetryMs || tickMs < 1 || maxKeptRecords < 0) {
-            throw new IllegalArgumentException("retry delays and tick must be positive and ordered");
+        if (releaseGraceMs < 0
+                || minRetryDelayMs < 1
+                || maxRetryDelayMs < minRetryDelayMs
+                || tickIntervalMs < 1
+                || maxRetainedRecords < 0) {
+            throw new IllegalArgumentException(
+                    "minRetryDelayMs and tickIntervalMs must be positive, maxRetryDelayMs must be at least"
+                            + " minRetryDelayMs, and releaseGraceMs and maxRetainedRecords must not be negative");
         }
-        if (answerWaitMs < 0 || answerWaitMs >= releaseTimeoutMs) {
-            throw new IllegalArgumentException("answerWaitMs must be less than releaseTimeoutMs");
+        if (maxAnswerDelayMs < 0 || maxAnswerDelayMs >= releaseTimeoutMs) {
+            throw new IllegalArgumentException("maxAnswerDelayMs must be less than releaseTimeoutMs");
         }
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/MemberLookup.java
@@ -19,75 +19,78 @@
 import org.coriandercrank.kernel.table.MemberState;
 
 /**
- * Finds out in the store about members that a table mentions and a snapshot lacks.
+ * Looks up members in the store that a table references and a snapshot lacks, and caches the results.
  *
- * <p>Not thread safe: used on the planner duty, to which answers are posted. A member counts as gone only if the store
- * says that its record is sealed or does not exist.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too.
+ * A member counts as removed only if its record in the store is sealed or missing.
  */
 public final class MemberLookup {
-    private static final int MAX_KNOWN = 10_000;
+    private static final int MAX_CACHED_MEMBERS = 10_000;
 
     private final ObjectStore store;
-    private final Consumer<Runnable> post;
-    private final Set<MemberId> asked = new HashSet<>();
-    private final Set<MemberId> gone = new HashSet<>();
-    private final Map<MemberId, Member> found = new HashMap<>();
+    private final Consumer<Runnable> enqueue;
+    private final Set<MemberId> pendingLookups = new HashSet<>();
+    private final Set<MemberId> removedMembers = new HashSet<>();
+    private final Map<MemberId, Member> foundMembers = new HashMap<>();
 
-    public MemberLookup(ObjectStore store, Consumer<Runnable> post) {
+    public MemberLookup(ObjectStore store, Consumer<Runnable> enqueue) {
         this.store = store;
-        this.post = post;
+        this.enqueue = enqueue;
     }
 
-    public Set<MemberId> gone() {
-        return gone;
+    /** Members whose record was found sealed or missing; a live view. */
+    public Set<MemberId> removedMembers() {
+        return removedMembers;
     }
 
-    /** Forgets the members found alive, which may have been sealed since. */
-    public void expireFound() {
-        found.clear();
+    /** Clears the cache of members that were found unsealed, because they may have been sealed since. */
+    public void clearFoundMembers() {
+        foundMembers.clear();
     }
 
-    public Map<MemberId, Member> found() {
-        return found;
+    /** Members whose record was found and not sealed; a live view. */
+    public Map<MemberId, Member> foundMembers() {
+        return foundMembers;
     }
 
-    /** Whether every member that a table mentions is known; starts the lookup of those that are not. */
-    public boolean resolveAbsent(RoutingSnapshot snapshot, AssignmentTable table) {
-        if (gone.size() + found.size() > MAX_KNOWN) {
-            gone.clear();
-            found.clear();
+    /** Whether every member that a table references is known; starts lookups of the members that are not. */
+    public boolean resolveMissing(RoutingSnapshot snapshot, AssignmentTable table) {
+        if (removedMembers.size() + foundMembers.size() > MAX_CACHED_MEMBERS) {
+            removedMembers.clear();
+            foundMembers.clear();
         }
-        Set<MemberId> mentioned = new HashSet<>();
+        Set<MemberId> missing = new HashSet<>();
         table.assignments().forEach(a -> {
-            mentioned.add(a.owner());
-            mentioned.addAll(a.previousOwners());
+            missing.add(a.owner());
+            missing.addAll(a.previousOwners());
         });
-        mentioned.removeIf(m -> snapshot.members().containsKey(m) || gone.contains(m) || found.containsKey(m));
-        mentioned.stream().filter(asked::add).forEach(this::ask);
-        return mentioned.isEmpty();
+        missing.removeIf(
+                m -> snapshot.members().containsKey(m) || removedMembers.contains(m) || foundMembers.containsKey(m));
+        missing.stream().filter(pendingLookups::add).forEach(this::lookUp);
+        return missing.isEmpty();
     }
 
-    private void ask(MemberId member) {
+    private void lookUp(MemberId member) {
         store.get(ObjectNames.member(member))
-                .whenComplete((object, failure) -> post.accept(() -> {
-                    asked.remove(member);
+                .whenComplete((object, failure) -> enqueue.accept(() -> {
+                    pendingLookups.remove(member);
                     if (failure == null) {
-                        answered(member, object);
+                        lookupCompleted(member, object);
                     }
                 }));
     }
 
-    private void answered(MemberId id, Optional<StoredObject> object) {
-        Optional<Member> alive =
+    private void lookupCompleted(MemberId id, Optional<StoredObject> object) {
+        Optional<Member> unsealed =
                 object.map(o -> JsonCodec.decode(o.value(), Member.class)).filter(m -> m.state() != MemberState.SEALED);
-        if (alive.isPresent()) {
-            found.put(id, alive.get());
+        if (unsealed.isPresent()) {
+            foundMembers.put(id, unsealed.get());
         } else {
-            gone.add(id);
+            removedMembers.add(id);
         }
     }
 
-    /** All members in the store. */
+    /** Reads all members in the store. */
     public CompletableFuture<List<Member>> listMembers() {
         return store.list(ObjectNames.MEMBERS_PREFIX)
                 .thenApply(batch -> batch.changes().stream()
