--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerElection.java
@@ -5,14 +5,15 @@
 import org.coriandercrank.kernel.id.Revision;
 
 /**
- * Decides when this daemon reads, takes or renews the planner object.
+ * Leader election for the planner role: decides when this daemon reads the planner object, takes over the role or
+ * renews it.
  *
- * <p>Not thread safe, without I/O. The role only saves work: two daemons that both believe they hold it do no harm,
- * because every write of a planner is conditional. Daemons of low rank read the object often; the others read it
- * seldom, so that the reads at the store do not grow with the fleet.
+ * <p>Not thread safe; performs no I/O. The role only avoids duplicate work. Two daemons that both consider themselves
+ * the holder do no harm, because every write of a planner is conditional. The daemons with the lowest ranks read the
+ * object often and all others rarely, so that the load on the store does not grow with the number of daemons.
  */
 public final class PlannerElection {
-    /** What to do now. */
+    /** The store operation to perform next. */
     public enum Step {
         NONE,
         READ,
@@ -20,124 +21,156 @@
     }
 
     /**
-     * Delays in milliseconds. Immutable.
+     * Options of the election; all times are in milliseconds. Immutable.
      *
-     * @param renewMs period of renewal
-     * @param takeAfterMs time without renewal after which the role may be taken
-     * @param rankDelayMs additional time per rank
-     * @param idleReadMs period of reads by daemons whose rank is not below {@code readers}
-     * @param readers number of daemons that read at the period of renewal
+     * @param renewIntervalMs interval at which the holder renews the role
+     * @param roleTimeoutMs time without a renewal after which another daemon may take over the role
+     * @param rankDelayMs additional time per rank that a daemon waits before it takes over the role
+     * @param slowReadIntervalMs interval at which daemons read the planner object if their rank is {@code fastReaders}
+     *     or higher
+     * @param fastReaders number of daemons that read the planner object every {@code renewIntervalMs}
      */
-    public record Delays(long renewMs, long takeAfterMs, long rankDelayMs, long idleReadMs, int readers) {
-        public Delays {
-            if (renewMs < 1 || takeAfterMs <= renewMs || rankDelayMs < 0 || idleReadMs < renewMs || readers < 1) {
-                throw new IllegalArgumentException("takeAfterMs must exceed renewMs, and both must be positive");
+    public record Options(
+            long renewIntervalMs, long roleTimeoutMs, long rankDelayMs, long slowReadIntervalMs, int fastReaders) {
+        public Options {
+            if (renewIntervalMs < 1
+                    || roleTimeoutMs <= renewIntervalMs
+                    || rankDelayMs < 0
+                    || slowReadIntervalMs < renewIntervalMs
+                    || fastReaders < 1) {
+                throw new IllegalArgumentException(
+                        "renewIntervalMs and fastReaders must be positive, rankDelayMs must not be negative,"
+                                + " roleTimeoutMs must exceed renewIntervalMs,"
+                                + " and slowReadIntervalMs must be at least renewIntervalMs");
             }
         }
     }
 
     private final MemberId self;
-    private final Delays delays;
-    private boolean callOutstanding;
-    private boolean held;
-    private boolean known;
-    private boolean read;
+    private final Options options;
+    private boolean callPending;
+    private boolean holdsRole;
+    private boolean recordKnown;
+    private boolean readAttempted;
     private Optional<PlannerRecord> record = Optional.empty();
     private Revision revision = Revision.NONE;
+
+    /** Time at which a read last returned a changed record; each renewal changes the counter of the record. */
     private long unchangedSinceMs;
-    private long lastReadMs;
-    private long writeSentMs;
-    private long renewedMs;
 
-    public PlannerElection(MemberId self, Delays delays) {
+    private long lastReadAtMs;
+    private long writeStartedAtMs;
+    private long renewedAtMs;
+
+    public PlannerElection(MemberId self, Options options) {
         this.self = self;
-        this.delays = delays;
+        this.options = options;
     }
 
     /**
+     * The store operation to perform now.
+     *
+     * @param nowMs monotonic time
      * @param eligible whether this daemon may hold the role
-     * @param rank position of this daemon among the candidates, 0 first
-     * @param holderLost whether the holder is known to be sealed or leaving
+     * @param rank position of this daemon among the active members; 0 is the first to take over the role
+     * @param holderLost whether the current holder is sealed or leaving
      */
-    public Step next(long nowMs, boolean eligible, int rank, boolean holderLost) {
-        if (callOutstanding || !eligible) {
+    public Step nextStep(long nowMs, boolean eligible, int rank, boolean holderLost) {
+        if (callPending || !eligible) {
             return Step.NONE;
         }
-        if (held) {
-            return nowMs - writeSentMs >= delays.renewMs ? Step.WRITE : Step.NONE;
+        if (holdsRole) {
+            return nowMs - writeStartedAtMs >= options.renewIntervalMs ? Step.WRITE : Step.NONE;
         }
-        if (known && mayTake(nowMs, rank, holderLost)) {
+        if (recordKnown && mayTakeRole(nowMs, rank, holderLost)) {
             return Step.WRITE;
         }
-        long readPeriodMs = rank < delays.readers ? delays.renewMs : delays.idleReadMs;
-        return read && nowMs - lastReadMs < readPeriodMs ? Step.NONE : Step.READ;
+        long readIntervalMs = rank < options.fastReaders ? options.renewIntervalMs : options.slowReadIntervalMs;
+        return readAttempted && nowMs - lastReadAtMs < readIntervalMs ? Step.NONE : Step.READ;
     }
 
-    /** The read must be as fresh as a reader's, so that a change since then is rarely missed. */
-    private boolean mayTake(long nowMs, int rank, boolean holderLost) {
-        if (nowMs - lastReadMs > delays.renewMs) {
+    /**
+     * Whether this daemon may take over the role. The last read must not be older than {@code renewIntervalMs}, so that
+     * a renewal since then is rarely missed.
+     */
+    private boolean mayTakeRole(long nowMs, int rank, boolean holderLost) {
+        if (nowMs - lastReadAtMs > options.renewIntervalMs) {
             return false;
         }
-        int delayedRank = Math.min(rank, delays.readers);
+        int cappedRank = Math.min(rank, options.fastReaders);
         return record.isEmpty()
                 || holderLost
-                || nowMs - unchangedSinceMs >= delays.takeAfterMs + delayedRank * delays.rankDelayMs;
+                || nowMs - unchangedSinceMs >= options.roleTimeoutMs + cappedRank * options.rankDelayMs;
     }
 
+    /** The holder of the role according to the last read or write. */
     public Optional<MemberId> holder() {
         return record.map(PlannerRecord::holder);
     }
 
     public void readStarted() {
-        callOutstanding = true;
+        callPending = true;
     }
 
-    public void readDone(Optional<PlannerRecord> found, Revision foundRevision, long nowMs) {
-        callOutstanding = false;
-        read = true;
-        lastReadMs = nowMs;
-        if (!known || !found.equals(record)) {
+    /** Reports the planner object that was read; empty if it does not exist. */
+    public void readCompleted(Optional<PlannerRecord> storedRecord, Revision storedRevision, long nowMs) {
+        callPending = false;
+        readAttempted = true;
+        lastReadAtMs = nowMs;
+        if (!recordKnown || !storedRecord.equals(record)) {
             unchangedSinceMs = nowMs;
         }
-        known = true;
-        record = found;
-        revision = foundRevision;
-        held = found.isPresent() && found.get().holder().equals(self);
-        if (held) {
-            renewedMs = Math.max(renewedMs, writeSentMs);
+        recordKnown = true;
+        record = storedRecord;
+        revision = storedRevision;
+        holdsRole = storedRecord.isPresent() && storedRecord.get().holder().equals(self);
+        if (holdsRole) {
+            renewedAtMs = Math.max(renewedAtMs, writeStartedAtMs);
         }
     }
 
-    /** The next read keeps its period, so that an outage of the store does not multiply the reads. */
-    public void callFailed(long nowMs) {
-        callOutstanding = false;
-        read = true;
-        lastReadMs = nowMs;
-        held = false;
-        known = false;
+    /**
+     * Reports a failed read. The next read waits for the usual interval, so that a store outage does not cause more
+     * reads.
+     */
+    public void readFailed(long nowMs) {
+        callPending = false;
+        readAttempted = true;
+        lastReadAtMs = nowMs;
+        holdsRole = false;
+        recordKnown = false;
     }
 
-    /** Starts a write; the caller writes the record if the object still has {@link #revision()}. */
+    /**
+     * Starts a write that takes over or renews the role.
+     *
+     * @return the record, which the caller writes on condition that the stored object still has {@link #revision()}
+     */
     public PlannerRecord writeStarted(long nowMs) {
-        callOutstanding = true;
-        writeSentMs = nowMs;
+        callPending = true;
+        writeStartedAtMs = nowMs;
         return new PlannerRecord(self, record.map(PlannerRecord::counter).orElse(0L) + 1);
     }
 
+    /** Revision of the planner object according to the last read or write. */
     public Revision revision() {
         return revision;
     }
 
-    public void writeDone(PlannerRecord written, Revision newRevision) {
-        callOutstanding = false;
-        held = true;
+    /** Reports that a record was written, and the new revision of the planner object. */
+    public void writeCompleted(PlannerRecord written, Revision newRevision) {
+        callPending = false;
+        holdsRole = true;
         record = Optional.of(written);
         revision = newRevision;
-        renewedMs = writeSentMs;
+        renewedAtMs = writeStartedAtMs;
     }
 
-    /** Whether this daemon holds the role; false once the last renewal is so old that another may have taken it. */
+    /**
+     * Whether this daemon holds the role. It does not once {@code roleTimeoutMs} have passed since the last renewal,
+     * because another daemon may have taken over the role.
+     */
     public boolean isHolder(long nowMs) {
-        return held && nowMs - renewedMs < delays.takeAfterMs;
+        return holdsRole && nowMs - renewedAtMs < options.roleTimeoutMs;
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/PlannerRole.java
@@ -7,8 +7,8 @@
 import org.coriandercrank.kernel.code.CrankException;
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.id.Revision;
-import org.coriandercrank.kernel.ownership.KnownMember;
 import org.coriandercrank.kernel.ownership.RoutingSnapshot;
+import org.coriandercrank.kernel.ownership.VersionedMember;
 import org.coriandercrank.kernel.store.JsonCodec;
 import org.coriandercrank.kernel.store.ObjectNames;
 import org.coriandercrank.kernel.store.ObjectStore;
@@ -18,60 +18,64 @@
 import org.coriandercrank.kernel.time.MonotonicClock;
 
 /**
- * Takes and renews the planner object in the store.
+ * Takes over and renews the planner role by writing the planner object in the store.
  *
- * <p>Not thread safe: used on the planner duty, to which completions of the store are posted. A failed or unanswered
- * write is resolved by reading the object back.
+ * <p>Not thread safe: confined to the serial executor of the planner, on which results of the store are processed too.
+ * After a failed or unanswered write the object is read back to find out whether the write took effect.
  */
 public final class PlannerRole {
     private final MemberId self;
     private final ObjectStore store;
     private final MonotonicClock clock;
-    private final Consumer<Runnable> post;
+    private final Consumer<Runnable> enqueue;
     private final PlannerElection election;
-    private final long ownOrder;
+    private final long ownRankHash;
 
     public PlannerRole(
             MemberId self,
             ObjectStore store,
             MonotonicClock clock,
-            Consumer<Runnable> post,
-            PlannerElection.Delays delays) {
+            Consumer<Runnable> enqueue,
+            PlannerElection.Options options) {
         this.self = self;
         this.store = store;
         this.clock = clock;
-        this.post = post;
-        this.ownOrder = order(self);
-        this.election = new PlannerElection(self, delays);
+        this.enqueue = enqueue;
+        this.ownRankHash = rankHash(self);
+        this.election = new PlannerElection(self, options);
     }
 
+    /** Whether this daemon holds the planner role now. */
     public boolean isHolder() {
         return election.isHolder(clock.nowMs());
     }
 
-    /** Does what is due; called at each tick. */
-    public void step(RoutingSnapshot snapshot) {
+    /** Performs the store operation that is due, if any. Called periodically and after each change of the snapshot. */
+    public void update(RoutingSnapshot snapshot) {
         boolean eligible = snapshot.member(self).map(Member::state).orElse(null) == MemberState.ACTIVE;
         boolean holderLost = election.holder()
                 .flatMap(snapshot::member)
                 .map(m -> m.state() == MemberState.SEALED || m.state() == MemberState.LEAVING)
                 .orElse(false);
-        switch (election.next(clock.nowMs(), eligible, rank(snapshot), holderLost)) {
+        switch (election.nextStep(clock.nowMs(), eligible, rank(snapshot), holderLost)) {
             case READ -> read();
             case WRITE -> write();
             case NONE -> {}
         }
     }
 
-    /** Position among the active members by a hash of the id, so that neighbours in one host group rank apart. */
+    /**
+     * Position of this daemon among the active members. The members are ordered by a hash of their ids, so that
+     * neighbouring hosts do not get adjacent ranks.
+     */
     private int rank(RoutingSnapshot snapshot) {
         return (int) snapshot.members().values().stream()
-                .map(KnownMember::member)
-                .filter(m -> m.state() == MemberState.ACTIVE && order(m.id()) < ownOrder)
+                .map(VersionedMember::member)
+                .filter(m -> m.state() == MemberState.ACTIVE && rankHash(m.id()) < ownRankHash)
                 .count();
     }
 
-    private static long order(MemberId id) {
+    private static long rankHash(MemberId id) {
         return Hashing.murmur3_128()
                 .hashString(id.value(), StandardCharsets.UTF_8)
                 .asLong();
@@ -80,21 +84,22 @@
     private void read() {
         election.readStarted();
         store.get(ObjectNames.PLANNER)
-                .whenComplete((found, failure) -> post.accept(() -> {
+                .whenComplete((storedRecord, failure) -> enqueue.accept(() -> {
                     if (failure != null) {
-                        election.callFailed(clock.nowMs());
+                        election.readFailed(clock.nowMs());
                     } else {
-                        readDone(found);
+                        readCompleted(storedRecord);
                     }
                 }));
     }
 
-    private void readDone(Optional<StoredObject> found) {
+    private void readCompleted(Optional<StoredObject> storedRecord) {
         try {
-            Optional<PlannerRecord> record = found.map(o -> JsonCodec.decode(o.value(), PlannerRecord.class));
-            election.readDone(record, found.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
+            Optional<PlannerRecord> record = storedRecord.map(o -> JsonCodec.decode(o.value(), PlannerRecord.class));
+            election.readCompleted(
+                    record, storedRecord.map(StoredObject::revision).orElse(Revision.NONE), clock.nowMs());
         } catch (CrankException e) {
-            election.callFailed(clock.nowMs());
+            election.readFailed(clock.nowMs());
             throw e;
         }
     }
@@ -102,9 +107,9 @@
     private void write() {
         PlannerRecord record = election.writeStarted(clock.nowMs());
         store.put(ObjectNames.PLANNER, JsonCodec.encode(record), election.revision())
-                .whenComplete((revision, failure) -> post.accept(() -> {
+                .whenComplete((revision, failure) -> enqueue.accept(() -> {
                     if (failure == null) {
-                        election.writeDone(record, revision);
+                        election.writeCompleted(record, revision);
                     } else {
                         read();
                     }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/ReleasedRecords.java
@@ -8,26 +8,34 @@
 import org.coriandercrank.kernel.id.MemberId;
 import org.coriandercrank.kernel.message.ReleaseAnswer;
 import org.coriandercrank.kernel.ownership.Handover;
-import org.coriandercrank.kernel.ownership.InheritedRecords;
+import org.coriandercrank.kernel.ownership.TransferredRecords;
 import org.coriandercrank.kernel.request.OutcomeRecord;
 import org.coriandercrank.kernel.table.AssignmentTable;
 import org.coriandercrank.kernel.table.KeyRange;
 import org.coriandercrank.kernel.table.KeyRanges;
 
 /**
- * Outcome records of ranges that this daemon has released, kept for the next owner.
+ * Outcome records of ranges that this daemon has released, retained for the next owner of each range.
  *
- * <p>Not thread safe. Records count for one (requester, generation) only: once they were handed over, another member
- * may have served the range, so that they are not complete for anybody else. The number of records is bounded; the
- * oldest entry is dropped first, which makes the next owner treat the records as lost.
+ * <p>Not thread safe. Records count as complete only for the first recipient, a requester at one generation: after the
+ * handover another member may have served the range and added records. The number of records is bounded; the oldest
+ * entry is evicted first, and the next owner of its range then treats the records as lost.
  */
 final class ReleasedRecords {
+    /** The member that records were handed over to, and the generation of its release request. */
     private record Recipient(MemberId requester, Generation generation) {}
 
+    /**
+     * The records of one released range.
+     *
+     * @param generation the entry is kept at least until the table has this generation
+     * @param releasedAtMs monotonic time of the release
+     * @param recipient null while the records have not been handed over
+     */
     private record Entry(
-            KeyRange range, Generation generation, InheritedRecords records, long atMs, Recipient recipient) {
+            KeyRange range, Generation generation, TransferredRecords records, long releasedAtMs, Recipient recipient) {
         Entry withRange(KeyRange part, Recipient newRecipient) {
-            return new Entry(part, generation, records, atMs, newRecipient);
+            return new Entry(part, generation, records, releasedAtMs, newRecipient);
         }
     }
 
@@ -40,8 +48,9 @@
         this.maxRecords = maxRecords;
     }
 
-    void add(KeyRange range, Generation generation, InheritedRecords records, long nowMs) {
-        forget(range);
+    /** Adds the records of a released range, and evicts the oldest entries above the bounds. */
+    void add(KeyRange range, Generation generation, TransferredRecords records, long nowMs) {
+        remove(range);
         entries.addLast(new Entry(range, generation, records, nowMs, null));
         long total = entries.stream().mapToLong(e -> e.records.records().size()).sum();
         while (!entries.isEmpty() && (total > maxRecords || entries.size() > MAX_ENTRIES)) {
@@ -49,63 +58,66 @@
         }
     }
 
-    /** The records of a range for a requester; repeating the request gives the same records. */
+    /** Hands over the records of a range to a requester. A repeated request gets the same records. */
     ReleaseAnswer handOver(KeyRange range, MemberId requester, Generation generation, long nowMs) {
         Recipient recipient = new Recipient(requester, generation);
         long completeForMs = ReleaseAnswer.NOT_SERVED;
         List<OutcomeRecord> records = new ArrayList<>();
         List<Handover> handovers = new ArrayList<>();
-        Deque<Entry> next = new ArrayDeque<>();
+        Deque<Entry> updated = new ArrayDeque<>();
         for (Entry entry : entries) {
-            KeyRange common = KeyRanges.intersect(entry.range, range).orElse(null);
-            if (common == null) {
-                next.addLast(entry);
+            KeyRange intersection = KeyRanges.intersect(entry.range, range).orElse(null);
+            if (intersection == null) {
+                updated.addLast(entry);
                 continue;
             }
-            long heldMs = nowMs - entry.atMs;
-            addRecords(entry, common, heldMs, records);
+            long retainedForMs = nowMs - entry.releasedAtMs;
+            addRecords(entry, intersection, retainedForMs, records);
             entry.records.handovers().stream()
-                    .filter(h -> h.range().overlaps(common))
+                    .filter(h -> h.range().overlaps(intersection))
                     .forEach(handovers::add);
             if (entry.recipient == null || entry.recipient.equals(recipient)) {
-                long ageMs = addSaturated(entry.records.completeForMs(), heldMs);
+                long ageMs = addSaturated(entry.records.completeForMs(), retainedForMs);
                 completeForMs = completeForMs < 0 ? ageMs : Math.min(completeForMs, ageMs);
-                KeyRanges.subtract(entry.range, List.of(common))
-                        .forEach(rest -> next.addLast(entry.withRange(rest, entry.recipient)));
-                next.addLast(entry.withRange(common, recipient));
+                KeyRanges.subtract(entry.range, List.of(intersection))
+                        .forEach(rest -> updated.addLast(entry.withRange(rest, entry.recipient)));
+                updated.addLast(entry.withRange(intersection, recipient));
             } else {
-                next.addLast(entry);
+                updated.addLast(entry);
             }
         }
-        entries = next;
+        entries = updated;
         return new ReleaseAnswer(true, completeForMs, records, handovers);
     }
 
-    private static void addRecords(Entry entry, KeyRange part, long heldMs, List<OutcomeRecord> out) {
-        for (OutcomeRecord r : entry.records.records()) {
-            if (part.contains(r.keyHash())) {
-                out.add(new OutcomeRecord(
-                        r.requestId(),
-                        r.idempotencyKey(),
-                        r.keyHash(),
-                        r.requestDigest(),
-                        r.answer(),
-                        addSaturated(r.ageMs(), heldMs)));
+    private static void addRecords(Entry entry, KeyRange part, long retainedForMs, List<OutcomeRecord> result) {
+        for (OutcomeRecord record : entry.records.records()) {
+            if (part.contains(record.keyHash())) {
+                result.add(new OutcomeRecord(
+                        record.requestId(),
+                        record.idempotencyKey(),
+                        record.keyHash(),
+                        record.requestDigest(),
+                        record.answer(),
+                        addSaturated(record.ageMs(), retainedForMs)));
             }
         }
     }
 
-    /** Drops what is known of a range, because this daemon serves it again. */
-    void forget(KeyRange range) {
-        Deque<Entry> next = new ArrayDeque<>();
+    /** Removes the records of a range that this daemon serves again. */
+    void remove(KeyRange range) {
+        Deque<Entry> remaining = new ArrayDeque<>();
         for (Entry entry : entries) {
             KeyRanges.subtract(entry.range, List.of(range))
-                    .forEach(rest -> next.addLast(entry.withRange(rest, entry.recipient)));
+                    .forEach(rest -> remaining.addLast(entry.withRange(rest, entry.recipient)));
         }
-        entries = next;
+        entries = remaining;
     }
 
-    /** Drops the entries that no assignment of a table needs any more. */
+    /**
+     * Removes entries that are not needed once a table is applied: those whose range the table neither assigns to this
+     * daemon nor moves away from it.
+     */
     void prune(AssignmentTable table, MemberId self) {
         entries.removeIf(entry -> !entry.generation.isNewerThan(table.generation())
                 && table.assignments().stream()
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/TableBuilder.java
@@ -18,42 +18,51 @@
 import org.coriandercrank.kernel.table.RangeAssignment;
 
 /**
- * Makes the next table from a table and wanted owners. Stateless and thread safe.
+ * Builds the next table from the current table and the wanted owners. Stateless and thread safe.
  *
- * <p>A hash that keeps its owner keeps its fence, or gets that of an adjacent range with which its range is merged; both
- * name generations that assigned the hash to that owner. A hash that changes its owner gets the new generation, and its
- * old owner joins the previous owners unless it is gone.
+ * <p>A hash whose owner does not change keeps its fencing token, or gets that of an adjacent range that its range is
+ * merged with. Both tokens are generations of tables that assigned the hash to that owner. A hash whose owner changes
+ * gets the new generation as its fencing token, and its old owner is added to the previous owners unless the record of
+ * the old owner is sealed or missing.
  */
 public final class TableBuilder {
-    /** A change of owner. Immutable. */
+    /**
+     * The change of the owner of a range. Immutable.
+     *
+     * @param from the old owner; empty if the range had none
+     */
     public record Change(KeyRange range, Optional<MemberId> from, MemberId to, Generation fence, String reason) {}
 
-    /** A table and the changes that led to it. Immutable. */
+    /** A table and the changes of owners in it. Immutable. */
     public record Result(AssignmentTable table, List<Change> changes) {
         public Result {
             changes = List.copyOf(changes);
         }
     }
 
-    private record Piece(RangeAssignment assignment, boolean kept) {}
+    /** An assignment in the next table, and whether its owner is that of the current table. */
+    private record Segment(RangeAssignment assignment, boolean unchanged) {}
 
     private TableBuilder() {}
 
     /**
-     * Removes previous owners that are gone, and all previous owners of a range that its owner serves under its fence.
+     * Removes previous owners whose record is sealed or missing, and all previous owners of a range that its owner
+     * reports as served under its fencing token.
      */
     public static List<RangeAssignment> clearPreviousOwners(
-            AssignmentTable table, Predicate<MemberId> gone, Map<MemberId, LoadReport> reports) {
+            AssignmentTable table, Predicate<MemberId> isRemoved, Map<MemberId, LoadReport> reports) {
         List<RangeAssignment> cleared = new ArrayList<>(table.assignments().size());
-        for (RangeAssignment a : table.assignments()) {
-            if (a.previousOwners().isEmpty()) {
-                cleared.add(a);
+        for (RangeAssignment assignment : table.assignments()) {
+            if (assignment.previousOwners().isEmpty()) {
+                cleared.add(assignment);
                 continue;
             }
-            List<MemberId> remaining = isServed(a, reports.get(a.owner()))
+            List<MemberId> remaining = isServed(assignment, reports.get(assignment.owner()))
                     ? List.of()
-                    : a.previousOwners().stream().filter(gone.negate()).toList();
-            cleared.add(new RangeAssignment(a.range(), a.owner(), a.fence(), remaining));
+                    : assignment.previousOwners().stream()
+                            .filter(isRemoved.negate())
+                            .toList();
+            cleared.add(new RangeAssignment(assignment.range(), assignment.owner(), assignment.fence(), remaining));
         }
         return cleared;
     }
@@ -71,89 +80,112 @@
     }
 
     /**
-     * Applies wanted owners.
+     * Builds the next table.
      *
-     * @param current assignments of the present table, with cleared previous owners
-     * @param mayHold members that may still serve a hash which the present table assigns to nobody
+     * @param table the current table
+     * @param current the assignments of the current table after {@link #clearPreviousOwners}
+     * @param wanted the wanted ranges and owners, sorted
+     * @param isRemoved whether the record of a member is sealed or missing
+     * @param potentialHolders members that may still serve a hash that the current table assigns to no member
      */
     public static Result build(
             AssignmentTable table,
             List<RangeAssignment> current,
             List<PlacedRange> wanted,
-            Predicate<MemberId> gone,
-            Set<MemberId> mayHold) {
+            Predicate<MemberId> isRemoved,
+            Set<MemberId> potentialHolders) {
         Generation next = new Generation(table.generation().value() + 1);
         List<RangeAssignment> assignments = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        int from = 0;
-        for (PlacedRange want : wanted) {
-            while (from < current.size()
-                    && current.get(from).range().last().compareTo(want.range().first()) < 0) {
-                from++;
+        int firstIndex = 0;
+        for (PlacedRange wantedRange : wanted) {
+            while (firstIndex < current.size()
+                    && current.get(firstIndex)
+                                    .range()
+                                    .last()
+                                    .compareTo(wantedRange.range().first())
+                            < 0) {
+                firstIndex++;
             }
-            List<Piece> pieces = pieces(current, from, want, next, gone, mayHold, changes);
-            joinKept(pieces).forEach(assignments::add);
+            List<Segment> segments =
+                    segments(current, firstIndex, wantedRange, next, isRemoved, potentialHolders, changes);
+            mergeUnchanged(segments).forEach(assignments::add);
         }
         return new Result(new AssignmentTable(table.service(), next, assignments), changes);
     }
 
-    private static List<Piece> pieces(
+    /** The assignments for one wanted range; adds the changes of owners to {@code changes}. */
+    private static List<Segment> segments(
             List<RangeAssignment> current,
-            int from,
-            PlacedRange want,
+            int firstIndex,
+            PlacedRange wantedRange,
             Generation next,
-            Predicate<MemberId> gone,
-            Set<MemberId> mayHold,
+            Predicate<MemberId> isRemoved,
+            Set<MemberId> potentialHolders,
             List<Change> changes) {
-        List<Piece> pieces = new ArrayList<>();
+        List<Segment> segments = new ArrayList<>();
         List<KeyRange> covered = new ArrayList<>();
-        for (int i = from; i < current.size(); i++) {
-            RangeAssignment old = current.get(i);
-            if (old.range().first().compareTo(want.range().last()) > 0) {
+        for (int i = firstIndex; i < current.size(); i++) {
+            RangeAssignment currentAssignment = current.get(i);
+            if (currentAssignment.range().first().compareTo(wantedRange.range().last()) > 0) {
                 break;
             }
-            KeyRange common = KeyRanges.intersect(old.range(), want.range()).orElseThrow();
-            covered.add(common);
-            if (old.owner().equals(want.owner())) {
-                pieces.add(
-                        new Piece(new RangeAssignment(common, old.owner(), old.fence(), old.previousOwners()), true));
+            KeyRange intersection = KeyRanges.intersect(currentAssignment.range(), wantedRange.range())
+                    .orElseThrow();
+            covered.add(intersection);
+            if (currentAssignment.owner().equals(wantedRange.owner())) {
+                segments.add(new Segment(
+                        new RangeAssignment(
+                                intersection,
+                                currentAssignment.owner(),
+                                currentAssignment.fence(),
+                                currentAssignment.previousOwners()),
+                        true));
                 continue;
             }
             Set<MemberId> previous = new LinkedHashSet<>();
-            previous.add(old.owner());
-            previous.addAll(old.previousOwners());
-            pieces.add(changed(common, want.owner(), next, previous, gone));
-            changes.add(new Change(common, Optional.of(old.owner()), want.owner(), next, want.reason()));
+            previous.add(currentAssignment.owner());
+            previous.addAll(currentAssignment.previousOwners());
+            segments.add(reassigned(intersection, wantedRange.owner(), next, previous, isRemoved));
+            changes.add(new Change(
+                    intersection,
+                    Optional.of(currentAssignment.owner()),
+                    wantedRange.owner(),
+                    next,
+                    wantedRange.reason()));
         }
-        for (KeyRange hole : KeyRanges.subtract(want.range(), covered)) {
-            pieces.add(changed(hole, want.owner(), next, mayHold, gone));
-            changes.add(new Change(hole, Optional.empty(), want.owner(), next, want.reason()));
+        for (KeyRange gap : KeyRanges.subtract(wantedRange.range(), covered)) {
+            segments.add(reassigned(gap, wantedRange.owner(), next, potentialHolders, isRemoved));
+            changes.add(new Change(gap, Optional.empty(), wantedRange.owner(), next, wantedRange.reason()));
         }
-        pieces.sort((a, b) -> a.assignment.range().compareTo(b.assignment.range()));
-        return pieces;
+        segments.sort((a, b) -> a.assignment.range().compareTo(b.assignment.range()));
+        return segments;
     }
 
-    private static Piece changed(
-            KeyRange range, MemberId owner, Generation fence, Set<MemberId> previous, Predicate<MemberId> gone) {
-        List<MemberId> remaining =
-                previous.stream().filter(m -> !m.equals(owner) && !gone.test(m)).toList();
-        return new Piece(new RangeAssignment(range, owner, fence, remaining), false);
+    private static Segment reassigned(
+            KeyRange range, MemberId owner, Generation fence, Set<MemberId> previous, Predicate<MemberId> isRemoved) {
+        List<MemberId> remaining = previous.stream()
+                .filter(m -> !m.equals(owner) && !isRemoved.test(m))
+                .toList();
+        return new Segment(new RangeAssignment(range, owner, fence, remaining), false);
     }
 
-    private static List<RangeAssignment> joinKept(List<Piece> pieces) {
-        List<RangeAssignment> joined = new ArrayList<>();
-        boolean lastMayJoin = false;
-        for (Piece piece : pieces) {
-            RangeAssignment a = piece.assignment;
-            boolean mayJoin = piece.kept && a.previousOwners().isEmpty();
-            if (mayJoin && lastMayJoin) {
-                RangeAssignment last = joined.remove(joined.size() - 1);
-                Generation fence = last.fence().isNewerThan(a.fence()) ? last.fence() : a.fence();
-                a = new RangeAssignment(KeyRanges.join(last.range(), a.range()), a.owner(), fence, List.of());
+    /** Merges adjacent assignments with an unchanged owner and no previous owners. */
+    private static List<RangeAssignment> mergeUnchanged(List<Segment> segments) {
+        List<RangeAssignment> merged = new ArrayList<>();
+        boolean lastMergeable = false;
+        for (Segment segment : segments) {
+            RangeAssignment assignment = segment.assignment;
+            boolean mergeable = segment.unchanged && assignment.previousOwners().isEmpty();
+            if (mergeable && lastMergeable) {
+                RangeAssignment last = merged.remove(merged.size() - 1);
+                Generation fence = last.fence().isNewerThan(assignment.fence()) ? last.fence() : assignment.fence();
+                assignment = new RangeAssignment(
+                        KeyRanges.join(last.range(), assignment.range()), assignment.owner(), fence, List.of());
             }
-            joined.add(a);
-            lastMayJoin = mayJoin;
+            merged.add(assignment);
+            lastMergeable = mergeable;
         }
-        return joined;
+        return merged;
     }
 }
--- a/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
+++ b/org.coriandercrank.placement/src/main/java/org/coriandercrank/placement/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Pure decisions and state machines of placement; not for use by other modules. */
+/** Decisions and state machines of placement, and their access to the store; internal to this module. */
 package org.coriandercrank.placement.internal;
--- a/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Replies.java
+++ b/org.coriandercrank.standin/src/main/java/org/coriandercrank/standin/internal/Responses.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 import java.util.Map;
-import org.coriandercrank.http.HttpReply;
+import org.coriandercrank.http.HttpResponse;
 import org.coriandercrank.kernel.request.Header;
 import org.coriandercrank.kernel.store.JsonCodec;
 
-/** Common replies of the stand-ins. Stateless. */
-final class Replies {
+/** Creates HTTP responses of the stand-ins. Stateless. */
+final class Responses {
     private static final String NOT_RUN_HEADER = "crank-not-run";
     private static final String REASON_HEADER = "crank-reason";
 
-    private Replies() {}
+    private Responses() {}
 
-    static HttpReply json(int status, Object value) {
-        return HttpReply.json(status, JsonCodec.encode(value));
+    static HttpResponse json(int status, Object value) {
+        return HttpResponse.json(status, JsonCodec.encode(value));
     }
 
-    /** A refusal of a call that certainly had and will have no effect. */
-    static HttpReply notRun(int status, String reason) {
-        return new HttpReply(
+    /** Returns the response to a rejected request, which had no effect and will have none. */
+    static HttpResponse notRun(int status, String reason) {
+        return new HttpResponse(
                 status,
                 List.of(
                         new Header("content-type", "application/json"),
